--- a/crates/heathpitchd/src/gateway/call/pick.rs
+++ b/crates/heathpitchd/src/gateway/call/pick.rs
@@ -119,8 +119,8 @@
 /// limits that are used up; none if something else is missing too.
 pub(crate) fn rest(table: &EngineTable, call: &Call, home: &Name, now: Millis) -> Option<Millis> {
     let left = |s: &EngineView| {
-        let wish = s.tally.wish();
-        wish.left(now).max(wish.limit().wait(now)).unwrap_or(TAKING_UP)
+        let wish = s.tally.backpressure();
+        wish.pause_left(now).max(wish.limit().wait(now)).unwrap_or(TAKING_UP)
     };
     if call.service.model.is_none() {
         let working = || table.of(&call.service.name).iter().filter(|s| s.works(now));
--- a/crates/heathpitchd/src/gateway/call/rights.rs
+++ b/crates/heathpitchd/src/gateway/call/rights.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{Millis, Name, Rate};
-use heathpitch_policy::{EngineLimit, Entered, Right, Wish};
+use heathpitch_policy::{Admission, Backpressure, EngineLimit, Right};
 use rand::Rng;
 use tokio::sync::oneshot;
 
@@ -35,7 +35,7 @@
 impl NoRight {
     /// What keeps a call from an engine that names this limit, until `back` milliseconds from `now`.
     fn of(view: &EngineView, limit: Rate, nodes: Option<u32>, back: Millis, now: Millis) -> Self {
-        let (engine, age) = (view.entry.id.clone(), view.tally.wish().limit().age(now));
+        let (engine, age) = (view.entry.id.clone(), view.tally.backpressure().limit().age(now));
         Self { engine, limit, age, nodes, handed: true, back }
     }
 }
@@ -61,14 +61,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct SendRights {
     first: Option<Right>,
-    behind: Vec<(Arc<Wish>, Option<Right>)>,
+    behind: Vec<(Arc<Backpressure>, Option<Right>)>,
 }
 
 impl SendRights {
     /// Uses them for a request that is about to be sent; none if it may not be sent.
-    pub(crate) fn enter(&mut self, wish: &Arc<Wish>, now: Millis) -> Option<Entered> {
+    pub(crate) fn enter(&mut self, wish: &Arc<Backpressure>, now: Millis) -> Option<Admission> {
         let passes = self.behind.iter_mut().all(|(wish, right)| wish.pass(right.as_mut(), now));
-        passes.then(|| wish.enter(self.first.as_mut(), now)).flatten()
+        passes.then(|| wish.admit(self.first.as_mut(), now)).flatten()
     }
 
     /// Takes note that the request was not sent after all.
@@ -91,14 +91,14 @@
     let mut rights = SendRights { first: right(traffic, view).await?, behind: Vec::new() };
     for &view in behind {
         let right = right(traffic, view).await?;
-        rights.behind.push((view.tally.wish().clone(), right));
+        rights.behind.push((view.tally.backpressure().clone(), right));
     }
     Ok(rights)
 }
 
 /// A right to send a request to an engine; none if it names no limit.
 async fn right(traffic: &Traffic, view: &EngineView) -> Result<Option<Right>, NoRight> {
-    let (shared, wish) = (&traffic.shared, view.tally.wish());
+    let (shared, wish) = (&traffic.shared, view.tally.backpressure());
     let limit = wish.limit();
     let Some(rate) = limit.rate() else { return Ok(None) };
     let none = |back| NoRight::of(view, rate, shared.table.load().nodes, back, shared.now());
@@ -147,8 +147,8 @@
 /// The engine that names the limit for which callers have to come back, and what it says; none if none does.
 pub(crate) fn limited(table: &EngineTable, service: &Name, now: Millis) -> Option<NoRight> {
     let views = table.of(service).iter().filter(|s| s.works(now));
-    let waits = views.filter_map(|s| Some((s.tally.wish().limit().wait(now)?, s)));
+    let waits = views.filter_map(|s| Some((s.tally.backpressure().limit().wait(now)?, s)));
     let (back, view) = waits.min_by_key(|(back, _)| *back)?;
-    let rate = view.tally.wish().limit().rate()?;
+    let rate = view.tally.backpressure().limit().rate()?;
     Some(NoRight::of(view, rate, table.nodes, back, now))
 }
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -8,7 +8,7 @@
     AnswerHead, Connection, Dispatch, EdgeError, EngineWish, Pool, Reuse, SendFailure, full,
     keep_time, read,
 };
-use heathpitch_policy::Wish;
+use heathpitch_policy::Backpressure;
 use hyper::body::Incoming;
 use hyper::http::response;
 use hyper::{Request, StatusCode};
@@ -121,8 +121,8 @@
     reuse: Reuse,
 ) -> Result<Answer, Failure> {
     let &Target { view, path, after, .. } = target;
-    let wish = view.tally.wish();
-    if wish.leaves() || wish.left(traffic.shared.now()).is_some() {
+    let wish = view.tally.backpressure();
+    if wish.is_draining() || wish.pause_left(traffic.shared.now()).is_some() {
         return Err(Failure::Unwanted);
     }
     let life = view.entry.born.unwrap_or_default();
@@ -164,7 +164,7 @@
     let said = Said { engine: &view.entry, of: &call.head.id, status, sent };
     heed(&traffic.shared, said, wish, &head);
     if !head.not_run {
-        wish.answered(traffic.shared.now());
+        wish.record_success(traffic.shared.now());
     }
     if let Some(load) = head.load {
         view.tally.tell(load.running + load.waiting, traffic.shared.now());
@@ -174,7 +174,7 @@
 
 /// Takes note of what an engine asks for in its answer to a call; of rest also where another engine of the path
 /// is at fault, which turned the call away.
-fn heed(shared: &Shared, said: Said<'_>, wish: &Wish, head: &AnswerHead) {
+fn heed(shared: &Shared, said: Said<'_>, wish: &Backpressure, head: &AnswerHead) {
     let engine = said.engine;
     if shared.heed(said, head.wish, wish) {
         shared.tell(Notice::Leaves(life(engine)));
@@ -184,7 +184,7 @@
     if let Some(other) = shared.table.load().at(culprit) {
         let said = Said { engine: &other.entry, ..said };
         let rest = EngineWish { rest: head.wish.rest, ..EngineWish::default() };
-        shared.heed(said, rest, other.tally.wish());
+        shared.heed(said, rest, other.tally.backpressure());
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use heathpitch_core::{EntryState, LayerRange, Name};
-use heathpitch_policy::{Tally, Wish, mains};
+use heathpitch_policy::{Backpressure, Tally, mains};
 
 use super::state::Control;
 use crate::gateway::engine_table::{EngineTable, EngineView};
@@ -48,7 +48,7 @@
         tallies.retain(|engine, _| entries.contains_key(engine));
         let (mut wishes, now) = (self.wishes.borrow_mut(), self.now());
         // Of one off the list a call may still be at work, whose answer asks for something.
-        let kept = |w: &Arc<Wish>| Arc::strong_count(w) > 1 || w.binds(now);
+        let kept = |w: &Arc<Backpressure>| Arc::strong_count(w) > 1 || w.is_active(now);
         wishes.retain(|engine, w| entries.contains_key(engine) || kept(w));
         for entry in entries.values() {
             if self.replaced.borrow().contains(&entry.id) {
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -231,10 +231,10 @@
     let now = control.now();
     let head = &path.head().engine;
     let usable = |s: &EngineView| {
-        let (id, wish) = (&s.entry.id, s.tally.wish());
+        let (id, wish) = (&s.entry.id, s.tally.backpressure());
         // What runs there takes nothing of a limit anew; a right for a stream that is moved there is not sought.
         let taken = match path.stages().iter().any(|stage| &stage.engine == id) {
-            true => s.works(now) && wish.left(now).is_none(),
+            true => s.works(now) && wish.pause_left(now).is_none(),
             false => s.open(now) && wish.limit().rate().is_none(),
         };
         // One that has started again lost its tokens, and the same path would not be ordered.
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -9,7 +9,8 @@
 use heathpitch_core::{EngineEntry, GatewaySettings, Millis, Name, Revision, ServiceSpec};
 use heathpitch_net::{Item, LeaseId};
 use heathpitch_policy::{
-    Followers, Leavers, Limits, Lives, Mirror, Quarantine, Rights, Source, Sources, Tally, Wish,
+    Backpressure, Followers, Leavers, Limits, Lives, Mirror, Quarantine, Rights, Source, Sources,
+    Tally,
 };
 use tokio::sync::Notify;
 
@@ -113,7 +114,7 @@
     pub(super) orders: RefCell<HashMap<Name, u64>>,
     pub(super) tallies: RefCell<HashMap<Name, Arc<Tally>>>,
     /// What engines asked this node for; kept while it binds, also of those off the list for a moment.
-    pub(super) wishes: RefCell<HashMap<Name, Arc<Wish>>>,
+    pub(super) wishes: RefCell<HashMap<Name, Arc<Backpressure>>>,
     /// Engines that said in an answer that they leave, to this node or to one that told it.
     pub(super) leavers: RefCell<Leavers>,
     /// Limits that engines name, to this node or to one that told it.
--- a/crates/heathpitchd/src/gateway/control/wishes.rs
+++ b/crates/heathpitchd/src/gateway/control/wishes.rs
@@ -1,6 +1,6 @@
 //! Controller of what engines ask for in their answers.
 //!
-//! Rest is for this node alone and binds by [`Wish`](heathpitch_policy::Wish), which traffic shares. That an
+//! Rest is for this node alone and binds by [`Backpressure`](heathpitch_policy::Backpressure), which traffic shares. That an
 //! engine leaves is for all: it is taken as its entry's word would be, told to other nodes with each question
 //! and answer of the feed, and outlives the entry, which may be behind.
 
@@ -10,7 +10,7 @@
 
 use heathpitch_core::{EngineEntry, EntryState, Millis};
 use heathpitch_net::{Answered, EdgeError, EngineWish, FeedLeave, LimitWord};
-use heathpitch_policy::{EngineLife, Wish};
+use heathpitch_policy::{Backpressure, EngineLife};
 
 use super::engines;
 use super::rights;
@@ -53,14 +53,14 @@
     }
 
     /// What an engine asked this node for.
-    pub(super) fn wish_of(&self, engine: &EngineEntry) -> Arc<Wish> {
+    pub(super) fn wish_of(&self, engine: &EngineEntry) -> Arc<Backpressure> {
         let mut wishes = self.wishes.borrow_mut();
         wishes.entry(engine.id.clone()).or_insert_with(|| self.new_wish(engine)).clone()
     }
 
     /// What an engine that this node has not asked yet said to others.
-    pub(super) fn new_wish(&self, engine: &EngineEntry) -> Arc<Wish> {
-        let wish = Wish::default();
+    pub(super) fn new_wish(&self, engine: &EngineEntry) -> Arc<Backpressure> {
+        let wish = Backpressure::default();
         let (life, limits) = (life(engine), self.limits.borrow());
         if let Some((rate, at)) = limits.of(&life) {
             wish.limit().told(Some(rate), at);
@@ -79,7 +79,7 @@
         path: &str,
     ) -> Option<Result<Answered<bool>, EdgeError>> {
         let mut right = rights::right(self, engine).await.ok()?;
-        let entered = self.wish_of(engine).enter_check(right.as_mut(), self.now())?;
+        let entered = self.wish_of(engine).admit_probe(right.as_mut(), self.now())?;
         let sent = self.now();
         let answer = self.edges.orders.healthy(engine, path).await;
         drop(entered);
@@ -167,7 +167,7 @@
         Some(Err(e)) => return log::info!("engine {} does not answer its check: {e}", entry.id),
     }
     control.leavers.borrow_mut().stay(life, control.now());
-    control.wish_of(&entry).stay();
+    control.wish_of(&entry).cancel_drain();
     let ready = EngineEntry { state: EntryState::Ready, ..(*entry).clone() };
     control.entries.borrow_mut().insert(entry.id.clone(), Arc::new(ready));
     control.leaving.borrow_mut().remove(&entry.id);
--- a/crates/heathpitchd/src/gateway/engine_table.rs
+++ b/crates/heathpitchd/src/gateway/engine_table.rs
@@ -40,12 +40,13 @@
 impl EngineView {
     /// Whether it may be sent new work.
     pub(crate) fn open(&self, now: Millis) -> bool {
-        self.works(now) && self.tally.wish().admits(now)
+        self.works(now) && self.tally.backpressure().admits(now)
     }
 
     /// Whether nothing but a rest keeps it from new work.
     pub(crate) fn works(&self, now: Millis) -> bool {
-        let leaves = self.entry.state == EntryState::Leaving || self.tally.wish().leaves();
+        let leaves =
+            self.entry.state == EntryState::Leaving || self.tally.backpressure().is_draining();
         !leaves && !self.tally.gauge().doubted(now)
     }
 }
--- a/crates/heathpitchd/src/gateway/wishes.rs
+++ b/crates/heathpitchd/src/gateway/wishes.rs
@@ -2,7 +2,7 @@
 
 use heathpitch_core::{EngineEntry, Millis};
 use heathpitch_net::{EngineWish, LimitWord};
-use heathpitch_policy::Wish;
+use heathpitch_policy::Backpressure;
 use rand::Rng;
 
 use super::event::GatewayEvent;
@@ -28,7 +28,7 @@
     ///
     /// From here on it binds all that goes to the engine from this node, before any other node or controller
     /// has heard of it.
-    pub(crate) fn heed(&self, said: Said<'_>, asked: EngineWish, wish: &Wish) -> bool {
+    pub(crate) fn heed(&self, said: Said<'_>, asked: EngineWish, wish: &Backpressure) -> bool {
         let Said { engine, of, status, sent } = said;
         let now = self.now();
         let limited = match asked.limit {
@@ -40,10 +40,10 @@
             }
         };
         if let Some(time) = asked.rest {
-            wish.rest(time, rand::rng().random_range(0.0..1.0), now);
+            wish.pause(time, rand::rng().random_range(0.0..1.0), now);
             self.metrics.wishes.with_label_values(&["rest"]).inc();
         }
-        let leaves = asked.leaves && wish.leave();
+        let leaves = asked.leaves && wish.start_drain();
         if asked.leaves {
             self.metrics.wishes.with_label_values(&["leave"]).inc();
         }
--- a/crates/policy/src/wish.rs
+++ b/crates/policy/src/backpressure.rs
@@ -30,17 +30,17 @@
 ///
 /// ```
 /// use std::sync::Arc;
-/// use heathpitch_policy::Wish;
+/// use heathpitch_policy::Backpressure;
 ///
-/// let wish = Arc::new(Wish::default());
-/// wish.rest(3_000, 0.0, 10);
-/// assert_eq!(wish.left(1_010), Some(2_000));
-/// assert!(wish.enter(None, 3_009).is_none());
-/// let first = wish.enter(None, 3_010);
-/// assert!(first.is_some() && wish.enter(None, 3_010).is_none(), "one at first");
+/// let wish = Arc::new(Backpressure::default());
+/// wish.pause(3_000, 0.0, 10);
+/// assert_eq!(wish.pause_left(1_010), Some(2_000));
+/// assert!(wish.admit(None, 3_009).is_none());
+/// let first = wish.admit(None, 3_010);
+/// assert!(first.is_some() && wish.admit(None, 3_010).is_none(), "one at first");
 /// ```
 #[derive(Debug, Default)]
-pub struct Wish {
+pub struct Backpressure {
     /// End of the rest; 0 if none was asked for, or the engine is taken up again since.
     until: AtomicU64,
     /// Requests without an answer.
@@ -54,14 +54,14 @@
 }
 
 /// # Wishes
-impl Wish {
+impl Backpressure {
     /// Takes a wish for rest of an answer that came at `now`; `draw`, from 0 to 1, spreads its end.
     ///
     /// The latest end holds: an answer that comes later and asks for less takes nothing back.
-    pub fn rest(&self, time: Millis, draw: f64, now: Millis) {
+    pub fn pause(&self, time: Millis, draw: f64, now: Millis) {
         let spread = (time as f64 * SPREAD * draw.clamp(0.0, 1.0)) as Millis;
         let open = self.open.load(Relaxed);
-        if self.left(now).is_none() {
+        if self.pause_left(now).is_none() {
             self.quick.store(open * ONE / 2, Relaxed);
         }
         self.room.store(ONE, Relaxed);
@@ -69,17 +69,17 @@
     }
 
     /// Takes note that it leaves; gives whether that is new.
-    pub fn leave(&self) -> bool {
+    pub fn start_drain(&self) -> bool {
         !self.leaves.swap(true, Relaxed)
     }
 
     /// Takes note that it does not leave after all.
-    pub fn stay(&self) {
+    pub fn cancel_drain(&self) {
         self.leaves.store(false, Relaxed);
     }
 
     /// Takes note that it answered a request sent after its rest, and turned nothing away.
-    pub fn answered(&self, now: Millis) {
+    pub fn record_success(&self, now: Millis) {
         let until = self.until.load(Relaxed);
         if until == 0 || now < until {
             return;
@@ -95,9 +95,9 @@
 }
 
 /// # Reading
-impl Wish {
+impl Backpressure {
     /// Time left of its rest at `now`, if it rests.
-    pub fn left(&self, now: Millis) -> Option<Millis> {
+    pub fn pause_left(&self, now: Millis) -> Option<Millis> {
         self.until.load(Relaxed).checked_sub(now).filter(|left| *left > 0)
     }
 
@@ -107,45 +107,45 @@
     }
 
     /// Whether it said that it leaves.
-    pub fn leaves(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.leaves.load(Relaxed)
     }
 
     /// Whether a request may go there at `now`, if it has a right or is handed out one.
     pub fn admits(&self, now: Millis) -> bool {
-        !self.leaves() && self.bears(now) && self.limit.wait(now).is_none()
+        !self.is_draining() && self.has_capacity(now) && self.limit.wait(now).is_none()
     }
 
     /// Whether it bears one request more: it does not rest, nor has as many as it takes since.
-    fn bears(&self, now: Millis) -> bool {
+    fn has_capacity(&self, now: Millis) -> bool {
         let until = self.until.load(Relaxed);
         let room = || self.open.load(Relaxed) * ONE < self.room.load(Relaxed);
         until == 0 || (now >= until && room())
     }
 
     /// Whether anything of it has to be kept, though the engine is off the list.
-    pub fn binds(&self, now: Millis) -> bool {
-        self.leaves() || self.left(now).is_some()
+    pub fn is_active(&self, now: Millis) -> bool {
+        self.is_draining() || self.pause_left(now).is_some()
     }
 
     /// Admits a request that is about to be sent at `now`, and counts it until its answer has come, or it is
     /// given up. An engine that names a limit takes only one with a right.
-    pub fn enter(self: &Arc<Self>, right: Option<&mut Right>, now: Millis) -> Option<Entered> {
-        (!self.leaves()).then(|| self.enter_check(right, now)).flatten()
+    pub fn admit(self: &Arc<Self>, right: Option<&mut Right>, now: Millis) -> Option<Admission> {
+        (!self.is_draining()).then(|| self.admit_probe(right, now)).flatten()
     }
 
     /// The same for a check, which an engine that leaves may be asked too.
-    pub fn enter_check(
+    pub fn admit_probe(
         self: &Arc<Self>,
         right: Option<&mut Right>,
         now: Millis,
-    ) -> Option<Entered> {
-        (self.bears(now) && self.passes(right, now)).then(|| self.count(now))
+    ) -> Option<Admission> {
+        (self.has_capacity(now) && self.passes(right, now)).then(|| self.count(now))
     }
 
     /// Admits a request to pass through the engine, behind the first of its path, at `now`.
     pub fn pass(self: &Arc<Self>, right: Option<&mut Right>, now: Millis) -> bool {
-        let passes = !self.leaves() && self.passes(right, now);
+        let passes = !self.is_draining() && self.passes(right, now);
         if passes {
             self.limit.sent(now);
         }
@@ -157,18 +157,18 @@
         self.limit.rate().is_none() || right.is_some_and(|r| r.spend(self, now))
     }
 
-    fn count(self: &Arc<Self>, now: Millis) -> Entered {
+    fn count(self: &Arc<Self>, now: Millis) -> Admission {
         self.limit.sent(now);
         self.open.fetch_add(1, Relaxed);
-        Entered(self.clone())
+        Admission(self.clone())
     }
 }
 
 /// A request at an engine that has not answered it.
 #[derive(Debug)]
-pub struct Entered(Arc<Wish>);
+pub struct Admission(Arc<Backpressure>);
 
-impl Drop for Entered {
+impl Drop for Admission {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Relaxed);
     }
--- a/crates/policy/src/engine_limit.rs
+++ b/crates/policy/src/engine_limit.rs
@@ -15,7 +15,7 @@
 
 use heathpitch_core::{Millis, Rate};
 
-use crate::Wish;
+use crate::Backpressure;
 use crate::rights::used;
 
 /// Time after an answer that named a limit until two that name none end it, milliseconds: some answers may lack it.
@@ -128,7 +128,7 @@
 /// # Rights
 impl EngineLimit {
     /// Takes a right that this node has.
-    pub fn take(wish: &Arc<Wish>, now: Millis) -> Option<Right> {
+    pub fn take(wish: &Arc<Backpressure>, now: Millis) -> Option<Right> {
         let stock = &wish.limit().stock;
         let taken = stock.fetch_update(Relaxed, Relaxed, |s| {
             (until(s) > now && s & COUNT_MASK > 0).then(|| s - 1)
@@ -138,7 +138,12 @@
 
     /// Takes `count` rights that were handed out to a question sent at `sent`, and one of them; none if they came too
     /// late, or another call was faster.
-    pub fn receive(wish: &Arc<Wish>, count: u16, sent: Millis, now: Millis) -> Option<Right> {
+    pub fn receive(
+        wish: &Arc<Backpressure>,
+        count: u16,
+        sent: Millis,
+        now: Millis,
+    ) -> Option<Right> {
         wish.limit().put(count, sent, now);
         Self::take(wish, now)
     }
@@ -254,19 +259,19 @@
 /// A right to send one request to an engine; goes back if it is not used.
 #[derive(Debug)]
 pub struct Right {
-    wish: Arc<Wish>,
+    wish: Arc<Backpressure>,
     until: Millis,
     used: bool,
 }
 
 impl Right {
     /// One that this node has drawn for itself at `now`.
-    pub fn drawn(wish: &Arc<Wish>, now: Millis) -> Self {
+    pub fn drawn(wish: &Arc<Backpressure>, now: Millis) -> Self {
         Self { wish: wish.clone(), until: now + RIGHT_LIFE, used: false }
     }
 
     /// Whether it is for this engine and may still be used at `now`; it is used then.
-    pub(crate) fn spend(&mut self, wish: &Arc<Wish>, now: Millis) -> bool {
+    pub(crate) fn spend(&mut self, wish: &Arc<Backpressure>, now: Millis) -> bool {
         self.used = now < self.until && Arc::ptr_eq(&self.wish, wish);
         self.used
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,6 +4,7 @@
 //! clock, opens a socket, starts a task or draws from an unseeded generator, so a test, a
 //! simulator or another daemon can drive them.
 
+mod backpressure;
 mod blocks;
 mod bucket;
 mod budget;
@@ -53,8 +54,8 @@
 mod switch;
 mod tally;
 mod ticket;
-mod wish;
 
+pub use backpressure::{Admission, Backpressure};
 pub use blocks::{BLOCK, blocks, prompt_tokens};
 pub use bucket::Bucket;
 pub use budget::{RetryBudget, come_back};
@@ -102,4 +103,3 @@
 pub use switch::without;
 pub use tally::Tally;
 pub use ticket::{Ticket, TicketError};
-pub use wish::{Entered, Wish};
--- a/crates/policy/src/tally.rs
+++ b/crates/policy/src/tally.rs
@@ -5,7 +5,7 @@
 
 use heathpitch_core::Millis;
 
-use crate::{Gauge, Occupancy, Wish};
+use crate::{Backpressure, Gauge, Occupancy};
 
 /// Time for which a load told by an engine is believed, milliseconds.
 const LOAD_AGE: Millis = 1_000;
@@ -38,14 +38,14 @@
     crowded: AtomicU64,
     pace: AtomicU64,
     reported_at: AtomicU64,
-    wish: Arc<Wish>,
+    backpressure: Arc<Backpressure>,
 }
 
 /// # Construction
 impl Tally {
     /// What is known of an engine that asked for this, and nothing else.
-    pub fn of(wish: Arc<Wish>) -> Self {
-        Self { wish, ..Self::default() }
+    pub fn of(backpressure: Arc<Backpressure>) -> Self {
+        Self { backpressure, ..Self::default() }
     }
 }
 
@@ -108,8 +108,8 @@
     }
 
     /// What it asked for.
-    pub fn wish(&self) -> &Arc<Wish> {
-        &self.wish
+    pub fn backpressure(&self) -> &Arc<Backpressure> {
+        &self.backpressure
     }
 
     /// Memory that requests hold there.
--- a/crates/policy/tests/engine_limit.rs
+++ b/crates/policy/tests/engine_limit.rs
@@ -8,7 +8,7 @@
 
 use common::name;
 use heathpitch_core::Rate;
-use heathpitch_policy::{EngineLife, EngineLimit, Limits, Right, Wish};
+use heathpitch_policy::{Backpressure, EngineLife, EngineLimit, Limits, Right};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -17,8 +17,8 @@
     Rate::per_second(requests).unwrap()
 }
 
-fn limited(requests: f64) -> Arc<Wish> {
-    let wish = Arc::<Wish>::default();
+fn limited(requests: f64) -> Arc<Backpressure> {
+    let wish = Arc::<Backpressure>::default();
     wish.limit().name(rate(requests), 0, 1);
     wish
 }
@@ -37,7 +37,7 @@
 #[test]
 fn a_limit_beyond_any_number_is_a_limit() {
     for requests in [1e300, f64::INFINITY] {
-        let wish = Arc::<Wish>::default();
+        let wish = Arc::<Backpressure>::default();
         assert!(wish.limit().name(rate(requests), 0, 1));
         assert!(wish.limit().rate().is_some() && !wish.limit().name(rate(requests), 10, 20));
         assert!(wish.limit().name(rate(3.0), 30, 40));
@@ -82,12 +82,12 @@
     let wish = limited(3.0);
     wish.limit().put(2, 100, 110);
     let mut first = EngineLimit::take(&wish, 200).unwrap();
-    assert!(wish.enter(Some(&mut first), 300).is_some());
+    assert!(wish.admit(Some(&mut first), 300).is_some());
     drop(first);
     let mut late = EngineLimit::take(&wish, 300).unwrap();
     assert!(EngineLimit::take(&wish, 300).is_none());
-    assert!(wish.enter(Some(&mut late), 600).is_none(), "the node stood still");
-    assert!(wish.enter(None, 300).is_none(), "there is a limit");
+    assert!(wish.admit(Some(&mut late), 600).is_none(), "the node stood still");
+    assert!(wish.admit(None, 300).is_none(), "there is a limit");
     // One that was not used goes back, and no further than its own time.
     drop(late);
     assert!(EngineLimit::take(&wish, 599).is_some() && EngineLimit::take(&wish, 601).is_none());
@@ -96,7 +96,7 @@
     assert!(EngineLimit::take(&wish, 720).is_none(), "they were of a higher limit");
     let other = limited(3.0);
     let mut foreign = Right::drawn(&other, 800);
-    assert!(wish.enter(Some(&mut foreign), 800).is_none(), "of another engine");
+    assert!(wish.admit(Some(&mut foreign), 800).is_none(), "of another engine");
 }
 
 /// Every node asks all the time, and nobody hands out rights.
@@ -150,7 +150,7 @@
             (given + rng.random_range(1..300), sent, said(given))
         }).collect();
         answers.sort_unstable();
-        let wish = Arc::<Wish>::default();
+        let wish = Arc::<Backpressure>::default();
         for (now, sent, word) in answers {
             match word {
                 Some(limit) => wish.limit().name(rate(limit as f64), sent, now),
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -16,8 +16,8 @@
 use common::name;
 use heathpitch_core::{Name, Rate};
 use heathpitch_policy::{
-    Bucket, EngineLife, EngineLimit, LimitEntry, LimitRecord, LimitRecorder, Limits, Right, Rights,
-    Wish,
+    Backpressure, Bucket, EngineLife, EngineLimit, LimitEntry, LimitRecord, LimitRecorder, Limits,
+    Right, Rights,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -97,7 +97,7 @@
     way: Way,
     rng: SmallRng,
     names: Vec<Name>,
-    wishes: Vec<Arc<Wish>>,
+    wishes: Vec<Arc<Backpressure>>,
     even: Vec<Bucket>,
     rights: Rights,
     life: EngineLife,
@@ -277,12 +277,12 @@
             Way::Rights => {
                 let wish = self.wishes[node].clone();
                 let mut right = self.right(node, &wish, now);
-                wish.admits(now) && wish.enter(right.as_mut(), now).is_some()
+                wish.admits(now) && wish.admit(right.as_mut(), now).is_some()
             }
         }
     }
 
-    fn right(&mut self, node: usize, wish: &Arc<Wish>, now: u64) -> Option<Right> {
+    fn right(&mut self, node: usize, wish: &Arc<Backpressure>, now: u64) -> Option<Right> {
         let limit = wish.limit();
         let rate = limit.rate()?;
         if let Some(right) = EngineLimit::take(wish, now) {
--- a/crates/policy/tests/resting_load.rs
+++ b/crates/policy/tests/resting_load.rs
@@ -12,7 +12,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use heathpitch_policy::{Entered, Tally, Wish};
+use heathpitch_policy::{Admission, Backpressure, Tally};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -36,7 +36,7 @@
     Strict,
     /// Nothing is sent until its end, and all nodes hear of it at once.
     Told,
-    /// As [`Wish`] does.
+    /// As [`Backpressure`] does.
     Wish,
     /// Where no time is named, others are preferred for a moment.
     Passed,
@@ -90,19 +90,19 @@
     way: Way,
     rng: SmallRng,
     engines: Vec<Engine>,
-    wishes: Vec<Vec<Arc<Wish>>>,
+    wishes: Vec<Vec<Arc<Backpressure>>>,
     until: Vec<Vec<u64>>,
     tallies: Vec<Vec<Tally>>,
     budget: Vec<f64>,
     /// Calls at engines: when their answer comes, the node, the engine.
-    open: Vec<(u64, usize, usize, Option<Entered>)>,
+    open: Vec<(u64, usize, usize, Option<Admission>)>,
     returns: HashMap<u64, Vec<Call>>,
     found: Found,
 }
 
 impl World {
     fn new(load: Load, way: Way, seed: u64) -> Self {
-        let per_engine = || (0..load.engines).map(|_| Arc::<Wish>::default()).collect();
+        let per_engine = || (0..load.engines).map(|_| Arc::<Backpressure>::default()).collect();
         Self {
             load,
             way,
@@ -149,7 +149,7 @@
                 return true;
             }
             drop(entered.take());
-            wishes[*node][*engine].answered(now);
+            wishes[*node][*engine].record_success(now);
             false
         });
         for engine in engines {
@@ -201,7 +201,7 @@
 
     /// Whether an engine takes a call.
     fn ask(&mut self, node: usize, engine: usize, call: &Call, now: u64) -> bool {
-        let entered = (self.way == Way::Wish).then(|| self.wishes[node][engine].enter(None, now));
+        let entered = (self.way == Way::Wish).then(|| self.wishes[node][engine].admit(None, now));
         let slots = self.load.slots;
         let sheds = self.load.sheds && engine == 0 && (2_000..11_000).contains(&now);
         let e = &mut self.engines[engine];
@@ -226,7 +226,7 @@
 
     fn rest(&mut self, node: usize, engine: usize, now: u64) {
         let draw = self.rng.random_range(0.0..1.0);
-        self.wishes[node][engine].rest(self.load.rest, draw, now);
+        self.wishes[node][engine].pause(self.load.rest, draw, now);
         let until = now + self.load.rest;
         match self.way {
             Way::Told => self.until.iter_mut().for_each(|u| u[engine] = until),
@@ -242,7 +242,7 @@
         }
         let rests = |e: usize| match self.way {
             Way::Deaf | Way::Passed => BACK,
-            Way::Wish => self.wishes[node][e].left(now).unwrap_or(BACK),
+            Way::Wish => self.wishes[node][e].pause_left(now).unwrap_or(BACK),
             _ => self.until[node][e].saturating_sub(now).max(1),
         };
         let told = (0..self.load.engines).map(rests).min().unwrap_or(BACK);
