--- a/crates/heathpitchd/src/filters/guard.rs
+++ b/crates/heathpitchd/src/filters/guard.rs
@@ -31,7 +31,7 @@
         let mut limits = self.traffic.limits.lock();
         limits.meter.close(&self.account);
         if let Some(gate) = limits.gates.get_mut(&self.gate) {
-            gate.leave(&self.account);
+            gate.release(&self.account);
         }
     }
 }
--- a/crates/heathpitchd/src/filters/limit.rs
+++ b/crates/heathpitchd/src/filters/limit.rs
@@ -47,7 +47,7 @@
     let share = view.shares.get(&key).copied().unwrap_or(equal);
     let mut limits = cx.traffic.limits.lock();
     limits.meter.open(account, share, shared.now()).map_err(over)?;
-    let entered = limits.gates.entry(gate.clone()).or_default().enter(account, at, room);
+    let entered = limits.gates.entry(gate.clone()).or_default().admit(account, at, room);
     match entered {
         Ok(()) => Ok(Permit::new(cx.traffic.clone(), account.name.clone(), gate)),
         Err(shed) => {
--- a/crates/heathpitchd/src/filters/refusal.rs
+++ b/crates/heathpitchd/src/filters/refusal.rs
@@ -104,7 +104,7 @@
 
     /// Adds when to come back: `least` milliseconds or more, spread.
     pub(crate) fn back(mut self, least: Millis) -> Self {
-        self.back = Some(heathpitch_policy::come_back(least, &mut rand::rng()));
+        self.back = Some(heathpitch_policy::retry_after(least, &mut rand::rng()));
         self
     }
 }
--- a/crates/heathpitchd/src/filters/run/attempt.rs
+++ b/crates/heathpitchd/src/filters/run/attempt.rs
@@ -4,7 +4,7 @@
 
 use heathpitch_core::{Attempt, Millis, Path, Stage};
 use heathpitch_net::{GenerateCall, Hop};
-use heathpitch_policy::{Pace, RelayEvent, Upstream, choose};
+use heathpitch_policy::{RelayEvent, StallDetector, Upstream, choose};
 
 use super::{Live, Run};
 use crate::filters::guard::Opened;
@@ -107,7 +107,7 @@
         let settings = &self.matched.route.settings;
         let soon = (self.predicted * STALL_FACTOR) as Millis;
         let first = settings.first_ms.max(soon);
-        self.pace = Pace::new(settings.stall_ms, first, shared.now()).expecting(soon);
+        self.pace = StallDetector::new(settings.stall_ms, first, shared.now()).expecting(soon);
         self.look = None;
         self.warn = 0;
         let call = self.call(attempt, &path);
--- a/crates/heathpitchd/src/filters/run/failure.rs
+++ b/crates/heathpitchd/src/filters/run/failure.rs
@@ -62,7 +62,7 @@
         let fleet = shared.fleet.load();
         let engines = fleet.holding(&self.matched.model.name);
         if let Some(u) = engines.iter().find(|u| u.vm.name == *name) {
-            u.gauge.fail(shared.now());
+            u.gauge.record_failure(shared.now());
         }
         shared.tell(ToControl::Failed(name.clone()));
     }
--- a/crates/heathpitchd/src/filters/run/mod.rs
+++ b/crates/heathpitchd/src/filters/run/mod.rs
@@ -13,7 +13,9 @@
 use futures::future::BoxFuture;
 use heathpitch_core::{Account, Attempt, Millis, Name, Outcome, Path};
 use heathpitch_net::{Body, FrameStream, SendError};
-use heathpitch_policy::{Pace, Relay, RelayAction, RelayEvent, RelayPlan, blocks, prompt_tokens};
+use heathpitch_policy::{
+    Relay, RelayAction, RelayEvent, RelayPlan, StallDetector, blocks, prompt_tokens,
+};
 use hyper::Response;
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
@@ -72,7 +74,7 @@
     live: Option<Live>,
     current: Option<Path>,
     opened: Option<Opened>,
-    pace: Pace,
+    pace: StallDetector,
     look: Option<JoinHandle<Vec<Name>>>,
     warn: Millis,
     text: String,
@@ -118,7 +120,7 @@
             live: None,
             current: None,
             opened: None,
-            pace: Pace::new(0, 0, cx.start),
+            pace: StallDetector::new(0, 0, cx.start),
             look: None,
             warn: 0,
             text: String::new(),
--- a/crates/heathpitchd/src/filters/service_run.rs
+++ b/crates/heathpitchd/src/filters/service_run.rs
@@ -145,7 +145,7 @@
             }
         };
         if how != Broken::Refused {
-            service.gauge.fail(cx.traffic.shared.now());
+            service.gauge.record_failure(cx.traffic.shared.now());
             cx.traffic.shared.tell(ToControl::Failed(service.vm.name.clone()));
         }
         avoid.push(service.vm.name.clone());
@@ -164,7 +164,7 @@
         .services
         .iter()
         .filter(|s| call.index.admits(&call.route, &s.vm.labels))
-        .filter(|s| !avoid.contains(&s.vm.name) && !s.gauge.doubted(now))
+        .filter(|s| !avoid.contains(&s.vm.name) && !s.gauge.is_suspect(now))
         .collect();
     let mut rng = rand::rng();
     let any = usable.get(rng.random_range(0..usable.len().max(1)))?;
--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -286,7 +286,7 @@
             answer = sent => {
                 let done = traffic.shared.now();
                 live.hear(0, done);
-                view.tally.took(done.saturating_sub(now), done);
+                view.tally.record_latency(done.saturating_sub(now), done);
                 answer
             }
             () = live.abandonment() => {
@@ -313,7 +313,7 @@
             Failure::Unsent(_) => {
                 self.unsent += 1;
                 self.seen.unsent();
-                view.tally.gauge().fail(now);
+                view.tally.gauge().record_failure(now);
                 self.traffic.pool.forget(view.entry.address);
                 self.avoid.push(view.entry.id.clone());
                 RefusedKind::NoEngine
@@ -353,7 +353,7 @@
         let shared = &self.traffic.shared;
         let table = shared.table.load();
         let found = table.at(at)?;
-        found.tally.crowd(now + pick::REJECTION_COOLDOWN_MS);
+        found.tally.deprioritize(now + pick::REJECTION_COOLDOWN_MS);
         GatewayEvent::EngineDoubted {
             engine: found.entry.id.clone(),
             why: "refused its part of a path",
--- a/crates/heathpitchd/src/gateway/call/open.rs
+++ b/crates/heathpitchd/src/gateway/call/open.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 
-use heathpitch_policy::Tally;
+use heathpitch_policy::EngineStats;
 
 use crate::gateway::shared::Shared;
 
@@ -26,30 +26,30 @@
 }
 
 /// Counts a request that waits for its first answer until it is dropped.
-pub(crate) struct Waiting(Arc<Tally>);
+pub(crate) struct Waiting(Arc<EngineStats>);
 
 impl Waiting {
-    pub(crate) fn new(tally: Arc<Tally>) -> Self {
-        tally.wait();
+    pub(crate) fn new(tally: Arc<EngineStats>) -> Self {
+        tally.wait_began();
         Self(tally)
     }
 }
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        self.0.waited();
+        self.0.wait_ended();
     }
 }
 
 /// Counts a call's tokens at engines until it is dropped.
 pub(crate) struct Held {
     shared: Arc<Shared>,
-    tallies: Vec<Arc<Tally>>,
+    tallies: Vec<Arc<EngineStats>>,
     tokens: u64,
 }
 
 impl Held {
-    pub(crate) fn new(shared: Arc<Shared>, tallies: Vec<Arc<Tally>>, tokens: u64) -> Self {
+    pub(crate) fn new(shared: Arc<Shared>, tallies: Vec<Arc<EngineStats>>, tokens: u64) -> Self {
         let now = shared.now();
         tallies.iter().for_each(|t| t.open(tokens, now));
         Self { shared, tallies, tokens }
--- a/crates/heathpitchd/src/gateway/call/pick.rs
+++ b/crates/heathpitchd/src/gateway/call/pick.rs
@@ -45,7 +45,7 @@
         let slots = f64::from(s.entry.slots.max(1));
         let waiting = f64::from(s.tally.load(avoid.now)) / slots;
         let away = if &s.entry.domain == home { 0.0 } else { AWAY / slots };
-        let crowded = if s.tally.crowded(avoid.now) { TURNED_AWAY } else { 0.0 };
+        let crowded = if s.tally.is_deprioritized(avoid.now) { TURNED_AWAY } else { 0.0 };
         waiting + away + crowded + rand::rng().random_range(0.0..0.05)
     };
     let open = table.of(service).iter().filter(|s| avoid.allows(s));
--- a/crates/heathpitchd/src/gateway/call/returns.rs
+++ b/crates/heathpitchd/src/gateway/call/returns.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use heathpitch_core::{Evidence, Millis, Name};
-use heathpitch_policy::Returns;
+use heathpitch_policy::RetrySchedule;
 use parking_lot::Mutex;
 
 use super::Traffic;
@@ -42,7 +42,7 @@
 /// Times told to callers of one node, by service.
 #[derive(Debug, Default)]
 pub(crate) struct ReturnTimes {
-    services: Mutex<HashMap<Name, Returns>>,
+    services: Mutex<HashMap<Name, RetrySchedule>>,
 }
 
 impl ReturnTimes {
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -167,7 +167,7 @@
         wish.record_success(traffic.shared.now());
     }
     if let Some(load) = head.load {
-        view.tally.tell(load.running + load.waiting, traffic.shared.now());
+        view.tally.record_load(load.running + load.waiting, traffic.shared.now());
     }
     Ok(Answer { connection, parts, head, body })
 }
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -98,7 +98,7 @@
                 trace.sends += 1;
                 trace.seen.started();
                 let done = traffic.shared.now();
-                view.tally.took(done.saturating_sub(now), done);
+                view.tally.record_latency(done.saturating_sub(now), done);
                 return Ok(answer);
             }
             Ok(failed) => {
@@ -133,7 +133,7 @@
         Failure::Unsent(_) => {
             trace.unsent += 1;
             trace.seen.unsent();
-            view.tally.gauge().fail(traffic.shared.now());
+            view.tally.gauge().record_failure(traffic.shared.now());
             traffic.pool.forget(view.entry.address);
             RefusedKind::NoEngine
         }
@@ -150,7 +150,7 @@
         Failure::Refused { status, .. } => {
             trace.sends += 1;
             trace.seen.refused();
-            view.tally.crowd(traffic.shared.now() + pick::REJECTION_COOLDOWN_MS);
+            view.tally.deprioritize(traffic.shared.now() + pick::REJECTION_COOLDOWN_MS);
             if *status == StatusCode::MISDIRECTED_REQUEST {
                 traffic.shared.tell(Notice::Replaced(view.entry.id.clone()));
             }
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use heathpitch_core::{EntryState, LayerRange, Name};
-use heathpitch_policy::{Backpressure, Tally, mains};
+use heathpitch_policy::{Backpressure, EngineStats, mains};
 
 use super::state::Control;
 use crate::gateway::engine_table::{EngineTable, EngineView};
@@ -59,7 +59,7 @@
             let card = entry.card.as_ref().and_then(|c| model?.card(c.as_str())).cloned();
             let wish = wishes.entry(entry.id.clone()).or_insert_with(|| self.new_wish(entry));
             let tally = tallies.entry(entry.id.clone());
-            let tally = tally.or_insert_with(|| Arc::new(Tally::of(wish.clone()))).clone();
+            let tally = tally.or_insert_with(|| Arc::new(EngineStats::of(wish.clone()))).clone();
             let main = mains.contains(&entry.id);
             let view = EngineView { entry: entry.clone(), card, tally, main };
             services.entry(entry.service.clone()).or_default().push(view);
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -219,7 +219,7 @@
 fn crowd(control: &Control, address: SocketAddr) {
     let now = control.now();
     if let Some(view) = control.shared.table.load().at(address) {
-        view.tally.crowd(now + MOVE_COOLDOWN_MS);
+        view.tally.deprioritize(now + MOVE_COOLDOWN_MS);
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -169,7 +169,7 @@
     }
     control.reports.borrow_mut().insert(engine.clone(), report);
     if let Some(tally) = control.tallies.borrow().get(engine) {
-        tally.report(report.pace, report.at);
+        tally.record_slowdown(report.pace, report.at);
         tally.occupancy().tell(report.held as u64, report.at);
     }
     changed
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -9,8 +9,8 @@
 use heathpitch_core::{EngineEntry, GatewaySettings, Millis, Name, Revision, ServiceSpec};
 use heathpitch_net::{Item, LeaseId};
 use heathpitch_policy::{
-    Backpressure, Followers, Leavers, Limits, Lives, Mirror, Quarantine, Rights, Source, Sources,
-    Tally,
+    Backpressure, EngineStats, Followers, Leavers, Limits, Lives, Mirror, Quarantine, Rights,
+    Source, Sources,
 };
 use tokio::sync::Notify;
 
@@ -112,7 +112,7 @@
     pub(super) quarantined: RefCell<Entries>,
     /// Orders that engines have begun, as far as is known; an engine starts with none.
     pub(super) orders: RefCell<HashMap<Name, u64>>,
-    pub(super) tallies: RefCell<HashMap<Name, Arc<Tally>>>,
+    pub(super) tallies: RefCell<HashMap<Name, Arc<EngineStats>>>,
     /// What engines asked this node for; kept while it binds, also of those off the list for a moment.
     pub(super) wishes: RefCell<HashMap<Name, Arc<Backpressure>>>,
     /// Engines that said in an answer that they leave, to this node or to one that told it.
@@ -276,7 +276,7 @@
     /// Keeps new work from an engine for a while, because of `why`.
     pub(super) fn doubt(&self, engine: &Name, why: &'static str, for_ms: Millis) {
         if let Some(tally) = self.tallies.borrow().get(engine) {
-            tally.gauge().doubt(self.now() + for_ms);
+            tally.gauge().suspect_until(self.now() + for_ms);
         }
         GatewayEvent::EngineDoubted { engine: engine.clone(), why, for_ms }.log();
     }
@@ -284,7 +284,7 @@
     /// Lifts the doubt.
     pub(super) fn trust(&self, engine: &Name) {
         if let Some(tally) = self.tallies.borrow().get(engine) {
-            tally.gauge().trust();
+            tally.gauge().clear_suspicion();
         }
     }
 }
--- a/crates/heathpitchd/src/gateway/engine_table.rs
+++ b/crates/heathpitchd/src/gateway/engine_table.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use heathpitch_core::{Card, EngineEntry, EntryState, LayeredModel, Millis, Name, Path};
-use heathpitch_policy::{Link, Tally};
+use heathpitch_policy::{EngineStats, Link};
 use rand::Rng;
 
 /// Share of an engine's room beyond which it takes no new requests: beside it requests make each other be read anew.
@@ -32,7 +32,7 @@
 pub(crate) struct EngineView {
     pub(crate) entry: Arc<EngineEntry>,
     pub(crate) card: Option<Card>,
-    pub(crate) tally: Arc<Tally>,
+    pub(crate) tally: Arc<EngineStats>,
     /// Whether requests run through it by rule.
     pub(crate) main: bool,
 }
@@ -47,7 +47,7 @@
     pub(crate) fn works(&self, now: Millis) -> bool {
         let leaves =
             self.entry.state == EntryState::Leaving || self.tally.backpressure().is_draining();
-        !leaves && !self.tally.gauge().doubted(now)
+        !leaves && !self.tally.gauge().is_suspect(now)
     }
 }
 
@@ -99,11 +99,11 @@
             let room = model.room(&card, s.entry.layers.count()).max(1.0);
             let held = s.tally.occupancy().held(self.beside, now);
             let share = (held + need) / room;
-            let card = Card { pace: card.pace * s.tally.pace(now), ..card };
+            let card = Card { pace: card.pace * s.tally.slowdown(now), ..card };
             // One that is all but empty takes a request that fits it at all.
             let taken = held > room * (1.0 - ROOM_SHARE) || need > room;
             let full = !kept && taken && share > ROOM_SHARE;
-            let crowded = !kept && s.tally.crowded(now);
+            let crowded = !kept && s.tally.is_deprioritized(now);
             let jitter = rand::rng().random_range(0.0..JITTER);
             let stand_in = if s.main { 0.0 } else { REPLICA_PENALTY };
             let none = if full || crowded { FULL } else { 0.0 };
--- a/crates/heathpitchd/src/traffic.rs
+++ b/crates/heathpitchd/src/traffic.rs
@@ -5,7 +5,7 @@
 
 use heathpitch_core::Name;
 use heathpitch_net::{Body, Client, EngineEdge, json};
-use heathpitch_policy::{Gate, Ledger, Meter, RetryBudget, Ticket};
+use heathpitch_policy::{AdmissionControl, Ledger, Meter, RetryBudget, Ticket};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 use parking_lot::Mutex;
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
     pub(crate) meter: Meter,
-    pub(crate) gates: HashMap<Name, Gate>,
+    pub(crate) gates: HashMap<Name, AdmissionControl>,
     pub(crate) budget: RetryBudget,
 }
 
--- a/crates/policy/src/gate.rs
+++ b/crates/policy/src/admission.rs
@@ -32,25 +32,25 @@
 ///
 /// ```
 /// use heathpitch_core::{Account, Priority};
-/// use heathpitch_policy::{Gate, Shed};
+/// use heathpitch_policy::{AdmissionControl, Shed};
 ///
 /// let desk = Account::new("desk".parse()?);
-/// let mut gate = Gate::new();
-/// (0..6).try_for_each(|_| gate.enter(&desk, Priority::Low, 10))?;
-/// assert_eq!(gate.enter(&desk, Priority::Low, 10), Ok(()));
-/// assert_eq!(gate.enter(&desk, Priority::Low, 10), Err(Shed::Full));
-/// assert_eq!(gate.enter(&desk, Priority::High, 10), Ok(()));
+/// let mut gate = AdmissionControl::new();
+/// (0..6).try_for_each(|_| gate.admit(&desk, Priority::Low, 10))?;
+/// assert_eq!(gate.admit(&desk, Priority::Low, 10), Ok(()));
+/// assert_eq!(gate.admit(&desk, Priority::Low, 10), Err(Shed::Full));
+/// assert_eq!(gate.admit(&desk, Priority::High, 10), Ok(()));
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct AdmissionControl {
     open: u32,
     weights: u64,
     uses: HashMap<Name, Use>,
 }
 
 /// # Entering and leaving
-impl Gate {
+impl AdmissionControl {
     /// A gate with nobody inside.
     pub fn new() -> Self {
         Self::default()
@@ -66,7 +66,7 @@
     /// # Errors
     ///
     /// [`Shed`] with the reason.
-    pub fn enter(&mut self, account: &Account, at: Priority, capacity: u32) -> Result<(), Shed> {
+    pub fn admit(&mut self, account: &Account, at: Priority, capacity: u32) -> Result<(), Shed> {
         let room = f64::from(capacity.max(1));
         let after = f64::from(self.open + 1);
         match self.uses.get(&account.name).copied().unwrap_or_default() {
@@ -82,7 +82,7 @@
     }
 
     /// Counts a request out.
-    pub fn leave(&mut self, account: &Name) {
+    pub fn release(&mut self, account: &Name) {
         check(Violation::OpenCount, self.open > 0);
         self.open = self.open.saturating_sub(1);
         match self.uses.get_mut(account) {
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -63,7 +63,7 @@
 }
 
 /// When a refused caller should come back: `least` or more, spread over as long again.
-pub fn come_back(least: Millis, rng: &mut impl Rng) -> Millis {
+pub fn retry_after(least: Millis, rng: &mut impl Rng) -> Millis {
     let base = least.clamp(BACK_MIN, BACK_MAX);
     base + rng.random_range(0..=base)
 }
--- a/crates/policy/src/tally.rs
+++ b/crates/policy/src/engine_stats.rs
@@ -27,7 +27,7 @@
 ///
 /// Soft state: a stale value costs speed, never a promise.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct EngineStats {
     gauge: Gauge,
     occupancy: Occupancy,
     told: AtomicU32,
@@ -42,7 +42,7 @@
 }
 
 /// # Construction
-impl Tally {
+impl EngineStats {
     /// What is known of an engine that asked for this, and nothing else.
     pub fn of(backpressure: Arc<Backpressure>) -> Self {
         Self { backpressure, ..Self::default() }
@@ -50,7 +50,7 @@
 }
 
 /// # Counting
-impl Tally {
+impl EngineStats {
     /// Counts a request of `tokens` tokens opened at `now`.
     pub fn open(&self, tokens: u64, now: Millis) {
         self.gauge.open();
@@ -64,34 +64,34 @@
     }
 
     /// Takes the load that the engine told at `now`: requests that run or wait there.
-    pub fn tell(&self, load: u32, now: Millis) {
+    pub fn record_load(&self, load: u32, now: Millis) {
         self.told.store(load, Relaxed);
         self.told_at.store(now, Relaxed);
     }
 
     /// Takes an engine's report of `at`: by what factor it is slower than its card.
-    pub fn report(&self, pace: f64, at: Millis) {
+    pub fn record_slowdown(&self, pace: f64, at: Millis) {
         self.pace.store((pace * PARTS) as u64, Relaxed);
         self.reported_at.store(at, Relaxed);
     }
 
     /// Prefers other engines until `until`: this one had no room.
-    pub fn crowd(&self, until: Millis) {
+    pub fn deprioritize(&self, until: Millis) {
         self.crowded.fetch_max(until, Relaxed);
     }
 
     /// Counts a request that waits for its first answer.
-    pub fn wait(&self) {
+    pub fn wait_began(&self) {
         self.waiting.fetch_add(1, Relaxed);
     }
 
     /// Counts a request that waits no longer.
-    pub fn waited(&self) {
+    pub fn wait_ended(&self) {
         self.waiting.fetch_sub(1, Relaxed);
     }
 
     /// Takes the time that a first answer took.
-    pub fn took(&self, ms: Millis, now: Millis) {
+    pub fn record_latency(&self, ms: Millis, now: Millis) {
         self.mean_at.store(now, Relaxed);
         let old = self.mean.load(Relaxed);
         let sample = ms * 1_000;
@@ -101,7 +101,7 @@
 }
 
 /// # Reading
-impl Tally {
+impl EngineStats {
     /// Open requests and doubt.
     pub fn gauge(&self) -> &Gauge {
         &self.gauge
@@ -127,7 +127,7 @@
     }
 
     /// Factor by which the engine is slower than its card, as far as is known at `now`.
-    pub fn pace(&self, now: Millis) -> f64 {
+    pub fn slowdown(&self, now: Millis) -> f64 {
         let at = self.reported_at.load(Relaxed);
         if at == 0 || now.saturating_sub(at) > REPORT_AGE {
             return 1.0;
@@ -137,7 +137,7 @@
     }
 
     /// Whether other engines are preferred at `now`.
-    pub fn crowded(&self, now: Millis) -> bool {
+    pub fn is_deprioritized(&self, now: Millis) -> bool {
         self.crowded.load(Relaxed) > now
     }
 
--- a/crates/policy/src/gauge.rs
+++ b/crates/policy/src/gauge.rs
@@ -34,22 +34,22 @@
     }
 
     /// Keeps new work away until `until`.
-    pub fn doubt(&self, until: Millis) {
+    pub fn suspect_until(&self, until: Millis) {
         self.doubted.fetch_max(until, Relaxed);
     }
 
     /// Takes note of a failure at `now`: new work is kept away for three seconds.
-    pub fn fail(&self, now: Millis) {
-        self.doubt(now + SUSPECT_MS);
+    pub fn record_failure(&self, now: Millis) {
+        self.suspect_until(now + SUSPECT_MS);
     }
 
     /// Lifts the doubt.
-    pub fn trust(&self) {
+    pub fn clear_suspicion(&self) {
         self.doubted.store(0, Relaxed);
     }
 
     /// Whether new work is kept away at `now`.
-    pub fn doubted(&self, now: Millis) -> bool {
+    pub fn is_suspect(&self, now: Millis) -> bool {
         self.doubted.load(Relaxed) > now
     }
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -153,7 +153,7 @@
             },
             HealthEvent::RequestFailed(name) => match self.entries.get(&name) {
                 Some(e) => {
-                    e.gauge.fail(now);
+                    e.gauge.record_failure(now);
                     false
                 }
                 None => false,
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -10,7 +10,7 @@
 
 use heathpitch_core::Millis;
 
-use crate::tally::REPORT_AGE;
+use crate::engine_stats::REPORT_AGE;
 
 /// Span of an entry of the history, milliseconds: a part of the time that a report is late.
 const SPAN: Millis = 100;
--- a/crates/policy/src/returns.rs
+++ b/crates/policy/src/retry_schedule.rs
@@ -25,9 +25,9 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_policy::Returns;
+/// use heathpitch_policy::RetrySchedule;
 ///
-/// let mut returns = Returns::default();
+/// let mut returns = RetrySchedule::default();
 /// (0..200).for_each(|i| returns.admit(i * 50));
 /// let mut rng = rand::rng();
 /// let told: Vec<u64> = (0..5).map(|_| returns.refuse(20_000, 10_000, &mut rng)).collect();
@@ -35,7 +35,7 @@
 /// assert!(told.is_sorted() && told[4] > 2_500);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Returns {
+pub struct RetrySchedule {
     /// When the next caller may come back.
     next: Millis,
     /// Streams let in, each counted less the longer ago.
@@ -44,7 +44,7 @@
 }
 
 /// # Events
-impl Returns {
+impl RetrySchedule {
     /// Counts a stream that is let in at `now`.
     pub fn admit(&mut self, now: Millis) {
         self.fade(now);
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -70,7 +70,7 @@
     let usable = |u: &&Upstream| {
         u.report.version == ask.model.version
             && !ask.avoid.contains(&u.vm.name)
-            && (ask.doubted || !u.gauge.doubted(ask.now))
+            && (ask.doubted || !u.gauge.is_suspect(ask.now))
             && admits(u)
     };
     let mut groups: BTreeMap<LayerRange, Vec<&'a Upstream>> = BTreeMap::new();
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/stall_detector.rs
@@ -12,15 +12,15 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_policy::Pace;
+/// use heathpitch_policy::StallDetector;
 ///
-/// let mut pace = Pace::new(400, 5_000, 0);
+/// let mut pace = StallDetector::new(400, 5_000, 0);
 /// assert_eq!(pace.stalls_at(), 5_000);
 /// (1..=20).for_each(|i| pace.token(i * 30));
 /// assert_eq!(pace.stalls_at(), 20 * 30 + 400);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pace {
+pub struct StallDetector {
     floor: Millis,
     first: Millis,
     soon: Millis,
@@ -30,7 +30,7 @@
     tokens: u64,
 }
 
-impl Pace {
+impl StallDetector {
     /// A stream dispatched at `now` that may take `first` to its first token; later silences
     /// shorter than `floor` never count as a stall.
     pub fn new(floor: Millis, first: Millis, now: Millis) -> Self {
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -8,7 +8,7 @@
 
 use common::name;
 use heathpitch_core::{Account, Priority};
-use heathpitch_policy::{Gate, Meter, Over, RetryBudget, Shed, come_back};
+use heathpitch_policy::{AdmissionControl, Meter, Over, RetryBudget, Shed, retry_after};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -19,21 +19,21 @@
 #[test]
 fn a_large_account_cannot_starve_a_small_one() {
     let (large, small) = (account("large", 1), account("small", 1));
-    let mut gate = Gate::new();
-    gate.enter(&small, Priority::Normal, 100).unwrap();
-    while gate.enter(&large, Priority::Normal, 100).is_ok() {}
-    let free = (0..).take_while(|_| gate.enter(&small, Priority::Normal, 100).is_ok()).count();
+    let mut gate = AdmissionControl::new();
+    gate.admit(&small, Priority::Normal, 100).unwrap();
+    while gate.admit(&large, Priority::Normal, 100).is_ok() {}
+    let free = (0..).take_while(|_| gate.admit(&small, Priority::Normal, 100).is_ok()).count();
     assert!(free >= 30, "the small account got {free} places");
 }
 
 #[test]
 fn shares_follow_weights_under_load() {
     let (heavy, light) = (account("heavy", 3), account("light", 1));
-    let mut gate = Gate::new();
+    let mut gate = AdmissionControl::new();
     let (mut h, mut l) = (0, 0);
     for _ in 0..200 {
-        h += u32::from(gate.enter(&heavy, Priority::High, 80).is_ok());
-        l += u32::from(gate.enter(&light, Priority::High, 80).is_ok());
+        h += u32::from(gate.admit(&heavy, Priority::High, 80).is_ok());
+        l += u32::from(gate.admit(&light, Priority::High, 80).is_ok());
     }
     assert_eq!((h, l), (60, 20));
 }
@@ -41,16 +41,16 @@
 #[test]
 fn lowest_priority_is_shed_first() {
     let desk = account("desk", 1);
-    let mut gate = Gate::new();
+    let mut gate = AdmissionControl::new();
     let mut fill = |at: Priority| {
         let mut n = 0;
-        while gate.enter(&desk, at, 100).is_ok() {
+        while gate.admit(&desk, at, 100).is_ok() {
             n += 1;
         }
         n
     };
     assert_eq!([fill(Priority::Low), fill(Priority::Normal), fill(Priority::High)], [70, 20, 10]);
-    assert_eq!(gate.enter(&desk, Priority::High, 100), Err(Shed::Full));
+    assert_eq!(gate.admit(&desk, Priority::High, 100), Err(Shed::Full));
 }
 
 #[test]
@@ -80,8 +80,8 @@
 #[test]
 fn times_to_come_back_are_spread_and_bounded() {
     let mut rng = SmallRng::seed_from_u64(7);
-    let times: BTreeSet<u64> = (0..1_000).map(|_| come_back(1_000, &mut rng)).collect();
+    let times: BTreeSet<u64> = (0..1_000).map(|_| retry_after(1_000, &mut rng)).collect();
     assert!(times.len() > 500);
     assert!(times.iter().all(|t| (1_000..=2_000).contains(t)));
-    assert!(come_back(10_000_000, &mut rng) <= 60_000);
+    assert!(retry_after(10_000_000, &mut rng) <= 60_000);
 }
--- a/crates/policy/tests/resting_load.rs
+++ b/crates/policy/tests/resting_load.rs
@@ -12,7 +12,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use heathpitch_policy::{Admission, Backpressure, Tally};
+use heathpitch_policy::{Admission, Backpressure, EngineStats};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -92,7 +92,7 @@
     engines: Vec<Engine>,
     wishes: Vec<Vec<Arc<Backpressure>>>,
     until: Vec<Vec<u64>>,
-    tallies: Vec<Vec<Tally>>,
+    tallies: Vec<Vec<EngineStats>>,
     budget: Vec<f64>,
     /// Calls at engines: when their answer comes, the node, the engine.
     open: Vec<(u64, usize, usize, Option<Admission>)>,
@@ -111,7 +111,7 @@
             wishes: (0..load.nodes).map(|_| per_engine()).collect(),
             until: vec![vec![0; load.engines]; load.nodes],
             tallies: (0..load.nodes)
-                .map(|_| (0..load.engines).map(|_| Tally::default()).collect())
+                .map(|_| (0..load.engines).map(|_| EngineStats::default()).collect())
                 .collect(),
             budget: vec![1.0; load.nodes],
             open: Vec::new(),
@@ -177,7 +177,7 @@
             let own = |e: usize| self.open.iter().filter(|o| o.1 == node && o.2 == e).count();
             let home = |e: usize| if e == node % self.load.engines { 0.0 } else { 0.25 };
             let passed = self.way == Way::Passed;
-            let full = |e: usize| match passed && self.tallies[node][e].crowded(now) {
+            let full = |e: usize| match passed && self.tallies[node][e].is_deprioritized(now) {
                 true => self.load.slots as f64,
                 false => 0.0,
             };
@@ -209,7 +209,7 @@
         e.came.entry(node).or_default().push((now, away));
         if away {
             self.found.turned_away += 1;
-            self.tallies[node][engine].crowd(now + PASSED_OVER);
+            self.tallies[node][engine].deprioritize(now + PASSED_OVER);
             self.rest(node, engine, now);
             return false;
         }
--- a/crates/policy/tests/returns.rs
+++ b/crates/policy/tests/retry_schedule.rs
@@ -1,6 +1,6 @@
 //! When refused callers come back: spread over what room there will be, and within their time.
 
-use heathpitch_policy::Returns;
+use heathpitch_policy::RetrySchedule;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -11,13 +11,13 @@
 #[test]
 fn callers_refused_in_a_burst_do_not_come_back_as_one() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut returns = Returns::default();
-    (0..100).for_each(|i| returns.admit(i * 50));
+    let mut schedule = RetrySchedule::default();
+    (0..100).for_each(|i| schedule.admit(i * 50));
     let mut back = Vec::new();
     for now in (5_000..8_000).step_by(50) {
         match now % 340 < 240 {
-            true => returns.admit(now),
-            false => back.push(now + returns.refuse(LEFT, now, &mut rng)),
+            true => schedule.admit(now),
+            false => back.push(now + schedule.refuse(LEFT, now, &mut rng)),
         }
     }
     back.sort_unstable();
@@ -31,16 +31,16 @@
 #[test]
 fn a_caller_is_told_no_more_than_it_waits_for() {
     let mut rng = StdRng::seed_from_u64(2);
-    let mut returns = Returns::default();
-    let told: Vec<u64> = (0..500).map(|i| returns.refuse(LEFT, i, &mut rng)).collect();
+    let mut schedule = RetrySchedule::default();
+    let told: Vec<u64> = (0..500).map(|i| schedule.refuse(LEFT, i, &mut rng)).collect();
     assert!(told.iter().all(|t| (2_000..=LEFT * 3 / 10).contains(t)), "{told:?}");
-    let short = returns.refuse(3_000, 600, &mut rng);
+    let short = schedule.refuse(3_000, 600, &mut rng);
     assert!(short <= 900, "{short} of 3000 ms left");
 }
 
 #[test]
 fn a_single_refusal_is_put_off_no_longer_than_needed() {
-    let mut returns = Returns::default();
-    let told = returns.refuse(LEFT, 90_000, &mut StdRng::seed_from_u64(3));
+    let mut schedule = RetrySchedule::default();
+    let told = schedule.refuse(LEFT, 90_000, &mut StdRng::seed_from_u64(3));
     assert_eq!(told, 2_000);
 }
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -78,10 +78,10 @@
     let mut other = report("other", 0, 4);
     other.version = name("v2");
     let doubted = upstream(report("doubted", 0, 4));
-    doubted.gauge.doubt(5_000);
+    doubted.gauge.suspect_until(5_000);
     let all = [upstream(other), doubted];
     assert_eq!(path(&all, 4, &[]), Err(NoPath::NoEngine));
-    all[1].gauge.trust();
+    all[1].gauge.clear_suspicion();
     assert_eq!(engines(&path(&all, 4, &[]).unwrap()), ["doubted"]);
 }
 
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -14,9 +14,9 @@
     Strategy, Vm, VmRole, VmState, digest,
 };
 use heathpitch_policy::{
-    Ask, ClaimEntry, ClaimPage, Demand, EngineReport, EngineRole, Gate, Gauge, Health, HealthEvent,
-    Holding, Ledger, Member, MemberState, Members, Meter, Placeable, PrefixIndex, Record, Upstream,
-    Wanted, choose, plan,
+    AdmissionControl, Ask, ClaimEntry, ClaimPage, Demand, EngineReport, EngineRole, Gauge, Health,
+    HealthEvent, Holding, Ledger, Member, MemberState, Members, Meter, Placeable, PrefixIndex,
+    Record, Upstream, Wanted, choose, plan,
 };
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -273,9 +273,9 @@
             })
             .collect();
         let make = || {
-            let (mut meter, mut gate) = (Meter::new(), Gate::new());
+            let (mut meter, mut gate) = (Meter::new(), AdmissionControl::new());
             for a in &all {
-                let _ = (meter.open(a, 1.0, 0), gate.enter(a, Default::default(), 1 << 20));
+                let _ = (meter.open(a, 1.0, 0), gate.admit(a, Default::default(), 1 << 20));
             }
             (meter, gate)
         };
@@ -283,9 +283,9 @@
         let mut i = 0;
         let ns = time(2_000, || {
             i = (i + 1) % all.len();
-            let _ = (meter.open(&all[i], 1.0, 1), gate.enter(&all[i], Default::default(), 1 << 20));
+            let _ = (meter.open(&all[i], 1.0, 1), gate.admit(&all[i], Default::default(), 1 << 20));
             meter.close(&all[i].name);
-            gate.leave(&all[i].name);
+            gate.release(&all[i].name);
         });
         row("limit and gate, accounts", accounts, ns, memory(10, make));
     }
