--- a/crates/heathpitchd/src/filters/run/attempt.rs
+++ b/crates/heathpitchd/src/filters/run/attempt.rs
@@ -60,7 +60,7 @@
         let prefixes = shared.prefixes.load();
         let engines = fleet.holding(&self.matched.model.name);
         let admits = |u: &Upstream| self.matched.index.admits(&self.matched.route, u.labels());
-        let mut ask = heathpitch_policy::Ask {
+        let mut ask = heathpitch_policy::PathRequest {
             model: &self.matched.model,
             domain: &shared.settings.domain,
             tokens: self.prompt + self.relay.sent().len() as u32,
--- a/crates/heathpitchd/src/gateway/call/pick.rs
+++ b/crates/heathpitchd/src/gateway/call/pick.rs
@@ -120,7 +120,7 @@
 pub(crate) fn rest(table: &EngineTable, call: &Call, home: &Name, now: Millis) -> Option<Millis> {
     let left = |s: &EngineView| {
         let wish = s.tally.backpressure();
-        wish.pause_left(now).max(wish.limit().wait(now)).unwrap_or(TAKING_UP)
+        wish.pause_left(now).max(wish.limit().wait_left(now)).unwrap_or(TAKING_UP)
     };
     if call.service.model.is_none() {
         let working = || table.of(&call.service.name).iter().filter(|s| s.works(now));
--- a/crates/heathpitchd/src/gateway/call/rights.rs
+++ b/crates/heathpitchd/src/gateway/call/rights.rs
@@ -106,7 +106,7 @@
     if let Some(right) = EngineLimit::take(wish, now) {
         return Ok(Some(right));
     }
-    if let Some(back) = limit.wait(now) {
+    if let Some(back) = limit.wait_left(now) {
         return Err(none(back));
     }
     let granted = ask(traffic, view, limit.wanted(now)).await;
@@ -116,15 +116,15 @@
             EngineLimit::receive(wish, count, sent, now).map(Some).ok_or_else(|| none(0))
         }
         Granted::Wait(back) => {
-            limit.hold(now + back);
+            limit.pause_until(now + back);
             Err(none(back))
         }
         Granted::Nobody => {
             let nodes = shared.table.load().nodes;
-            match limit.draw(nodes, rand::rng().random_range(0.0..1.0), now) {
-                true => Ok(Some(Right::drawn(wish, now))),
+            match limit.self_issue(nodes, rand::rng().random_range(0.0..1.0), now) {
+                true => Ok(Some(Right::self_issued(wish, now))),
                 false => {
-                    let back = limit.wait(now).unwrap_or(0);
+                    let back = limit.wait_left(now).unwrap_or(0);
                     Err(NoRight { handed: false, ..none(back) })
                 }
             }
@@ -147,7 +147,7 @@
 /// The engine that names the limit for which callers have to come back, and what it says; none if none does.
 pub(crate) fn limited(table: &EngineTable, service: &Name, now: Millis) -> Option<NoRight> {
     let views = table.of(service).iter().filter(|s| s.works(now));
-    let waits = views.filter_map(|s| Some((s.tally.backpressure().limit().wait(now)?, s)));
+    let waits = views.filter_map(|s| Some((s.tally.backpressure().limit().wait_left(now)?, s)));
     let (back, view) = waits.min_by_key(|(back, _)| *back)?;
     let rate = view.tally.backpressure().limit().rate()?;
     Some(NoRight::of(view, rate, table.nodes, back, now))
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -55,10 +55,10 @@
     let own = |life: &EngineLife| entries.get(&life.engine).is_some_and(|e| e.domain == domain);
     let (limits, wishes) = (control.limits.borrow(), control.wishes.borrow());
     let aside =
-        |life: &EngineLife| wishes.get(&life.engine).is_some_and(|w| w.limit().is_named_aside());
+        |life: &EngineLife| wishes.get(&life.engine).is_some_and(|w| w.limit().is_in_probes());
     let named = limits.named().filter(|(life, _)| own(life));
     LimitRecord::of(named.map(|(life, rate)| {
-        let limit = LimitEntry { rate, aside: aside(&life) };
+        let limit = LimitEntry { rate, in_probes: aside(&life) };
         (life, limit)
     }))
 }
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -170,7 +170,7 @@
     control.reports.borrow_mut().insert(engine.clone(), report);
     if let Some(tally) = control.tallies.borrow().get(engine) {
         tally.record_slowdown(report.pace, report.at);
-        tally.occupancy().tell(report.held as u64, report.at);
+        tally.occupancy().report(report.held as u64, report.at);
     }
     changed
 }
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -12,7 +12,7 @@
 
 use heathpitch_core::{EngineEntry, Millis, Name, Rate};
 use heathpitch_net::{EdgeError, FeedClient, FeedLimit, RightAsk, RightTold};
-use heathpitch_policy::{EngineLife, EngineLimit, LimitEntry, LimitTold, Right, Source};
+use heathpitch_policy::{EngineLife, EngineLimit, LimitEntry, LimitUpdate, Right, Source};
 use rand::Rng;
 use tokio::task::spawn_local;
 
@@ -79,7 +79,7 @@
     /// Limits that others have not heard of who know them up to `serial`; and up to where they do then.
     pub(super) fn limits_since(&self, serial: u64) -> (Vec<FeedLimit>, u64) {
         let (new, upto) = self.limits.borrow().since(serial, TOLD_MOST, self.now());
-        let told = |LimitTold { life, rate, age }| FeedLimit {
+        let told = |LimitUpdate { life, rate, age }| FeedLimit {
             engine: life.engine,
             born: life.born,
             rate,
@@ -105,10 +105,10 @@
     pub(super) fn restore_limit(&self, life: &EngineLife, limit: LimitEntry) {
         let now = self.now();
         let new = self.limits.borrow_mut().restore(life.clone(), limit, now);
-        if limit.aside
+        if limit.in_probes
             && let Some(wish) = self.wishes.borrow().get(&life.engine)
         {
-            wish.limit().name_aside();
+            wish.limit().set_in_probes();
         }
         if !new {
             return;
@@ -124,7 +124,7 @@
     fn pass_limit(&self, life: &EngineLife, rate: Option<Rate>, at: Millis) {
         let entry = self.entries.borrow().get(&life.engine).cloned();
         if let Some(entry) = entry.filter(|e| e.born == life.born) {
-            self.wish_of(&entry).limit().told(rate, at);
+            self.wish_of(&entry).limit().learn(rate, at);
         }
     }
 }
@@ -160,7 +160,7 @@
         };
         let draw = rand::rng().random_range(0.0..1.0);
         let mut rights = self.rights.borrow_mut();
-        let grant = rights.hand_out(&life, rate, &ask.node, ask.wanted, draw, now);
+        let grant = rights.issue(&life, rate, &ask.node, ask.wanted, draw, now);
         RightTold { active: true, given: grant.given, wait_ms: grant.wait }
     }
 }
@@ -173,7 +173,7 @@
         // One that waits no longer finds what was handed out the next time.
         if let Err(Granted::Given(count, sent)) = wanted.reply.send(granted) {
             let now = control.now();
-            control.wish_of(&wanted.engine).limit().put(count, sent, now);
+            control.wish_of(&wanted.engine).limit().add_rights(count, sent, now);
         }
     });
 }
--- a/crates/heathpitchd/src/gateway/control/wishes.rs
+++ b/crates/heathpitchd/src/gateway/control/wishes.rs
@@ -38,11 +38,11 @@
         let wish = self.wish_of(engine);
         let limit = match asked.limit {
             // Until one did, nothing says that answers to questions name it as those to calls do.
-            LimitWord::Unlimited if !wish.limit().is_named_aside() => LimitWord::Unknown,
+            LimitWord::Unlimited if !wish.limit().is_in_probes() => LimitWord::Unknown,
             word => word,
         };
         if matches!(limit, LimitWord::Named(_)) {
-            wish.limit().name_aside();
+            wish.limit().set_in_probes();
         }
         let asked = EngineWish { limit, ..asked };
         let heard = Said { engine, of, status, sent };
@@ -63,10 +63,10 @@
         let wish = Backpressure::default();
         let (life, limits) = (life(engine), self.limits.borrow());
         if let Some((rate, at)) = limits.of(&life) {
-            wish.limit().told(Some(rate), at);
+            wish.limit().learn(Some(rate), at);
         }
-        if limits.is_named_aside(&life) {
-            wish.limit().name_aside();
+        if limits.is_in_probes(&life) {
+            wish.limit().set_in_probes();
         }
         Arc::new(wish)
     }
--- a/crates/heathpitchd/src/gateway/wishes.rs
+++ b/crates/heathpitchd/src/gateway/wishes.rs
@@ -33,10 +33,10 @@
         let now = self.now();
         let limited = match asked.limit {
             LimitWord::Unknown => false,
-            LimitWord::Unlimited => wish.limit().omit(sent, now),
+            LimitWord::Unlimited => wish.limit().observe_none(sent, now),
             LimitWord::Named(rate) => {
                 self.metrics.wishes.with_label_values(&["limit"]).inc();
-                wish.limit().name(rate, sent, now)
+                wish.limit().observe(rate, sent, now)
             }
         };
         if let Some(time) = asked.rest {
--- a/crates/policy/src/backpressure.rs
+++ b/crates/policy/src/backpressure.rs
@@ -113,7 +113,7 @@
 
     /// Whether a request may go there at `now`, if it has a right or is handed out one.
     pub fn admits(&self, now: Millis) -> bool {
-        !self.is_draining() && self.has_capacity(now) && self.limit.wait(now).is_none()
+        !self.is_draining() && self.has_capacity(now) && self.limit.wait_left(now).is_none()
     }
 
     /// Whether it bears one request more: it does not rest, nor has as many as it takes since.
--- a/crates/policy/src/engine_limit.rs
+++ b/crates/policy/src/engine_limit.rs
@@ -45,10 +45,10 @@
 /// use heathpitch_policy::EngineLimit;
 ///
 /// let limit = EngineLimit::default();
-/// assert!(limit.name(Rate::from_thousandths(3_600), 100, 130));
-/// assert!(!limit.omit(90, 140), "sent before it was named");
-/// assert!(!limit.omit(200, 230) && !limit.omit(300, 330));
-/// assert!(limit.omit(610, 640));
+/// assert!(limit.observe(Rate::from_thousandths(3_600), 100, 130));
+/// assert!(!limit.observe_none(90, 140), "sent before it was named");
+/// assert!(!limit.observe_none(200, 230) && !limit.observe_none(300, 330));
+/// assert!(limit.observe_none(610, 640));
 /// assert_eq!(limit.rate(), None);
 /// ```
 #[derive(Debug, Default)]
@@ -62,7 +62,7 @@
     /// Whether the last answer to this node named none although there is one.
     omitted: AtomicBool,
     /// Whether answers to nodes' own questions name it, as those to calls do.
-    aside: AtomicBool,
+    in_probes: AtomicBool,
     /// Rights of this node, and until when they may be used.
     stock: AtomicU64,
     /// Until when this node asks for none.
@@ -77,7 +77,7 @@
 impl EngineLimit {
     /// Takes an answer that came at `now`, to a request sent at `sent`, and names a limit; gives whether that
     /// changes it.
-    pub fn name(&self, rate: Rate, sent: Millis, now: Millis) -> bool {
+    pub fn observe(&self, rate: Rate, sent: Millis, now: Millis) -> bool {
         self.named.fetch_max(now, Relaxed);
         self.omitted.store(false, Relaxed);
         match self.rate() {
@@ -88,7 +88,7 @@
     }
 
     /// Takes an answer that names none; gives whether that ends a limit.
-    pub fn omit(&self, sent: Millis, now: Millis) -> bool {
+    pub fn observe_none(&self, sent: Millis, now: Millis) -> bool {
         if self.rate().is_none() || sent < self.named.load(Relaxed) {
             return false;
         }
@@ -97,19 +97,19 @@
     }
 
     /// Takes note that an answer to a question of this node's own names a limit.
-    pub fn name_aside(&self) {
-        self.aside.store(true, Relaxed);
+    pub fn set_in_probes(&self) {
+        self.in_probes.store(true, Relaxed);
     }
 
     /// Whether an answer to such a question that names none says that there is none: an engine behind the first of
     /// all paths answers no calls.
-    pub fn is_named_aside(&self) -> bool {
-        self.aside.load(Relaxed)
+    pub fn is_in_probes(&self) -> bool {
+        self.in_probes.load(Relaxed)
     }
 
     /// Takes what another node was told at `at`; gives whether that changes it. An end that may be older than the
     /// last answer to this node is none.
-    pub fn told(&self, rate: Option<Rate>, at: Millis) -> bool {
+    pub fn learn(&self, rate: Option<Rate>, at: Millis) -> bool {
         let newer = at > self.changed.load(Relaxed);
         let heard = rate.is_some() || at > self.named.load(Relaxed);
         newer && heard && rate != self.rate() && self.set(rate, at)
@@ -144,12 +144,12 @@
         sent: Millis,
         now: Millis,
     ) -> Option<Right> {
-        wish.limit().put(count, sent, now);
+        wish.limit().add_rights(count, sent, now);
         Self::take(wish, now)
     }
 
     /// Takes `count` rights that were handed out to a question sent at `sent`.
-    pub fn put(&self, count: u16, sent: Millis, now: Millis) {
+    pub fn add_rights(&self, count: u16, sent: Millis, now: Millis) {
         let end = sent + RIGHT_LIFE;
         let add = |stock: u64| {
             // The earlier end holds for all, so that none is used too late.
@@ -175,15 +175,15 @@
     }
 
     /// Asks for no right until `until`.
-    pub fn hold(&self, until: Millis) {
+    pub fn pause_until(&self, until: Millis) {
         self.held.store(until, Relaxed);
     }
 
     /// Takes note that nobody hands out rights at `now` in a fleet of `nodes`; gives whether this node has
     /// drawn one, which it does not while it does not know how many there are. `draw`, from 0 to 1, draws the next.
-    pub fn draw(&self, nodes: Option<u32>, draw: f64, now: Millis) -> bool {
+    pub fn self_issue(&self, nodes: Option<u32>, draw: f64, now: Millis) -> bool {
         let Some(rate) = self.rate() else { return true };
-        self.hold(now + SEEK_AGAIN);
+        self.pause_until(now + SEEK_AGAIN);
         let Some(nodes) = nodes else { return false };
         let due = self.drawn.load(Relaxed);
         let over = due == 0 || now >= due + DRAWN_LIFE;
@@ -248,7 +248,7 @@
     }
 
     /// Time until this node may have a right; none if it may now, or needs none.
-    pub fn wait(&self, now: Millis) -> Option<Millis> {
+    pub fn wait_left(&self, now: Millis) -> Option<Millis> {
         let stock = self.stock.load(Relaxed);
         let has = stock & COUNT_MASK > 0 && until(stock) > now;
         let left = self.held.load(Relaxed).saturating_sub(now);
@@ -266,7 +266,7 @@
 
 impl Right {
     /// One that this node has drawn for itself at `now`.
-    pub fn drawn(wish: &Arc<Backpressure>, now: Millis) -> Self {
+    pub fn self_issued(wish: &Arc<Backpressure>, now: Millis) -> Self {
         Self { wish: wish.clone(), until: now + RIGHT_LIFE, used: false }
     }
 
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -19,8 +19,8 @@
 const RECORD_MAX_ENGINES: usize = 2_048;
 
 /// Words by which a record says whether answers to nodes' own questions name a limit.
-const ASIDE: &str = "questions";
-const NOT_ASIDE: &str = "calls";
+const IN_PROBES: &str = "questions";
+const NOT_IN_PROBES: &str = "calls";
 
 /// What a record says of one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     pub rate: Rate,
     /// Whether answers to nodes' own questions name it, as those to calls do. Of an engine that answers no calls only these
     /// end it, and a node that begins has not seen one.
-    pub aside: bool,
+    pub in_probes: bool,
 }
 
 /// Limits of the engines of one failure domain, as a record of the store holds them.
@@ -41,7 +41,7 @@
 /// use heathpitch_policy::{EngineLife, LimitEntry, LimitRecord};
 ///
 /// let life = EngineLife { engine: "i-1".parse()?, born: Some(17) };
-/// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), aside: false };
+/// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
 /// let record = LimitRecord::of([(life, limit)]);
 /// assert_eq!(record.text(), "i-1 17 3.6 calls\n");
 /// let (read, unread) = LimitRecord::read("i-1 17 3.6 calls\ni-2 nonsense\n");
@@ -71,8 +71,8 @@
     /// which answers name that.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        for (life, LimitEntry { rate, aside }) in &self.limits {
-            let by = if *aside { ASIDE } else { NOT_ASIDE };
+        for (life, LimitEntry { rate, in_probes }) in &self.limits {
+            let by = if *in_probes { IN_PROBES } else { NOT_IN_PROBES };
             // Writing to a string cannot fail.
             let _ = writeln!(text, "{} {} {rate} {by}", life.engine, life.born.unwrap_or(0));
         }
@@ -98,13 +98,13 @@
     let engine = words.next()?.parse().ok()?;
     let born = words.next()?.parse().ok()?;
     let rate = Rate::per_second(words.next()?.parse().ok()?)?;
-    let aside = match words.next()? {
-        ASIDE => true,
-        NOT_ASIDE => false,
+    let in_probes = match words.next()? {
+        IN_PROBES => true,
+        NOT_IN_PROBES => false,
         _ => return None,
     };
     let born = Some(born).filter(|b| *b > 0);
-    Some((EngineLife { engine, born }, LimitEntry { rate, aside }))
+    Some((EngineLife { engine, born }, LimitEntry { rate, in_probes }))
 }
 
 /// Decides when the planner of a failure domain writes its record.
@@ -116,7 +116,7 @@
 /// use heathpitch_policy::{EngineLife, LimitEntry, LimitRecord, LimitRecorder};
 ///
 /// let life = EngineLife { engine: "i-1".parse()?, born: None };
-/// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), aside: false };
+/// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
 /// let named = LimitRecord::of([(life, limit)]);
 /// let mut recorder = LimitRecorder::default();
 /// assert!(!recorder.is_due(&LimitRecord::default(), 0), "nothing to say");
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -24,7 +24,7 @@
 
 /// A word on an engine's limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LimitTold {
+pub struct LimitUpdate {
     /// The engine.
     pub life: EngineLife,
     /// Its limit; none if that is over.
@@ -56,7 +56,7 @@
     serial: u64,
     known: HashMap<EngineLife, Known>,
     /// Engines whose answers to nodes' own questions name a limit, as a record of the store says.
-    aside: HashSet<EngineLife>,
+    in_probes: HashSet<EngineLife>,
 }
 
 impl Limits {
@@ -77,16 +77,16 @@
     ///
     /// How old the record is is not known: it counts as no younger than any word that nodes still tell.
     pub fn restore(&mut self, life: EngineLife, limit: LimitEntry, now: Millis) -> bool {
-        if limit.aside {
-            self.aside.insert(life.clone());
+        if limit.in_probes {
+            self.in_probes.insert(life.clone());
         }
         let unknown = !self.known.contains_key(&life);
         unknown && self.learn(life, Some(limit.rate), now.saturating_sub(END_TOLD).max(1))
     }
 
     /// Whether answers to nodes' own questions name the limit of an engine, as a record of the store says.
-    pub fn is_named_aside(&self, life: &EngineLife) -> bool {
-        self.aside.contains(life)
+    pub fn is_in_probes(&self, life: &EngineLife) -> bool {
+        self.in_probes.contains(life)
     }
 
     /// The limit of an engine and since when it is known, if it names one.
@@ -102,13 +102,13 @@
     /// Forgets engines that are not to be kept, and ends of limits that all nodes have heard of.
     pub fn retain(&mut self, keep: impl Fn(&EngineLife) -> bool, now: Millis) {
         self.known.retain(|life, k| keep(life) && (k.rate.is_some() || now < k.at + END_TOLD));
-        self.aside.retain(|life| self.known.contains_key(life));
+        self.in_probes.retain(|life| self.known.contains_key(life));
     }
 
     /// At most so many words that came after the one with this serial; and the serial up to which all is known then.
-    pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<LimitTold>, u64) {
+    pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<LimitUpdate>, u64) {
         let (new, upto) = news::since(&self.known, |k| k.serial, serial, most, self.serial);
-        let told = |(life, k): (&EngineLife, &Known)| LimitTold {
+        let told = |(life, k): (&EngineLife, &Known)| LimitUpdate {
             life: life.clone(),
             rate: k.rate,
             age: now.saturating_sub(k.at),
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -30,7 +30,7 @@
 /// let engine = Occupancy::default();
 /// engine.add(1_000, 0);
 /// assert_eq!(engine.held(2, 100), 2_000.0);
-/// engine.tell(50_000, 500);
+/// engine.report(50_000, 500);
 /// engine.add(1_000, 700);
 /// assert_eq!(engine.held(2, 800), 52_000.0);
 /// ```
@@ -71,7 +71,7 @@
     }
 
     /// Takes the engine's word for what it held at `at`.
-    pub fn tell(&self, tokens: u64, at: Millis) {
+    pub fn report(&self, tokens: u64, at: Millis) {
         self.told.store(tokens, Relaxed);
         self.told_own.store(self.own_at(at), Relaxed);
         self.told_at.store(at.max(1), Relaxed);
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -8,7 +8,7 @@
 
 use heathpitch_core::{LayerRange, Model, Name};
 
-use crate::{Capable, split};
+use crate::{EngineCapacity, split};
 
 /// How many times better off a model must be to give an engine to another.
 const PLENTY: f64 = 3.0;
@@ -126,7 +126,7 @@
     fn close(&mut self, w: &Wanted, gap: LayerRange) {
         let mut usable: Vec<usize> = self.idle().collect();
         loop {
-            let capable: Vec<Capable> =
+            let capable: Vec<EngineCapacity> =
                 usable.iter().map(|i| capable(&self.engines[*i], w)).collect();
             if let Some(split) = split(&capable, gap.count()) {
                 let mut at = gap.first;
@@ -293,10 +293,10 @@
     gaps
 }
 
-fn capable(engine: &Placeable, w: &Wanted) -> Capable {
+fn capable(engine: &Placeable, w: &Wanted) -> EngineCapacity {
     let admitted = w.allowed.as_ref().is_none_or(|a| a.contains(&engine.engine));
     let room = engine.memory / u64::from(w.model.layer_mb.max(1));
-    Capable {
+    EngineCapacity {
         engine: engine.engine.clone(),
         room: if admitted { room.min(u32::MAX.into()) as u32 } else { 0 },
         layer: engine.layer,
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -70,9 +70,9 @@
 /// let limit = Rate::from_thousandths(4_000);
 /// let (a, b) = ("n1".parse()?, "n2".parse()?);
 /// let mut rights = Rights::default();
-/// assert_eq!(rights.hand_out(&life, limit, &a, 1, 0.0, 0).given, 0, "next to none in hand at first");
-/// assert_eq!(rights.hand_out(&life, limit, &a, 1, 0.0, 250).given, 1);
-/// let none = rights.hand_out(&life, limit, &b, 1, 0.0, 260);
+/// assert_eq!(rights.issue(&life, limit, &a, 1, 0.0, 0).given, 0, "next to none in hand at first");
+/// assert_eq!(rights.issue(&life, limit, &a, 1, 0.0, 250).given, 1);
+/// let none = rights.issue(&life, limit, &b, 1, 0.0, 260);
 /// assert_eq!((none.given, none.wait), (0, 140));
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
@@ -83,7 +83,7 @@
 
 impl Rights {
     /// Hands out up to `wanted` rights for an engine to a node; `draw`, from 0 to 1, spreads the time told to it.
-    pub fn hand_out(
+    pub fn issue(
         &mut self,
         engine: &EngineLife,
         limit: Rate,
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -20,7 +20,7 @@
 
 /// A request as the choice sees it.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct PathRequest<'a> {
     /// Model to run.
     pub model: &'a Model,
     /// Failure domain of the node.
@@ -64,7 +64,7 @@
 pub fn choose<'a>(
     engines: &'a [Upstream],
     admits: impl Fn(&Upstream) -> bool,
-    ask: &Ask<'_>,
+    ask: &PathRequest<'_>,
     rng: &mut impl Rng,
 ) -> Result<(Path, f64), NoPath> {
     let usable = |u: &&Upstream| {
@@ -85,7 +85,7 @@
     join(&picks, ask.model).ok_or(NoPath::Incomplete)
 }
 
-fn pick<'a>(group: &[&'a Upstream], ask: &Ask<'_>, rng: &mut impl Rng) -> Pick<'a> {
+fn pick<'a>(group: &[&'a Upstream], ask: &PathRequest<'_>, rng: &mut impl Rng) -> Pick<'a> {
     let with_cost = |u: &'a Upstream| (u, cost(u, ask));
     let least = |a: Pick<'a>, b: Pick<'a>| if b.1 < a.1 { b } else { a };
     let any = rng.random_range(0..group.len());
@@ -111,7 +111,12 @@
 /// The engine that the prefix is assigned to or that holds most of it, unless `any` is better.
 ///
 /// The assignment is by rendezvous hashing: every node comes to the same one without a message.
-fn loyal<'a>(group: &[&'a Upstream], prefix: u64, ask: &Ask<'_>, any: Pick<'a>) -> Pick<'a> {
+fn loyal<'a>(
+    group: &[&'a Upstream],
+    prefix: u64,
+    ask: &PathRequest<'_>,
+    any: Pick<'a>,
+) -> Pick<'a> {
     let rank = |u: &&&Upstream| mix(prefix, text(&u.vm.name, 5));
     let hit = |u: &&&Upstream| ask.prefixes.hit(u.vm.name.as_str(), ask.chain);
     let assigned = group.iter().max_by_key(rank).copied();
@@ -128,17 +133,17 @@
 
 /// Blocks that the engine a prefix is assigned to may be taken to hold: it was sent all prompts
 /// with that prefix, whatever is known of its cache so far.
-fn assumed(u: &Upstream, ask: &Ask<'_>) -> usize {
+fn assumed(u: &Upstream, ask: &PathRequest<'_>) -> usize {
     let known = ask.prefixes.hit(u.vm.name.as_str(), ask.chain);
     known.max((ask.chain.len() as f64 * ASSUMED) as usize)
 }
 
 /// Predicted cost of an engine, its known prefix hit taken off.
-fn cost(u: &Upstream, ask: &Ask<'_>) -> f64 {
+fn cost(u: &Upstream, ask: &PathRequest<'_>) -> f64 {
     cost_with(u, ask, ask.prefixes.hit(u.vm.name.as_str(), ask.chain))
 }
 
-fn cost_with(u: &Upstream, ask: &Ask<'_>, blocks: usize) -> f64 {
+fn cost_with(u: &Upstream, ask: &PathRequest<'_>, blocks: usize) -> f64 {
     let tokens = ask.tokens.saturating_sub((blocks * BLOCK) as u32);
     predict(u, &Need { tokens, domain: ask.domain, now: ask.now })
 }
--- a/crates/policy/src/split.rs
+++ b/crates/policy/src/split.rs
@@ -7,7 +7,7 @@
 
 /// What an engine can do for a split.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Capable {
+pub struct EngineCapacity {
     /// Engine.
     pub engine: Name,
     /// Layers its memory takes.
@@ -37,10 +37,10 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_policy::{Capable, split};
+/// use heathpitch_policy::{EngineCapacity, split};
 ///
-/// let engine = |name: &str, room, layer| -> Result<Capable, heathpitch_core::NameError> {
-///     Ok(Capable { engine: name.parse()?, room, layer, link: 0 })
+/// let engine = |name: &str, room, layer| -> Result<EngineCapacity, heathpitch_core::NameError> {
+///     Ok(EngineCapacity { engine: name.parse()?, room, layer, link: 0 })
 /// };
 /// let both = [engine("quick", 20, 100)?, engine("slow", 20, 300)?];
 /// let split = split(&both, 24).expect("both together hold 24 layers");
@@ -48,7 +48,7 @@
 /// assert_eq!(split.slowest, 1_800);
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
-pub fn split(engines: &[Capable], layers: u32) -> Option<Split> {
+pub fn split(engines: &[EngineCapacity], layers: u32) -> Option<Split> {
     if layers == 0 {
         return None;
     }
@@ -59,26 +59,26 @@
 }
 
 /// The best of all choices of `count` engines.
-fn best_subset(engines: &[Capable], layers: u32, count: usize) -> Option<Split> {
+fn best_subset(engines: &[EngineCapacity], layers: u32, count: usize) -> Option<Split> {
     let masks = (1_u32..1 << engines.len()).filter(|m| m.count_ones() as usize == count);
-    let chosen = |mask: u32| -> Vec<&Capable> {
+    let chosen = |mask: u32| -> Vec<&EngineCapacity> {
         engines.iter().enumerate().filter(|(i, _)| mask >> i & 1 == 1).map(|(_, e)| e).collect()
     };
     masks.filter_map(|m| fill(&chosen(m), layers)).min_by_key(|s| s.slowest)
 }
 
 /// The better of the `count` fastest and the `count` roomiest engines.
-fn likely_subset(engines: &[Capable], layers: u32, count: usize) -> Option<Split> {
-    let mut fastest: Vec<&Capable> = engines.iter().collect();
+fn likely_subset(engines: &[EngineCapacity], layers: u32, count: usize) -> Option<Split> {
+    let mut fastest: Vec<&EngineCapacity> = engines.iter().collect();
     fastest.sort_by_key(|e| (e.layer, e.link));
-    let mut roomiest: Vec<&Capable> = engines.iter().collect();
+    let mut roomiest: Vec<&EngineCapacity> = engines.iter().collect();
     roomiest.sort_by_key(|e| (std::cmp::Reverse(e.room), e.layer));
     let tried = [&fastest[..count], &roomiest[..count]];
     tried.into_iter().filter_map(|c| fill(c, layers)).min_by_key(|s| s.slowest)
 }
 
 /// Gives each engine as many layers as it runs in the least time that places them all.
-fn fill(engines: &[&Capable], layers: u32) -> Option<Split> {
+fn fill(engines: &[&EngineCapacity], layers: u32) -> Option<Split> {
     let total: u64 = engines.iter().map(|e| u64::from(e.room)).sum();
     if total < u64::from(layers) || engines.len() > layers as usize {
         return None;
@@ -109,12 +109,12 @@
 }
 
 /// Layers an engine runs within `time`.
-fn takes(engine: &Capable, time: u64) -> u32 {
+fn takes(engine: &EngineCapacity, time: u64) -> u32 {
     let layers = time.saturating_sub(engine.link) / engine.layer.max(1);
     layers.min(engine.room.into()) as u32
 }
 
-fn longest(engines: &[&Capable]) -> u64 {
-    let time = |e: &&Capable| u64::from(e.room) * e.layer.max(1) + e.link;
+fn longest(engines: &[&EngineCapacity]) -> u64 {
+    let time = |e: &&EngineCapacity| u64::from(e.room) * e.layer.max(1) + e.link;
     engines.iter().map(time).max().unwrap_or(0)
 }
--- a/crates/policy/tests/engine_limit.rs
+++ b/crates/policy/tests/engine_limit.rs
@@ -19,7 +19,7 @@
 
 fn limited(requests: f64) -> Arc<Backpressure> {
     let wish = Arc::<Backpressure>::default();
-    wish.limit().name(rate(requests), 0, 1);
+    wish.limit().observe(rate(requests), 0, 1);
     wish
 }
 
@@ -27,9 +27,9 @@
 fn a_lower_limit_holds_at_once_and_a_higher_one_by_an_answer_to_a_later_request() {
     let wish = limited(3.0);
     let limit = wish.limit();
-    assert!(limit.name(rate(2.0), 0, 100), "to a request that was under way");
-    assert!(!limit.name(rate(5.0), 90, 150), "it may have been given before");
-    assert!(limit.name(rate(5.0), 110, 200));
+    assert!(limit.observe(rate(2.0), 0, 100), "to a request that was under way");
+    assert!(!limit.observe(rate(5.0), 90, 150), "it may have been given before");
+    assert!(limit.observe(rate(5.0), 110, 200));
     assert_eq!((limit.rate(), limit.age(250)), (Some(rate(5.0)), 50));
 }
 
@@ -38,9 +38,9 @@
 fn a_limit_beyond_any_number_is_a_limit() {
     for requests in [1e300, f64::INFINITY] {
         let wish = Arc::<Backpressure>::default();
-        assert!(wish.limit().name(rate(requests), 0, 1));
-        assert!(wish.limit().rate().is_some() && !wish.limit().name(rate(requests), 10, 20));
-        assert!(wish.limit().name(rate(3.0), 30, 40));
+        assert!(wish.limit().observe(rate(requests), 0, 1));
+        assert!(wish.limit().rate().is_some() && !wish.limit().observe(rate(requests), 10, 20));
+        assert!(wish.limit().observe(rate(3.0), 30, 40));
     }
 }
 
@@ -48,11 +48,11 @@
 fn one_answer_that_names_none_ends_nothing() {
     let wish = limited(3.0);
     let limit = wish.limit();
-    assert!(!limit.omit(600, 700));
-    assert!(!limit.name(rate(3.0), 650, 800), "nothing new");
-    assert!(!limit.omit(900, 1_000), "named since");
-    assert!(!limit.omit(1_000, 1_100), "too soon after it was named");
-    assert!(limit.omit(1_200, 1_400));
+    assert!(!limit.observe_none(600, 700));
+    assert!(!limit.observe(rate(3.0), 650, 800), "nothing new");
+    assert!(!limit.observe_none(900, 1_000), "named since");
+    assert!(!limit.observe_none(1_000, 1_100), "too soon after it was named");
+    assert!(limit.observe_none(1_200, 1_400));
 }
 
 /// What was told of a limit is older than it looks, and may not end what this node heard itself since.
@@ -60,11 +60,11 @@
 fn another_node_s_word_counts_by_its_age() {
     let wish = limited(3.0);
     let limit = wish.limit();
-    limit.name(rate(3.0), 400, 500);
-    assert!(!limit.told(None, 450), "an answer to this node named it later");
-    assert!(limit.told(Some(rate(1.0)), 450));
-    assert!(!limit.told(Some(rate(9.0)), 440), "older");
-    assert!(limit.told(None, 600));
+    limit.observe(rate(3.0), 400, 500);
+    assert!(!limit.learn(None, 450), "an answer to this node named it later");
+    assert!(limit.learn(Some(rate(1.0)), 450));
+    assert!(!limit.learn(Some(rate(9.0)), 440), "older");
+    assert!(limit.learn(None, 600));
     let life = EngineLife { engine: name("i-1"), born: Some(5) };
     let mut limits = Limits::default();
     assert!(!limits.learn(life.clone(), None, 10), "nothing to end");
@@ -80,7 +80,7 @@
 #[test]
 fn a_right_is_used_once_and_in_time() {
     let wish = limited(3.0);
-    wish.limit().put(2, 100, 110);
+    wish.limit().add_rights(2, 100, 110);
     let mut first = EngineLimit::take(&wish, 200).unwrap();
     assert!(wish.admit(Some(&mut first), 300).is_some());
     drop(first);
@@ -91,11 +91,11 @@
     // One that was not used goes back, and no further than its own time.
     drop(late);
     assert!(EngineLimit::take(&wish, 599).is_some() && EngineLimit::take(&wish, 601).is_none());
-    wish.limit().put(5, 700, 700);
-    wish.limit().name(rate(1.0), 700, 710);
+    wish.limit().add_rights(5, 700, 700);
+    wish.limit().observe(rate(1.0), 700, 710);
     assert!(EngineLimit::take(&wish, 720).is_none(), "they were of a higher limit");
     let other = limited(3.0);
-    let mut foreign = Right::drawn(&other, 800);
+    let mut foreign = Right::self_issued(&other, 800);
     assert!(wish.admit(Some(&mut foreign), 800).is_none(), "of another engine");
 }
 
@@ -109,7 +109,7 @@
         for now in (1..120_000).step_by(50) {
             for wish in &wishes {
                 let draw = rng.random_range(0.0..1.0);
-                if wish.limit().draw(Some(nodes), draw, now) {
+                if wish.limit().self_issue(Some(nodes), draw, now) {
                     drawn.push(now);
                 }
             }
@@ -153,8 +153,8 @@
         let wish = Arc::<Backpressure>::default();
         for (now, sent, word) in answers {
             match word {
-                Some(limit) => wish.limit().name(rate(limit as f64), sent, now),
-                None => wish.limit().omit(sent, now),
+                Some(limit) => wish.limit().observe(rate(limit as f64), sent, now),
+                None => wish.limit().observe_none(sent, now),
             };
             // All that it named in that time, for however short.
             let from = now.saturating_sub(1_100);
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -188,7 +188,7 @@
         if heard {
             let rate = Rate::per_second(self.load.limit);
             self.wishes.iter().for_each(|wish| {
-                wish.limit().told(rate, now);
+                wish.limit().learn(rate, now);
             });
             self.limits.learn(self.life.clone(), rate, now);
         }
@@ -200,14 +200,14 @@
         {
             self.asked.pop_front();
             let rate = Rate::per_second(self.load.limit).unwrap();
-            self.wishes[node].limit().name(rate, sent, now);
+            self.wishes[node].limit().observe(rate, sent, now);
         }
     }
 
     /// The planner writes what it knows to the store, when that is due.
     fn write_record(&mut self, now: u64) {
         let record = LimitRecord::of(
-            self.limits.named().map(|(life, rate)| (life, LimitEntry { rate, aside: false })),
+            self.limits.named().map(|(life, rate)| (life, LimitEntry { rate, in_probes: false })),
         );
         if self.recorder.is_due(&record, now) {
             self.record = record.text();
@@ -225,7 +225,7 @@
         self.recorder.stored(record, now);
         let Some((rate, at)) = self.limits.of(&self.life) else { return };
         for wish in &self.wishes {
-            wish.limit().told(Some(rate), at);
+            wish.limit().learn(Some(rate), at);
         }
     }
 
@@ -288,21 +288,21 @@
         if let Some(right) = EngineLimit::take(wish, now) {
             return Some(right);
         }
-        if limit.wait(now).is_some() {
+        if limit.wait_left(now).is_some() {
             return None;
         }
         let draw = self.rng.random_range(0.0..1.0);
         if !self.reaches(node, now) {
             let nodes = Some(self.load.nodes as u32);
-            return limit.draw(nodes, draw, now).then(|| Right::drawn(wish, now));
+            return limit.self_issue(nodes, draw, now).then(|| Right::self_issued(wish, now));
         }
         self.found.asks += 1.0;
         let wanted = limit.wanted(now);
-        let grant = self.rights.hand_out(&self.life, rate, &self.names[node], wanted, draw, now);
+        let grant = self.rights.issue(&self.life, rate, &self.names[node], wanted, draw, now);
         if grant.given == 0 {
-            limit.hold(now + grant.wait);
+            limit.pause_until(now + grant.wait);
         }
-        limit.put(grant.given, now, now);
+        limit.add_rights(grant.given, now, now);
         EngineLimit::take(wish, now)
     }
 }
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -39,7 +39,7 @@
         }
         for (node, occupancy) in nodes.iter().enumerate() {
             if informed && now > LATE && (now + node as u64 * 97).is_multiple_of(HEAR) {
-                occupancy.tell(past[0], now - LATE);
+                occupancy.report(past[0], now - LATE);
             }
             credit[node] += rate * shares[node];
             while credit[node] >= 1.0 {
@@ -85,7 +85,7 @@
     engine.add(10_000, 1_000);
     engine.add(5_000, 1_900);
     // The second request came after the moment that the report stands for.
-    engine.tell(40_000, 1_700);
+    engine.report(40_000, 1_700);
     assert_eq!(engine.held(1, 2_000), 45_000.0);
     assert_eq!(engine.age(2_000), Some(300));
     engine.sub(10_000, 2_100);
@@ -95,7 +95,7 @@
 #[test]
 fn an_old_report_says_nothing() {
     let engine = Occupancy::default();
-    engine.tell(90_000, 1_000);
+    engine.report(90_000, 1_000);
     engine.add(2_000, 9_000);
     assert_eq!(engine.age(9_000), None);
     assert_eq!(engine.held(3, 9_000), 6_000.0);
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -6,11 +6,13 @@
 
 use common::name;
 use heathpitch_core::{LayerRange, Model};
-use heathpitch_policy::{Capable, Holding, Move, MoveReason, Placeable, Wanted, gaps, plan, split};
+use heathpitch_policy::{
+    EngineCapacity, Holding, Move, MoveReason, Placeable, Wanted, gaps, plan, split,
+};
 use proptest::prelude::*;
 
-fn capable(i: usize, room: u32, layer: u64, link: u64) -> Capable {
-    Capable { engine: name(&format!("e{i}")), room, layer, link }
+fn capable(i: usize, room: u32, layer: u64, link: u64) -> EngineCapacity {
+    EngineCapacity { engine: name(&format!("e{i}")), room, layer, link }
 }
 
 fn model(text: &str, layers: u32) -> Model {
@@ -41,7 +43,7 @@
 }
 
 /// Slowest stage of the best of all ways to give `layers` to these engines, each at least one.
-fn exact(engines: &[&Capable], layers: u32) -> Option<u64> {
+fn exact(engines: &[&EngineCapacity], layers: u32) -> Option<u64> {
     let Some((first, rest)) = engines.split_first() else {
         return (layers == 0).then_some(0);
     };
@@ -134,14 +136,14 @@
         engines in proptest::collection::vec((1_u32..6, 1_u64..50, 0_u64..100), 1..5),
         layers in 1_u32..12,
     ) {
-        let all: Vec<Capable> = engines
+        let all: Vec<EngineCapacity> = engines
             .iter()
             .enumerate()
             .map(|(i, (room, layer, link))| capable(i, *room, *layer, *link))
             .collect();
         let mut best = None;
         for mask in 1_u32..1 << all.len() {
-            let chosen: Vec<&Capable> =
+            let chosen: Vec<&EngineCapacity> =
                 (0..all.len()).filter(|i| mask >> i & 1 == 1).map(|i| &all[i]).collect();
             if let Some(time) = exact(&chosen, layers) {
                 let found = (chosen.len(), time);
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -6,7 +6,7 @@
 
 use common::{model, name, report, upstream};
 use heathpitch_core::{LayerRange, Name, Path, Strategy};
-use heathpitch_policy::{Ask, NoPath, PrefixIndex, Upstream, choose};
+use heathpitch_policy::{NoPath, PathRequest, PrefixIndex, Upstream, choose};
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -15,7 +15,7 @@
     let (model, domain) = (model(layers), name("d"));
     let strategy = Strategy::Best;
     let prefixes = PrefixIndex::new();
-    let ask = Ask {
+    let ask = PathRequest {
         model: &model,
         domain: &domain,
         tokens: 10,
@@ -106,7 +106,7 @@
         let (model, domain) = (model(12), name("d"));
         let strategy = Strategy::Affinity;
         let prefixes = PrefixIndex::new();
-        let ask = Ask {
+        let ask = PathRequest {
             model: &model,
             domain: &domain,
             tokens: 1,
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -14,9 +14,9 @@
     Strategy, Vm, VmRole, VmState, digest,
 };
 use heathpitch_policy::{
-    AdmissionControl, Ask, ClaimEntry, ClaimPage, Demand, EngineReport, EngineRole, Gauge, Health,
-    HealthEvent, Holding, Ledger, Member, MemberState, Members, Meter, Placeable, PrefixIndex,
-    Record, Upstream, Wanted, choose, plan,
+    AdmissionControl, ClaimEntry, ClaimPage, Demand, EngineReport, EngineRole, Gauge, Health,
+    HealthEvent, Holding, Ledger, Member, MemberState, Members, Meter, PathRequest, Placeable,
+    PrefixIndex, Record, Upstream, Wanted, choose, plan,
 };
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -131,7 +131,7 @@
             })
             .collect();
         let mut rng = SmallRng::seed_from_u64(1);
-        let ask = Ask {
+        let ask = PathRequest {
             model: &model,
             domain: &domain,
             tokens: 500,
