--- a/crates/policy/src/backpressure.rs
+++ b/crates/policy/src/backpressure.rs
@@ -1,12 +1,13 @@
-//! What one engine asked this node for: rest, no new work because it leaves, or no more than its limit of all nodes.
+//! Backpressure of one engine on this node: a pause, a drain, or a rate limit that covers all nodes.
 //!
-//! The one place that decides whether anything that takes a slot may go to an engine: calls, second tries,
-//! streams taken up there, checks. An answer's wish binds from the moment its head is read, on whatever
-//! call it came, and outlives the call.
+//! This is the one place that decides whether a request that takes a slot may be sent to an engine: calls,
+//! retries, resumed streams and probes. A signal applies as soon as the head of the response that carries it is
+//! read, whichever call it came on, and outlives that call.
 //!
-//! A rest is the node's alone: told to all, it would leave slots unused. After it the engine is taken up again by one
-//! request at a time, and by one more with each that it answers up to half of what was there when it turned one
-//! away, then by one a round, so that neither this node's callers nor all nodes come back at one moment.
+//! A pause applies to this node only: shared with all nodes, it would leave slots unused. After a pause one
+//! request is admitted at first. Each response then admits one more, up to half of the requests that were open when
+//! the engine rejected one, and from there one more a round trip (slow start), so that neither this node's
+//! clients nor all nodes return at the same moment.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering::Relaxed};
@@ -15,16 +16,16 @@
 
 use crate::{EngineLimit, Right};
 
-/// Part of a rest by which it is made longer, by a drawn share: nodes that were turned away together do not
-/// come back together.
-const SPREAD: f64 = 0.1;
-/// One request, in the unit that room is counted in.
+/// Largest random extension of a pause, as a fraction of it, so that nodes rejected together do not return
+/// together.
+const JITTER: f64 = 0.1;
+/// One request, in the fixed-point unit of the window.
 const ONE: u32 = 256;
-/// Time after a rest for which what an engine bears is remembered, milliseconds: some of the rests that are usually
-/// asked for, so that a load which stays is not met anew after each.
-const REMEMBERED: Millis = 10_000;
+/// Time after a pause for which the window stays in force, milliseconds. It spans several pauses of the usual
+/// length, so that a lasting overload is not probed from scratch after each.
+const WINDOW_TTL_MS: Millis = 10_000;
 
-/// What one engine asked this node for; shared by threads without a lock.
+/// Backpressure of one engine; shared between threads without a lock.
 ///
 /// # Examples
 ///
@@ -37,58 +38,58 @@
 /// assert_eq!(wish.pause_left(1_010), Some(2_000));
 /// assert!(wish.admit(None, 3_009).is_none());
 /// let first = wish.admit(None, 3_010);
-/// assert!(first.is_some() && wish.admit(None, 3_010).is_none(), "one at first");
+/// assert!(first.is_some() && wish.admit(None, 3_010).is_none(), "one request at first");
 /// ```
 #[derive(Debug, Default)]
 pub struct Backpressure {
-    /// End of the rest; 0 if none was asked for, or the engine is taken up again since.
+    /// End of the pause; 0 if there was none, or its window has expired.
     until: AtomicU64,
-    /// Requests without an answer.
+    /// Requests without a response.
     open: AtomicU32,
-    /// How many of these there may be since the rest is over.
-    room: AtomicU32,
-    /// Room up to which it doubles.
-    quick: AtomicU32,
-    leaves: AtomicBool,
+    /// Requests that may be open after the pause.
+    window: AtomicU32,
+    /// Window up to which growth is exponential.
+    threshold: AtomicU32,
+    draining: AtomicBool,
     limit: EngineLimit,
 }
 
-/// # Wishes
+/// # Signals
 impl Backpressure {
-    /// Takes a wish for rest of an answer that came at `now`; `draw`, from 0 to 1, spreads its end.
+    /// Pauses the engine for `time` from `now`; `draw`, from 0 to 1, adds jitter to the end.
     ///
-    /// The latest end holds: an answer that comes later and asks for less takes nothing back.
+    /// The latest end applies: a later response that asks for a shorter pause does not shorten it.
     pub fn pause(&self, time: Millis, draw: f64, now: Millis) {
-        let spread = (time as f64 * SPREAD * draw.clamp(0.0, 1.0)) as Millis;
+        let jitter = (time as f64 * JITTER * draw.clamp(0.0, 1.0)) as Millis;
         let open = self.open.load(Relaxed);
         if self.pause_left(now).is_none() {
-            self.quick.store(open * ONE / 2, Relaxed);
+            self.threshold.store(open * ONE / 2, Relaxed);
         }
-        self.room.store(ONE, Relaxed);
-        self.until.fetch_max(now.saturating_add(time).saturating_add(spread).max(1), Relaxed);
+        self.window.store(ONE, Relaxed);
+        self.until.fetch_max(now.saturating_add(time).saturating_add(jitter).max(1), Relaxed);
     }
 
-    /// Takes note that it leaves; gives whether that is new.
+    /// Marks the engine as draining; returns whether that is new.
     pub fn start_drain(&self) -> bool {
-        !self.leaves.swap(true, Relaxed)
+        !self.draining.swap(true, Relaxed)
     }
 
-    /// Takes note that it does not leave after all.
+    /// Marks the engine as no longer draining.
     pub fn cancel_drain(&self) {
-        self.leaves.store(false, Relaxed);
+        self.draining.store(false, Relaxed);
     }
 
-    /// Takes note that it answered a request sent after its rest, and turned nothing away.
+    /// Records a successful response to a request sent after the pause, and grows the window.
     pub fn record_success(&self, now: Millis) {
         let until = self.until.load(Relaxed);
         if until == 0 || now < until {
             return;
         }
-        let room = self.room.load(Relaxed).max(ONE);
-        let more = if room < self.quick.load(Relaxed) { ONE } else { ONE * ONE / room };
-        self.room.store(room + more, Relaxed);
-        if now >= until + REMEMBERED {
-            // A rest that is asked for meanwhile holds.
+        let window = self.window.load(Relaxed).max(ONE);
+        let more = if window < self.threshold.load(Relaxed) { ONE } else { ONE * ONE / window };
+        self.window.store(window + more, Relaxed);
+        if now >= until + WINDOW_TTL_MS {
+            // A pause set by another thread in the meantime stays.
             let _ = self.until.compare_exchange(until, 0, Relaxed, Relaxed);
         }
     }
@@ -96,45 +97,45 @@
 
 /// # Reading
 impl Backpressure {
-    /// Time left of its rest at `now`, if it rests.
+    /// Remaining pause at `now`, if the engine is paused.
     pub fn pause_left(&self, now: Millis) -> Option<Millis> {
         self.until.load(Relaxed).checked_sub(now).filter(|left| *left > 0)
     }
 
-    /// What it says of the requests that it takes from all nodes together.
+    /// Rate limit of the engine over all nodes.
     pub fn limit(&self) -> &EngineLimit {
         &self.limit
     }
 
-    /// Whether it said that it leaves.
+    /// Whether the engine is draining.
     pub fn is_draining(&self) -> bool {
-        self.leaves.load(Relaxed)
+        self.draining.load(Relaxed)
     }
 
-    /// Whether a request may go there at `now`, if it has a right or is handed out one.
+    /// Whether a request may be sent at `now`, provided that it has a right or obtains one.
     pub fn admits(&self, now: Millis) -> bool {
         !self.is_draining() && self.has_capacity(now) && self.limit.wait_left(now).is_none()
     }
 
-    /// Whether it bears one request more: it does not rest, nor has as many as it takes since.
+    /// Whether one more request fits: the engine is not paused, and the window is not full.
     fn has_capacity(&self, now: Millis) -> bool {
         let until = self.until.load(Relaxed);
-        let room = || self.open.load(Relaxed) * ONE < self.room.load(Relaxed);
-        until == 0 || (now >= until && room())
+        let fits = || self.open.load(Relaxed) * ONE < self.window.load(Relaxed);
+        until == 0 || (now >= until && fits())
     }
 
-    /// Whether anything of it has to be kept, though the engine is off the list.
+    /// Whether this state must be kept although the engine is no longer listed.
     pub fn is_active(&self, now: Millis) -> bool {
         self.is_draining() || self.pause_left(now).is_some()
     }
 
-    /// Admits a request that is about to be sent at `now`, and counts it until its answer has come, or it is
-    /// given up. An engine that names a limit takes only one with a right.
+    /// Admits a request about to be sent at `now`, and counts it as open until the returned guard is dropped.
+    /// An engine with a rate limit admits only a request with a right.
     pub fn admit(self: &Arc<Self>, right: Option<&mut Right>, now: Millis) -> Option<Admission> {
         (!self.is_draining()).then(|| self.admit_probe(right, now)).flatten()
     }
 
-    /// The same for a check, which an engine that leaves may be asked too.
+    /// Admits a probe, which a draining engine may receive too.
     pub fn admit_probe(
         self: &Arc<Self>,
         right: Option<&mut Right>,
@@ -143,7 +144,7 @@
         (self.has_capacity(now) && self.passes(right, now)).then(|| self.count(now))
     }
 
-    /// Admits a request to pass through the engine, behind the first of its path, at `now`.
+    /// Admits a request at `now` that reaches the engine as a later stage of its path.
     pub fn pass(self: &Arc<Self>, right: Option<&mut Right>, now: Millis) -> bool {
         let passes = !self.is_draining() && self.passes(right, now);
         if passes {
@@ -153,7 +154,7 @@
     }
 
     fn passes(self: &Arc<Self>, right: Option<&mut Right>, now: Millis) -> bool {
-        // One that is not needed goes back.
+        // An unneeded right is returned to the stock when it is dropped.
         self.limit.rate().is_none() || right.is_some_and(|r| r.spend(self, now))
     }
 
@@ -164,7 +165,7 @@
     }
 }
 
-/// A request at an engine that has not answered it.
+/// Guard of a request that the engine has not responded to.
 #[derive(Debug)]
 pub struct Admission(Arc<Backpressure>);
 
--- a/crates/policy/src/engine_limit.rs
+++ b/crates/policy/src/engine_limit.rs
@@ -1,14 +1,16 @@
-//! What one engine says of the requests a second that it takes from all nodes together, and this node's part of it.
+//! Rate limit that one engine states for all nodes together, and this node's rights to send requests under it.
 //!
-//! An answer that names a limit binds from the moment its head is read. Answers come in another order than
-//! they were given, so one takes back what an earlier one said only if its request was sent after that: a lower limit
-//! holds at once, a higher one and the end of any only then, and the end only by two answers a while after the last
-//! that named one. An engine that is held to its limit for a moment too long loses little; one that is not may fall.
+//! A limit applies as soon as the head of the response that states it is read. Responses may arrive out of order,
+//! so a response relaxes an earlier one only if its request was sent after that. A lower limit applies at
+//! once; a higher limit, or none, only under that condition; and a limit is lifted only by two responses without one,
+//! some time after the last that stated it. Keeping a limit slightly too long costs little, while ignoring one may
+//! overload the engine.
 //!
-//! A limit is a sum over all nodes, which none can keep alone: each request needs a right, handed out one by one
-//! by the node that plans the engine's failure domain ([`Rights`](crate::Rights)). Rights end soon, so that those of a node
-//! that stood still are not used beside new ones. A node that finds nobody to hand them out draws its own: all nodes
-//! that do, together, a quarter of the limit at most, so that what is handed out meanwhile to others does not count twice.
+//! No node can enforce a limit on the sum over all nodes alone: each request needs a right, issued by the planner of
+//! the engine's failure domain ([`Rights`](crate::Rights)). Rights expire soon, so that a node resuming after a
+//! stall does not use old ones beside new ones. A node that cannot reach an issuer issues its own: all such
+//! nodes together at most a quarter of the limit, so that the rights issued to others in the meantime do not
+//! add up to more than the limit allows.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -18,25 +20,26 @@
 use crate::Backpressure;
 use crate::rights::used;
 
-/// Time after an answer that named a limit until two that name none end it, milliseconds: some answers may lack it.
-const ENDS_AFTER: Millis = 500;
-/// Time for which a right may be used, milliseconds: a connection to an engine takes 400 at most.
-pub(crate) const RIGHT_LIFE: Millis = 500;
-/// Part of a limit that nodes draw for themselves, all together, which find nobody to hand out rights.
-const DRAWN_PART: f64 = 0.25;
-/// Time for which a right that was drawn waits for a request, milliseconds.
-const DRAWN_LIFE: Millis = 1_000;
-/// Time between two tries to find a node that hands out rights, milliseconds.
-const SEEK_AGAIN: Millis = 300;
-/// Span over which this node's own requests are counted, milliseconds; as many rights are asked for at a time.
-const PULSE: Millis = 250;
-/// Most rights asked for at a time.
-const WANTED_MOST: u16 = 256;
-/// Bits of a count beside a time.
+/// Least age of the last response with a limit before two without one lift it, milliseconds: single responses may
+/// omit the limit.
+const LIFT_DELAY_MS: Millis = 500;
+/// Lifetime of a right, milliseconds; connecting to an engine takes at most 400.
+pub(crate) const RIGHT_TTL_MS: Millis = 500;
+/// Share of a limit that all nodes without an issuer may issue for themselves, together.
+const SELF_ISSUED_SHARE: f64 = 0.25;
+/// Time for which a self-issued right waits for a request, milliseconds.
+const SELF_ISSUED_TTL_MS: Millis = 1_000;
+/// Interval between attempts to find an issuer, milliseconds.
+const ISSUER_RETRY_MS: Millis = 300;
+/// Interval over which this node's requests are counted to size the next batch of rights, milliseconds.
+const COUNT_INTERVAL_MS: Millis = 250;
+/// Largest batch of rights to request.
+const MAX_BATCH: u16 = 256;
+/// Bits of a count that is packed beside a time.
 const COUNT_BITS: u32 = 16;
 const COUNT_MASK: u64 = (1 << COUNT_BITS) - 1;
 
-/// What one engine says that it takes; shared by threads without a lock.
+/// Rate limit of one engine; shared between threads without a lock.
 ///
 /// # Examples
 ///
@@ -46,39 +49,39 @@
 ///
 /// let limit = EngineLimit::default();
 /// assert!(limit.observe(Rate::from_thousandths(3_600), 100, 130));
-/// assert!(!limit.observe_none(90, 140), "sent before it was named");
+/// assert!(!limit.observe_none(90, 140), "sent before the limit was stated");
 /// assert!(!limit.observe_none(200, 230) && !limit.observe_none(300, 330));
 /// assert!(limit.observe_none(610, 640));
 /// assert_eq!(limit.rate(), None);
 /// ```
 #[derive(Debug, Default)]
 pub struct EngineLimit {
-    /// The limit, packed.
+    /// Limit, packed.
     rate: AtomicU64,
-    /// When that changed last.
+    /// Time of the last change.
     changed: AtomicU64,
-    /// When an answer to this node named one last.
-    named: AtomicU64,
-    /// Whether the last answer to this node named none although there is one.
+    /// Time of the last response to this node that stated a limit.
+    stated: AtomicU64,
+    /// Whether the last response to this node omitted a limit that is in force.
     omitted: AtomicBool,
-    /// Whether answers to nodes' own questions name it, as those to calls do.
+    /// Whether responses to probes state the limit, as those to calls do.
     in_probes: AtomicBool,
-    /// Rights of this node, and until when they may be used.
+    /// Rights in stock, and their expiry.
     stock: AtomicU64,
-    /// Until when this node asks for none.
-    held: AtomicU64,
-    /// When the next right of this node's own is drawn; 0 before the first.
-    drawn: AtomicU64,
-    /// Number of the last span in which this node sent requests, their number, and that of the span before.
-    pulse: AtomicU64,
+    /// Time until which this node requests no rights.
+    paused: AtomicU64,
+    /// Time of the next self-issued right; 0 before the first.
+    next_own: AtomicU64,
+    /// Number of the last counting interval with requests, their count, and that of the interval before.
+    counts: AtomicU64,
 }
 
-/// # What answers say
+/// # Observations
 impl EngineLimit {
-    /// Takes an answer that came at `now`, to a request sent at `sent`, and names a limit; gives whether that
-    /// changes it.
+    /// Records a response received at `now` that states a limit, to a request sent at `sent`; returns whether the
+    /// limit changes.
     pub fn observe(&self, rate: Rate, sent: Millis, now: Millis) -> bool {
-        self.named.fetch_max(now, Relaxed);
+        self.stated.fetch_max(now, Relaxed);
         self.omitted.store(false, Relaxed);
         match self.rate() {
             Some(known) if rate == known => false,
@@ -87,38 +90,38 @@
         }
     }
 
-    /// Takes an answer that names none; gives whether that ends a limit.
+    /// Records a response that states no limit; returns whether that lifts one.
     pub fn observe_none(&self, sent: Millis, now: Millis) -> bool {
-        if self.rate().is_none() || sent < self.named.load(Relaxed) {
+        if self.rate().is_none() || sent < self.stated.load(Relaxed) {
             return false;
         }
         let again = self.omitted.swap(true, Relaxed);
-        again && now >= self.named.load(Relaxed) + ENDS_AFTER && self.set(None, now)
+        again && now >= self.stated.load(Relaxed) + LIFT_DELAY_MS && self.set(None, now)
     }
 
-    /// Takes note that an answer to a question of this node's own names a limit.
+    /// Records that a response to a probe states a limit.
     pub fn set_in_probes(&self) {
         self.in_probes.store(true, Relaxed);
     }
 
-    /// Whether an answer to such a question that names none says that there is none: an engine behind the first of
-    /// all paths answers no calls.
+    /// Whether a probe response without a limit means that there is none. Engines that only serve later stages
+    /// of paths answer no calls, so for them probes are the only evidence.
     pub fn is_in_probes(&self) -> bool {
         self.in_probes.load(Relaxed)
     }
 
-    /// Takes what another node was told at `at`; gives whether that changes it. An end that may be older than the
-    /// last answer to this node is none.
+    /// Applies what another node observed at `at`; returns whether the limit changes. The lifting of a limit is
+    /// ignored if it may be older than the last response to this node.
     pub fn learn(&self, rate: Option<Rate>, at: Millis) -> bool {
         let newer = at > self.changed.load(Relaxed);
-        let heard = rate.is_some() || at > self.named.load(Relaxed);
-        newer && heard && rate != self.rate() && self.set(rate, at)
+        let current = rate.is_some() || at > self.stated.load(Relaxed);
+        newer && current && rate != self.rate() && self.set(rate, at)
     }
 
     fn set(&self, rate: Option<Rate>, at: Millis) -> bool {
         self.changed.store(at, Relaxed);
         self.omitted.store(false, Relaxed);
-        // Rights that were handed out by another limit do not hold.
+        // Rights issued under another limit are void.
         self.stock.store(0, Relaxed);
         self.rate.store(Rate::pack(rate), Relaxed);
         true
@@ -127,7 +130,7 @@
 
 /// # Rights
 impl EngineLimit {
-    /// Takes a right that this node has.
+    /// Takes a right from the stock.
     pub fn take(wish: &Arc<Backpressure>, now: Millis) -> Option<Right> {
         let stock = &wish.limit().stock;
         let taken = stock.fetch_update(Relaxed, Relaxed, |s| {
@@ -136,8 +139,8 @@
         taken.ok().map(|s| Right { wish: wish.clone(), until: until(s), used: false })
     }
 
-    /// Takes `count` rights that were handed out to a question sent at `sent`, and one of them; none if they came too
-    /// late, or another call was faster.
+    /// Adds `count` rights issued to a request sent at `sent`, and takes one; `None` if they arrived too late or
+    /// another call took the last one.
     pub fn receive(
         wish: &Arc<Backpressure>,
         count: u16,
@@ -148,115 +151,117 @@
         Self::take(wish, now)
     }
 
-    /// Takes `count` rights that were handed out to a question sent at `sent`.
+    /// Adds `count` rights issued to a request sent at `sent`.
     pub fn add_rights(&self, count: u16, sent: Millis, now: Millis) {
-        let end = sent + RIGHT_LIFE;
+        let end = sent + RIGHT_TTL_MS;
         let add = |stock: u64| {
-            // The earlier end holds for all, so that none is used too late.
+            // The earlier expiry applies to all, so that none is used too late.
             let (held, end) = match stock & COUNT_MASK {
                 held if held > 0 && until(stock) > now => (held, until(stock).min(end)),
                 _ => (0, end),
             };
             Some((end << COUNT_BITS) | (held + u64::from(count)).min(COUNT_MASK))
         };
-        // It always gives a value, so that it cannot fail.
+        // The closure never returns `None`, so this cannot fail.
         let _ = self.stock.fetch_update(Relaxed, Relaxed, add);
     }
 
-    /// Takes a right back that ends at `end`; it is lost if those in stock end later, which they are not to by it.
+    /// Returns a right that expires at `end` to the stock. It is dropped if the stock expires later, since it would
+    /// otherwise outlive its expiry.
     fn put_back(&self, end: Millis) {
         let add = |stock: u64| match stock & COUNT_MASK {
             0 => Some((end << COUNT_BITS) | 1),
             _ if until(stock) <= end => Some(stock + 1),
             _ => None,
         };
-        // None if it is lost.
+        // `Err` if the right is dropped.
         let _ = self.stock.fetch_update(Relaxed, Relaxed, add);
     }
 
-    /// Asks for no right until `until`.
+    /// Requests no rights until `until`.
     pub fn pause_until(&self, until: Millis) {
-        self.held.store(until, Relaxed);
+        self.paused.store(until, Relaxed);
     }
 
-    /// Takes note that nobody hands out rights at `now` in a fleet of `nodes`; gives whether this node has
-    /// drawn one, which it does not while it does not know how many there are. `draw`, from 0 to 1, draws the next.
+    /// Issues this node a right of its own, since no issuer was found at `now` in a fleet of `nodes`; returns
+    /// whether one was due. None is due while the size of the fleet is unknown. `draw`, from 0 to 1, sets the time of
+    /// the next.
     pub fn self_issue(&self, nodes: Option<u32>, draw: f64, now: Millis) -> bool {
         let Some(rate) = self.rate() else { return true };
-        self.pause_until(now + SEEK_AGAIN);
+        self.pause_until(now + ISSUER_RETRY_MS);
         let Some(nodes) = nodes else { return false };
-        let due = self.drawn.load(Relaxed);
-        let over = due == 0 || now >= due + DRAWN_LIFE;
-        let drawn = !over && now >= due;
-        if over || drawn {
-            let part = used(rate) * DRAWN_PART / f64::from(nodes.max(1));
-            // Times between events that come at random and do not wait for each other.
-            let pause = -(1.0 - draw.clamp(0.0, 0.999_999)).ln() / part * 1e3;
-            self.drawn.store(now + pause as Millis + 1, Relaxed);
+        let due = self.next_own.load(Relaxed);
+        let missed = due == 0 || now >= due + SELF_ISSUED_TTL_MS;
+        let issued = !missed && now >= due;
+        if missed || issued {
+            let share = used(rate) * SELF_ISSUED_SHARE / f64::from(nodes.max(1));
+            // Exponential intervals of a Poisson process.
+            let pause = -(1.0 - draw.clamp(0.0, 0.999_999)).ln() / share * 1e3;
+            self.next_own.store(now + pause as Millis + 1, Relaxed);
         }
-        drawn
+        issued
     }
 
-    /// Rights to ask for: as many as requests were sent in the last span.
+    /// Number of rights to request: the requests sent in the last complete interval.
     pub fn wanted(&self, now: Millis) -> u16 {
-        let (span, count, before) = pulse(self.pulse.load(Relaxed));
-        let last = match (now / PULSE).saturating_sub(span) {
+        let (interval, count, before) = unpack_counts(self.counts.load(Relaxed));
+        let last = match (now / COUNT_INTERVAL_MS).saturating_sub(interval) {
             0 => before,
             1 => count,
             _ => 0,
         };
-        last.clamp(1, WANTED_MOST.into()) as u16
+        last.clamp(1, MAX_BATCH.into()) as u16
     }
 
-    /// Counts a request that is sent.
+    /// Counts a request sent.
     pub(crate) fn sent(&self, now: Millis) {
         let count = |p: u64| {
-            let (span, count, before) = pulse(p);
-            let (count, before) = match (now / PULSE).saturating_sub(span) {
+            let (interval, count, before) = unpack_counts(p);
+            let (count, before) = match (now / COUNT_INTERVAL_MS).saturating_sub(interval) {
                 0 => (count + 1, before),
                 1 => (1, count),
                 _ => (1, 0),
             };
             let (count, before) = (count.min(COUNT_MASK), before.min(COUNT_MASK));
-            Some(((now / PULSE) << (2 * COUNT_BITS)) | (before << COUNT_BITS) | count)
+            Some(((now / COUNT_INTERVAL_MS) << (2 * COUNT_BITS)) | (before << COUNT_BITS) | count)
         };
-        // It always gives a value, so that it cannot fail.
-        let _ = self.pulse.fetch_update(Relaxed, Relaxed, count);
+        // The closure never returns `None`, so this cannot fail.
+        let _ = self.counts.fetch_update(Relaxed, Relaxed, count);
     }
 }
 
-/// End of the rights in stock.
+/// Expiry of the rights in stock.
 fn until(stock: u64) -> Millis {
     stock >> COUNT_BITS
 }
 
-/// Number of a span, requests in it, and in the one before.
-fn pulse(packed: u64) -> (u64, u64, u64) {
+/// Number of an interval, requests in it, and in the one before.
+fn unpack_counts(packed: u64) -> (u64, u64, u64) {
     (packed >> (2 * COUNT_BITS), packed & COUNT_MASK, (packed >> COUNT_BITS) & COUNT_MASK)
 }
 
 /// # Reading
 impl EngineLimit {
-    /// The limit, if there is one.
+    /// Limit in force, if any.
     pub fn rate(&self) -> Option<Rate> {
         Rate::unpack(self.rate.load(Relaxed))
     }
 
-    /// How long ago the limit changed, or ended.
+    /// Time since the limit was last changed or lifted.
     pub fn age(&self, now: Millis) -> Millis {
         now.saturating_sub(self.changed.load(Relaxed))
     }
 
-    /// Time until this node may have a right; none if it may now, or needs none.
+    /// Time until this node may request a right; `None` if it may now, or needs none.
     pub fn wait_left(&self, now: Millis) -> Option<Millis> {
         let stock = self.stock.load(Relaxed);
         let has = stock & COUNT_MASK > 0 && until(stock) > now;
-        let left = self.held.load(Relaxed).saturating_sub(now);
+        let left = self.paused.load(Relaxed).saturating_sub(now);
         (left > 0 && !has && self.rate().is_some()).then_some(left)
     }
 }
 
-/// A right to send one request to an engine; goes back if it is not used.
+/// Permit to send one request to an engine; returned to the stock on drop if unused.
 #[derive(Debug)]
 pub struct Right {
     wish: Arc<Backpressure>,
@@ -265,18 +270,18 @@
 }
 
 impl Right {
-    /// One that this node has drawn for itself at `now`.
+    /// A right that this node issued to itself at `now`.
     pub fn self_issued(wish: &Arc<Backpressure>, now: Millis) -> Self {
-        Self { wish: wish.clone(), until: now + RIGHT_LIFE, used: false }
+        Self { wish: wish.clone(), until: now + RIGHT_TTL_MS, used: false }
     }
 
-    /// Whether it is for this engine and may still be used at `now`; it is used then.
+    /// Uses the right if it is for this engine and valid at `now`; returns whether it was.
     pub(crate) fn spend(&mut self, wish: &Arc<Backpressure>, now: Millis) -> bool {
         self.used = now < self.until && Arc::ptr_eq(&self.wish, wish);
         self.used
     }
 
-    /// Takes note that the request was not sent after all.
+    /// Marks the right as unused, because the request was not sent.
     pub fn unspend(&mut self) {
         self.used = false;
     }
@@ -285,7 +290,7 @@
 impl Drop for Right {
     fn drop(&mut self) {
         if !self.used {
-            // Whether it is over is seen when it is taken.
+            // Expiry is checked when it is taken again.
             self.wish.limit().put_back(self.until);
         }
     }
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -1,8 +1,9 @@
-//! Limits that engines name, as the store keeps them for nodes that all begin at once.
+//! Rate limits of engines, persisted in the store for the case that all nodes restart at once.
 //!
-//! Such nodes have nobody to ask, and until an engine's first answers have gone round each would send it what it likes.
-//! The planner of a failure domain keeps one item for the engines of its domain. A record fills in what a node does not
-//! know and never overrules what it does: answers of the engine end a limit that is no longer true.
+//! Such nodes have no peer to ask, and until the limit in an engine's first responses has reached all nodes, each
+//! would send without a limit. The planner of a failure domain stores one record for the engines of its domain. A
+//! record fills in what a node does not know and never overrides what it does: responses of the engine lift a
+//! limit that is out of date.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -11,28 +12,28 @@
 
 use crate::EngineLife;
 
-/// Time between two writes of a record that lets more through than its engines take, milliseconds.
+/// Least interval between writes while the stored record is less strict than the current limits, milliseconds.
 const TIGHTEN_INTERVAL_MS: Millis = 1_000;
-/// The same for one that lets less through: engines end that by their answers.
+/// The same while the stored record is stricter: responses of the engines correct that.
 const LOOSEN_INTERVAL_MS: Millis = 5_000;
-/// Most engines of a record, some fifty bytes each.
+/// Most engines in a record, about fifty bytes each.
 const RECORD_MAX_ENGINES: usize = 2_048;
 
-/// Words by which a record says whether answers to nodes' own questions name a limit.
+/// Words of the stored format for whether probe responses state the limit.
 const IN_PROBES: &str = "questions";
 const NOT_IN_PROBES: &str = "calls";
 
-/// What a record says of one engine.
+/// Entry of a record for one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitEntry {
-    /// Requests a second that it takes from all nodes together.
+    /// Requests per second over all nodes.
     pub rate: Rate,
-    /// Whether answers to nodes' own questions name it, as those to calls do. Of an engine that answers no calls only these
-    /// end it, and a node that begins has not seen one.
+    /// Whether probe responses state the limit, as those to calls do. Only they can lift the limit of an engine that
+    /// answers no calls, and a node that has just started has seen none.
     pub in_probes: bool,
 }
 
-/// Limits of the engines of one failure domain, as a record of the store holds them.
+/// Stored limits of the engines of one failure domain.
 ///
 /// # Examples
 ///
@@ -44,8 +45,8 @@
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
 /// let record = LimitRecord::of([(life, limit)]);
 /// assert_eq!(record.text(), "i-1 17 3.6 calls\n");
-/// let (read, unread) = LimitRecord::read("i-1 17 3.6 calls\ni-2 nonsense\n");
-/// assert_eq!((read, unread), (record, 1));
+/// let (read, unreadable) = LimitRecord::read("i-1 17 3.6 calls\ni-2 nonsense\n");
+/// assert_eq!((read, unreadable), (record, 1));
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -54,21 +55,21 @@
 }
 
 impl LimitRecord {
-    /// A record of these limits.
+    /// Builds a record of these limits.
     pub fn of(limits: impl IntoIterator<Item = (EngineLife, LimitEntry)>) -> Self {
         Self { limits: limits.into_iter().take(RECORD_MAX_ENGINES).collect() }
     }
 
-    /// Reads the text of a record; gives also the number of lines that cannot be read.
+    /// Parses a record; also returns the number of unreadable lines.
     pub fn read(text: &str) -> (Self, usize) {
         let lines = text.lines().take(RECORD_MAX_ENGINES);
         let limits: BTreeMap<_, _> = lines.filter_map(read_line).collect();
-        let unread = text.lines().count() - limits.len();
-        (Self { limits }, unread)
+        let unreadable = text.lines().count() - limits.len();
+        (Self { limits }, unreadable)
     }
 
-    /// The text of the record: a line for each engine, with its start (0 if it tells none), its limit, requests a second, and
-    /// which answers name that.
+    /// Formats the record: one line per engine with its start time (0 if unknown), its limit in requests per
+    /// second, and which responses state the limit.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (life, LimitEntry { rate, in_probes }) in &self.limits {
@@ -79,12 +80,12 @@
         text
     }
 
-    /// Its limits.
+    /// Entries of the record.
     pub fn limits(&self) -> impl Iterator<Item = (&EngineLife, LimitEntry)> {
         self.limits.iter().map(|(life, limit)| (life, *limit))
     }
 
-    /// Whether nodes that know only this record send an engine more than `current` lets them.
+    /// Whether nodes that know only this record could exceed a limit of `current`.
     fn exceeds(&self, current: &Self) -> bool {
         let exceeded = |(life, limit): (&EngineLife, LimitEntry)| {
             self.limits.get(life).is_none_or(|l| l.rate > limit.rate)
@@ -107,7 +108,7 @@
     Some((EngineLife { engine, born }, LimitEntry { rate, in_probes }))
 }
 
-/// Decides when the planner of a failure domain writes its record.
+/// Schedules the planner's writes of the record of a failure domain.
 ///
 /// # Examples
 ///
@@ -119,33 +120,33 @@
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
 /// let named = LimitRecord::of([(life, limit)]);
 /// let mut recorder = LimitRecorder::default();
-/// assert!(!recorder.is_due(&LimitRecord::default(), 0), "nothing to say");
+/// assert!(!recorder.is_due(&LimitRecord::default(), 0), "nothing to store");
 /// assert!(recorder.is_due(&named, 0));
 /// recorder.stored(named.clone(), 0);
 /// assert!(!recorder.is_due(&named, 9_000));
-/// assert!(!recorder.is_due(&LimitRecord::default(), 4_000), "its end may wait");
+/// assert!(!recorder.is_due(&LimitRecord::default(), 4_000), "lifting a limit may wait");
 /// assert!(recorder.is_due(&LimitRecord::default(), 5_000));
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct LimitRecorder {
     stored: LimitRecord,
-    /// When it was written or read last.
+    /// Time of the last write or read.
     at: Option<Millis>,
 }
 
 impl LimitRecorder {
-    /// Takes note of what the store holds since `now`.
+    /// Records that the store holds `record` as of `now`.
     pub fn stored(&mut self, record: LimitRecord, now: Millis) {
         (self.stored, self.at) = (record, Some(now));
     }
 
-    /// Takes nothing to stand in the store.
+    /// Assumes that the store holds no record.
     pub fn forget(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether `current` is to be written now.
+    /// Whether `current` should be written now.
     pub fn is_due(&self, current: &LimitRecord, now: Millis) -> bool {
         let interval = match self.stored.exceeds(current) {
             true => TIGHTEN_INTERVAL_MS,
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -1,8 +1,8 @@
-//! Limits that engines name, as nodes tell each other.
+//! Rate limits of engines, as exchanged between nodes.
 //!
-//! A node that never asked an engine, or begins anew, knows nothing of its limit; what all send counts together. The
-//! newest word holds. Ages grow on the way, so the end of a limit is taken to be as old as it may be, and a limit
-//! as young as it may be.
+//! A limit covers the requests of all nodes together, and a node that never sent an engine a request, or has
+//! restarted, does not know it. The newest update applies. Transmission adds an unknown delay to an update's age, so
+//! the lifting of a limit is dated as early, and a limit as late, as the delay permits.
 
 use std::collections::{HashMap, HashSet};
 
@@ -10,10 +10,10 @@
 
 use crate::{EngineLife, LimitEntry, news};
 
-/// Time for which the end of a limit is told, milliseconds: all nodes in touch have heard of it by then.
-const END_TOLD: Millis = 10_000;
-/// Limits known at a time, some hundred bytes each; more than the engines of the largest fleet.
-const MOST: usize = 2_048;
+/// Time for which the lifting of a limit is announced, milliseconds; all reachable nodes know of it by then.
+const LIFTED_TTL_MS: Millis = 10_000;
+/// Most limits kept, about a hundred bytes each; more than the engines of the largest fleet.
+const MAX_LIMITS: usize = 2_048;
 
 #[derive(Clone, Copy, Debug)]
 struct Known {
@@ -22,18 +22,18 @@
     serial: u64,
 }
 
-/// A word on an engine's limit.
+/// State of one engine's limit, as sent to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitUpdate {
-    /// The engine.
+    /// Engine.
     pub life: EngineLife,
-    /// Its limit; none if that is over.
+    /// Limit; `None` if lifted.
     pub rate: Option<Rate>,
-    /// Age of the word, milliseconds.
+    /// Age of this state, milliseconds.
     pub age: Millis,
 }
 
-/// Limits that engines name.
+/// Known limits of engines.
 ///
 /// # Examples
 ///
@@ -55,12 +55,12 @@
 pub struct Limits {
     serial: u64,
     known: HashMap<EngineLife, Known>,
-    /// Engines whose answers to nodes' own questions name a limit, as a record of the store says.
+    /// Engines whose probe responses state a limit, according to a stored record.
     in_probes: HashSet<EngineLife>,
 }
 
 impl Limits {
-    /// Takes a word of `at`; gives whether it changes what is known.
+    /// Applies an update observed at `at`; returns whether it changes the known state.
     pub fn learn(&mut self, life: EngineLife, rate: Option<Rate>, at: Millis) -> bool {
         let known = self.known.get(&life);
         let same = known.map_or(rate.is_none(), |k| k.rate == rate);
@@ -69,43 +69,43 @@
         }
         self.serial += 1;
         self.known.insert(life, Known { rate, at, serial: self.serial });
-        news::bound(&mut self.known, |k| k.at, MOST);
+        news::bound(&mut self.known, |k| k.at, MAX_LIMITS);
         true
     }
 
-    /// Takes the limit of an engine from a record of the store; gives whether nothing was known of the engine.
+    /// Applies the limit of an engine from a stored record; returns whether the engine was unknown.
     ///
-    /// How old the record is is not known: it counts as no younger than any word that nodes still tell.
+    /// The age of the record is unknown, so it counts as older than any update that nodes still announce.
     pub fn restore(&mut self, life: EngineLife, limit: LimitEntry, now: Millis) -> bool {
         if limit.in_probes {
             self.in_probes.insert(life.clone());
         }
         let unknown = !self.known.contains_key(&life);
-        unknown && self.learn(life, Some(limit.rate), now.saturating_sub(END_TOLD).max(1))
+        unknown && self.learn(life, Some(limit.rate), now.saturating_sub(LIFTED_TTL_MS).max(1))
     }
 
-    /// Whether answers to nodes' own questions name the limit of an engine, as a record of the store says.
+    /// Whether probe responses of an engine state its limit, according to a stored record.
     pub fn is_in_probes(&self, life: &EngineLife) -> bool {
         self.in_probes.contains(life)
     }
 
-    /// The limit of an engine and since when it is known, if it names one.
+    /// Limit of an engine and the time it was observed, if there is one.
     pub fn of(&self, life: &EngineLife) -> Option<(Rate, Millis)> {
         self.known.get(life).and_then(|k| Some((k.rate?, k.at)))
     }
 
-    /// The engines that name a limit, with it.
+    /// Engines with a limit in force.
     pub fn named(&self) -> impl Iterator<Item = (EngineLife, Rate)> {
         self.known.iter().filter_map(|(life, k)| Some((life.clone(), k.rate?)))
     }
 
-    /// Forgets engines that are not to be kept, and ends of limits that all nodes have heard of.
+    /// Removes engines that `keep` rejects, and lifted limits whose announcement has expired.
     pub fn retain(&mut self, keep: impl Fn(&EngineLife) -> bool, now: Millis) {
-        self.known.retain(|life, k| keep(life) && (k.rate.is_some() || now < k.at + END_TOLD));
+        self.known.retain(|life, k| keep(life) && (k.rate.is_some() || now < k.at + LIFTED_TTL_MS));
         self.in_probes.retain(|life| self.known.contains_key(life));
     }
 
-    /// At most so many words that came after the one with this serial; and the serial up to which all is known then.
+    /// At most `most` updates after `serial`, and the serial up to which they are complete.
     pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<LimitUpdate>, u64) {
         let (new, upto) = news::since(&self.known, |k| k.serial, serial, most, self.serial);
         let told = |(life, k): (&EngineLife, &Known)| LimitUpdate {
