--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,11 +1,11 @@
-//! Admission to a node: lowest priority shed first, and no account above its share under load.
+//! Admission control of a node: sheds the lowest priority first, and limits accounts to their share under load.
 
 use std::collections::HashMap;
 
 use heathpitch_core::{Account, Name, Priority, Violation, check};
 
-/// Part of the capacity above which accounts are held to their shares.
-const CONTENDED: f64 = 0.5;
+/// Fraction of the capacity above which accounts are limited to their shares.
+const CONTENTION_THRESHOLD: f64 = 0.5;
 
 /// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -19,14 +19,14 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Use {
+struct Usage {
     open: u32,
     weight: u32,
 }
 
-/// Counts open requests by account and admits by priority and weight.
+/// Counts open requests by account, and admits requests by priority and weight.
 ///
-/// Nothing waits here: a request is admitted at once or refused at once.
+/// There is no queue: a request is admitted or rejected at once.
 ///
 /// # Examples
 ///
@@ -35,33 +35,33 @@
 /// use heathpitch_policy::{AdmissionControl, Shed};
 ///
 /// let desk = Account::new("desk".parse()?);
-/// let mut gate = AdmissionControl::new();
-/// (0..6).try_for_each(|_| gate.admit(&desk, Priority::Low, 10))?;
-/// assert_eq!(gate.admit(&desk, Priority::Low, 10), Ok(()));
-/// assert_eq!(gate.admit(&desk, Priority::Low, 10), Err(Shed::Full));
-/// assert_eq!(gate.admit(&desk, Priority::High, 10), Ok(()));
+/// let mut admission = AdmissionControl::new();
+/// (0..6).try_for_each(|_| admission.admit(&desk, Priority::Low, 10))?;
+/// assert_eq!(admission.admit(&desk, Priority::Low, 10), Ok(()));
+/// assert_eq!(admission.admit(&desk, Priority::Low, 10), Err(Shed::Full));
+/// assert_eq!(admission.admit(&desk, Priority::High, 10), Ok(()));
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionControl {
     open: u32,
     weights: u64,
-    uses: HashMap<Name, Use>,
+    usage: HashMap<Name, Usage>,
 }
 
-/// # Entering and leaving
+/// # Admission and release
 impl AdmissionControl {
-    /// A gate with nobody inside.
+    /// Creates a controller without open requests.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Requests inside.
+    /// Number of open requests.
     pub fn open(&self) -> u32 {
         self.open
     }
 
-    /// Lets a request in if a node of this `capacity` has room for it.
+    /// Admits a request if a node of this `capacity` has room for it.
     ///
     /// # Errors
     ///
@@ -69,9 +69,11 @@
     pub fn admit(&mut self, account: &Account, at: Priority, capacity: u32) -> Result<(), Shed> {
         let room = f64::from(capacity.max(1));
         let after = f64::from(self.open + 1);
-        match self.uses.get(&account.name).copied().unwrap_or_default() {
-            _ if after > room * ceiling(at) => Err(Shed::Full),
-            used if after > room * CONTENDED && used.open >= self.share(account, room) => {
+        match self.usage.get(&account.name).copied().unwrap_or_default() {
+            _ if after > room * max_fill(at) => Err(Shed::Full),
+            used if after > room * CONTENTION_THRESHOLD
+                && used.open >= self.share(account, room) =>
+            {
                 Err(Shed::Share)
             }
             _ => {
@@ -81,15 +83,15 @@
         }
     }
 
-    /// Counts a request out.
+    /// Releases the slot of a request.
     pub fn release(&mut self, account: &Name) {
         check(Violation::OpenCount, self.open > 0);
         self.open = self.open.saturating_sub(1);
-        match self.uses.get_mut(account) {
+        match self.usage.get_mut(account) {
             Some(used) if used.open > 1 => used.open -= 1,
             Some(used) => {
                 self.weights = self.weights.saturating_sub(used.weight.into());
-                self.uses.remove(account);
+                self.usage.remove(account);
             }
             None => check(Violation::OpenCount, false),
         }
@@ -97,7 +99,7 @@
 
     fn count(&mut self, account: &Account) {
         self.open += 1;
-        let used = self.uses.entry(account.name.clone()).or_default();
+        let used = self.usage.entry(account.name.clone()).or_default();
         used.open += 1;
         if used.open == 1 {
             used.weight = account.weight;
@@ -105,19 +107,19 @@
         }
     }
 
-    /// Requests the account may have open: its weight among all inside, itself counted.
+    /// Requests the account may have open, by its weight among all active accounts including itself.
     fn share(&self, account: &Account, room: f64) -> u32 {
-        let inside = match self.uses.contains_key(&account.name) {
+        let total = match self.usage.contains_key(&account.name) {
             true => self.weights,
             false => self.weights + u64::from(account.weight),
         };
-        let part = f64::from(account.weight) / inside.max(1) as f64;
+        let part = f64::from(account.weight) / total.max(1) as f64;
         (room * part).ceil().max(1.0) as u32
     }
 }
 
-/// Part of the capacity a priority may fill.
-fn ceiling(at: Priority) -> f64 {
+/// Fraction of the capacity that requests of a priority may fill.
+fn max_fill(at: Priority) -> f64 {
     match at {
         Priority::Low => 0.7,
         Priority::Normal => 0.9,
--- a/crates/policy/src/bucket.rs
+++ b/crates/policy/src/bucket.rs
@@ -24,12 +24,12 @@
 }
 
 impl Bucket {
-    /// A full bucket that gains `rate` a second up to `burst`.
+    /// Creates a full bucket that gains `rate` tokens per second up to `burst`.
     pub fn new(rate: f64, burst: f64, now: Millis) -> Self {
         Self { rate, burst, level: burst, at: now }
     }
 
-    /// Changes the rate and burst, keeping what is in the bucket.
+    /// Changes the rate and burst, keeping the level.
     pub fn set(&mut self, rate: f64, burst: f64, now: Millis) {
         self.refill(now);
         self.rate = rate;
@@ -37,11 +37,11 @@
         self.level = self.level.min(burst);
     }
 
-    /// Takes one.
+    /// Takes one token.
     ///
     /// # Errors
     ///
-    /// Milliseconds until one is there.
+    /// Milliseconds until a token is available.
     pub fn take(&mut self, now: Millis) -> Result<(), Millis> {
         self.refill(now);
         match self.level {
@@ -53,25 +53,25 @@
         }
     }
 
-    /// Whether nothing was taken for as long as it takes to fill.
+    /// Whether the bucket is full.
     pub fn is_full(&mut self, now: Millis) -> bool {
         self.refill(now);
         self.level >= self.burst
     }
 
-    /// Takes any amount; what is not there is owed.
+    /// Takes any amount; the level may become negative.
     pub fn spend(&mut self, amount: f64) {
         self.level -= amount;
     }
 
-    /// Puts one back that was not used.
+    /// Returns an unused token.
     pub fn untake(&mut self) {
         self.level = (self.level + 1.0).min(self.burst);
     }
 
     fn refill(&mut self, now: Millis) {
-        let gone = now.saturating_sub(self.at);
-        self.level = (self.level + self.rate * gone as f64 / 1_000.0).min(self.burst);
+        let elapsed = now.saturating_sub(self.at);
+        self.level = (self.level + self.rate * elapsed as f64 / 1_000.0).min(self.burst);
         self.at = self.at.max(now);
     }
 }
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,20 +1,20 @@
-//! Retry budgets and the time told to callers to come back.
+//! Retry budgets and retry times for rejected clients.
 
 use heathpitch_core::Millis;
 use rand::Rng;
 
-/// Retries earned by each request, in thousandths of a retry.
-const EARN: u32 = 200;
-/// Price of a retry, in the same unit.
-const PRICE: u32 = 1_000;
-/// Most that can be saved up: a hundred retries.
-const MAX: u32 = 100 * PRICE;
-/// Shortest time told, milliseconds.
-const BACK_MIN: Millis = 1_000;
-/// Longest time told, milliseconds.
-const BACK_MAX: Millis = 30_000;
+/// Credit earned by each request, in thousandths of a retry.
+const CREDIT: u32 = 200;
+/// Cost of a retry, in the same unit.
+const COST: u32 = 1_000;
+/// Largest balance: a hundred retries.
+const MAX_BALANCE: u32 = 100 * COST;
+/// Shortest retry time before jitter, milliseconds.
+const RETRY_MIN_MS: Millis = 1_000;
+/// Longest retry time before jitter, milliseconds.
+const RETRY_MAX_MS: Millis = 30_000;
 
-/// Bounds retries to a fifth of requests, so that they cannot amplify an overload.
+/// Limits retries to a fifth of requests, so that they cannot amplify an overload.
 ///
 /// # Examples
 ///
@@ -30,25 +30,25 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
-    saved: u32,
+    balance: u32,
 }
 
 impl RetryBudget {
-    /// A budget with a hundred retries saved.
+    /// Creates a budget with a balance of a hundred retries.
     pub fn new() -> Self {
-        Self { saved: MAX }
+        Self { balance: MAX_BALANCE }
     }
 
     /// Counts a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARN).min(MAX);
+        self.balance = (self.balance + CREDIT).min(MAX_BALANCE);
     }
 
-    /// Takes one retry, if one is saved.
+    /// Takes one retry, if the balance covers it.
     pub fn spend(&mut self) -> bool {
-        match self.saved.checked_sub(PRICE) {
+        match self.balance.checked_sub(COST) {
             Some(rest) => {
-                self.saved = rest;
+                self.balance = rest;
                 true
             }
             None => false,
@@ -62,8 +62,8 @@
     }
 }
 
-/// When a refused caller should come back: `least` or more, spread over as long again.
+/// Time after which a rejected client should retry: at least `least`, with jitter of up to the same amount.
 pub fn retry_after(least: Millis, rng: &mut impl Rng) -> Millis {
-    let base = least.clamp(BACK_MIN, BACK_MAX);
+    let base = least.clamp(RETRY_MIN_MS, RETRY_MAX_MS);
     base + rng.random_range(0..=base)
 }
--- a/crates/policy/src/engine_limit.rs
+++ b/crates/policy/src/engine_limit.rs
@@ -18,7 +18,7 @@
 use heathpitch_core::{Millis, Rate};
 
 use crate::Backpressure;
-use crate::rights::used;
+use crate::rights::target_rate;
 
 /// Least age of the last response with a limit before two without one lift it, milliseconds: single responses may
 /// omit the limit.
@@ -194,7 +194,7 @@
         let missed = due == 0 || now >= due + SELF_ISSUED_TTL_MS;
         let issued = !missed && now >= due;
         if missed || issued {
-            let share = used(rate) * SELF_ISSUED_SHARE / f64::from(nodes.max(1));
+            let share = target_rate(rate) * SELF_ISSUED_SHARE / f64::from(nodes.max(1));
             // Exponential intervals of a Poisson process.
             let pause = -(1.0 - draw.clamp(0.0, 0.999_999)).ln() / share * 1e3;
             self.next_own.store(now + pause as Millis + 1, Relaxed);
--- a/crates/policy/src/engine_stats.rs
+++ b/crates/policy/src/engine_stats.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one engine: from its own requests, and by the engine's word.
+//! Load and latency of one engine, from this node's requests and the engine's reports.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
@@ -7,43 +7,43 @@
 
 use crate::{Backpressure, Gauge, Occupancy};
 
-/// Time for which a load told by an engine is believed, milliseconds.
-const LOAD_AGE: Millis = 1_000;
-/// Weight of the newest time in the running mean, as a fraction of 8.
-const GAIN: u64 = 2;
-/// Age at which a running mean says nothing any more, milliseconds.
-const MEAN_AGE: Millis = 2_500;
-/// Age at which an engine's report says nothing any more, milliseconds: two questions and the time
-/// that a report is late by itself.
-pub(crate) const REPORT_AGE: Millis = 2_500;
-/// Least and most factor that an engine's own word is believed.
-const PACE: std::ops::RangeInclusive<f64> = 1.0..=50.0;
-/// Parts that a factor is kept in.
-const PARTS: f64 = 1e3;
-/// Time that each own request which waits adds to the wait expected, milliseconds: about a pass.
-const WAIT: f64 = 25.0;
-
-/// Open requests, the memory they hold, the load the engine told last, and doubt.
+/// Time for which a load reported by an engine is valid, milliseconds.
+const LOAD_TTL_MS: Millis = 1_000;
+/// Weight of the newest sample in the moving average, in eighths.
+const GAIN_EIGHTHS: u64 = 2;
+/// Age at which the moving average has decayed to nothing, milliseconds.
+const MEAN_TTL_MS: Millis = 2_500;
+/// Time for which an engine's report is valid, milliseconds: two poll intervals plus the delay of the report
+/// itself.
+pub(crate) const REPORT_TTL_MS: Millis = 2_500;
+/// Range that a reported slowdown is clamped to.
+const SLOWDOWN_RANGE: std::ops::RangeInclusive<f64> = 1.0..=50.0;
+/// Fixed-point scale of a stored slowdown.
+const SLOWDOWN_SCALE: f64 = 1e3;
+/// Expected wait added by each waiting request of this node, milliseconds: about one forward pass.
+const WAIT_PER_REQUEST_MS: f64 = 25.0;
+
+/// Open requests, the memory they hold, the last reported load, latency and suspicion.
 ///
-/// Soft state: a stale value costs speed, never a promise.
+/// Soft state: a stale value affects performance, never correctness.
 #[derive(Debug, Default)]
 pub struct EngineStats {
     gauge: Gauge,
     occupancy: Occupancy,
-    told: AtomicU32,
-    told_at: AtomicU64,
+    reported_load: AtomicU32,
+    loaded_at: AtomicU64,
     mean: AtomicU64,
     mean_at: AtomicU64,
     waiting: AtomicU32,
-    crowded: AtomicU64,
-    pace: AtomicU64,
+    deprioritized: AtomicU64,
+    slowdown: AtomicU64,
     reported_at: AtomicU64,
     backpressure: Arc<Backpressure>,
 }
 
 /// # Construction
 impl EngineStats {
-    /// What is known of an engine that asked for this, and nothing else.
+    /// Creates empty statistics of an engine with this backpressure.
     pub fn of(backpressure: Arc<Backpressure>) -> Self {
         Self { backpressure, ..Self::default() }
     }
@@ -63,91 +63,92 @@
         self.occupancy.sub(tokens, now);
     }
 
-    /// Takes the load that the engine told at `now`: requests that run or wait there.
+    /// Records the load that the engine reported at `now`: requests running or queued there.
     pub fn record_load(&self, load: u32, now: Millis) {
-        self.told.store(load, Relaxed);
-        self.told_at.store(now, Relaxed);
+        self.reported_load.store(load, Relaxed);
+        self.loaded_at.store(now, Relaxed);
     }
 
-    /// Takes an engine's report of `at`: by what factor it is slower than its card.
-    pub fn record_slowdown(&self, pace: f64, at: Millis) {
-        self.pace.store((pace * PARTS) as u64, Relaxed);
+    /// Records the slowdown that the engine reported at `at`: its step time relative to that expected of its accelerator.
+    pub fn record_slowdown(&self, slowdown: f64, at: Millis) {
+        self.slowdown.store((slowdown * SLOWDOWN_SCALE) as u64, Relaxed);
         self.reported_at.store(at, Relaxed);
     }
 
-    /// Prefers other engines until `until`: this one had no room.
+    /// Prefers other engines until `until`, because this one had no capacity.
     pub fn deprioritize(&self, until: Millis) {
-        self.crowded.fetch_max(until, Relaxed);
+        self.deprioritized.fetch_max(until, Relaxed);
     }
 
-    /// Counts a request that waits for its first answer.
+    /// Counts a request that starts waiting for its first response.
     pub fn wait_began(&self) {
         self.waiting.fetch_add(1, Relaxed);
     }
 
-    /// Counts a request that waits no longer.
+    /// Counts a request that stops waiting.
     pub fn wait_ended(&self) {
         self.waiting.fetch_sub(1, Relaxed);
     }
 
-    /// Takes the time that a first answer took.
+    /// Records the time to a first response.
     pub fn record_latency(&self, ms: Millis, now: Millis) {
         self.mean_at.store(now, Relaxed);
         let old = self.mean.load(Relaxed);
         let sample = ms * 1_000;
-        let new = if old == 0 { sample } else { (old * (8 - GAIN) + sample * GAIN) / 8 };
+        let new =
+            if old == 0 { sample } else { (old * (8 - GAIN_EIGHTHS) + sample * GAIN_EIGHTHS) / 8 };
         self.mean.store(new, Relaxed);
     }
 }
 
 /// # Reading
 impl EngineStats {
-    /// Open requests and doubt.
+    /// Open requests and suspicion.
     pub fn gauge(&self) -> &Gauge {
         &self.gauge
     }
 
-    /// What it asked for.
+    /// Backpressure of the engine.
     pub fn backpressure(&self) -> &Arc<Backpressure> {
         &self.backpressure
     }
 
-    /// Memory that requests hold there.
+    /// Memory held by requests at the engine.
     pub fn occupancy(&self) -> &Occupancy {
         &self.occupancy
     }
 
-    /// Requests that run or wait at the engine, as far as is known at `now`.
+    /// Requests known at `now` to run or wait at the engine.
     pub fn load(&self, now: Millis) -> u32 {
         let own = self.gauge.count();
-        match now.saturating_sub(self.told_at.load(Relaxed)) {
-            age if age <= LOAD_AGE => own.max(self.told.load(Relaxed)),
+        match now.saturating_sub(self.loaded_at.load(Relaxed)) {
+            age if age <= LOAD_TTL_MS => own.max(self.reported_load.load(Relaxed)),
             _ => own,
         }
     }
 
-    /// Factor by which the engine is slower than its card, as far as is known at `now`.
+    /// Factor by which the engine is slower than expected of its accelerator, as known at `now`.
     pub fn slowdown(&self, now: Millis) -> f64 {
         let at = self.reported_at.load(Relaxed);
-        if at == 0 || now.saturating_sub(at) > REPORT_AGE {
+        if at == 0 || now.saturating_sub(at) > REPORT_TTL_MS {
             return 1.0;
         }
-        let pace = self.pace.load(Relaxed) as f64 / PARTS;
-        pace.clamp(*PACE.start(), *PACE.end())
+        let slowdown = self.slowdown.load(Relaxed) as f64 / SLOWDOWN_SCALE;
+        slowdown.clamp(*SLOWDOWN_RANGE.start(), *SLOWDOWN_RANGE.end())
     }
 
     /// Whether other engines are preferred at `now`.
     pub fn is_deprioritized(&self, now: Millis) -> bool {
-        self.crowded.load(Relaxed) > now
+        self.deprioritized.load(Relaxed) > now
     }
 
-    /// Wait for a first answer to expect at `now`, milliseconds.
+    /// Expected wait for a first response at `now`, milliseconds.
     ///
-    /// The running mean fades with its age, so that an engine that was slow is tried again.
+    /// The moving average decays with its age, so that an engine that was slow is tried again.
     pub fn wait_ms(&self, now: Millis) -> f64 {
-        let age = now.saturating_sub(self.mean_at.load(Relaxed)).min(MEAN_AGE);
-        let fade = 1.0 - age as f64 / MEAN_AGE as f64;
+        let age = now.saturating_sub(self.mean_at.load(Relaxed)).min(MEAN_TTL_MS);
+        let decay = 1.0 - age as f64 / MEAN_TTL_MS as f64;
         let mean = self.mean.load(Relaxed) as f64 / 1e3;
-        mean * fade + f64::from(self.waiting.load(Relaxed)) * WAIT
+        mean * decay + f64::from(self.waiting.load(Relaxed)) * WAIT_PER_REQUEST_MS
     }
 }
--- a/crates/policy/src/gauge.rs
+++ b/crates/policy/src/gauge.rs
@@ -1,55 +1,55 @@
-//! Counts of one upstream that traffic threads share without a lock.
+//! Open requests and suspicion of one upstream, shared between traffic threads without a lock.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
 
 use heathpitch_core::{Millis, Violation, check};
 
-/// Time for which a failure keeps new work away, milliseconds.
+/// Time for which a failed upstream gets no new requests, milliseconds.
 const SUSPECT_MS: Millis = 3_000;
 
-/// This node's own open requests on an upstream, and the doubt it is under.
+/// This node's open requests on an upstream, and whether the upstream is suspected to have failed.
 ///
-/// Soft state: a stale value costs speed, never a promise.
+/// Soft state: a stale value affects performance, never correctness.
 #[derive(Debug, Default)]
 pub struct Gauge {
     open: AtomicU32,
-    doubted: AtomicU64,
+    suspect: AtomicU64,
 }
 
 impl Gauge {
-    /// Counts a request opened.
+    /// Counts a request as opened.
     pub fn open(&self) {
         self.open.fetch_add(1, Relaxed);
     }
 
-    /// Counts a request closed.
+    /// Counts a request as closed.
     pub fn close(&self) {
         let before = self.open.fetch_sub(1, Relaxed);
         check(Violation::OpenCount, before > 0);
     }
 
-    /// Requests open now.
+    /// Number of open requests.
     pub fn count(&self) -> u32 {
         self.open.load(Relaxed)
     }
 
-    /// Keeps new work away until `until`.
+    /// Sends no new requests until `until`.
     pub fn suspect_until(&self, until: Millis) {
-        self.doubted.fetch_max(until, Relaxed);
+        self.suspect.fetch_max(until, Relaxed);
     }
 
-    /// Takes note of a failure at `now`: new work is kept away for three seconds.
+    /// Records a failure at `now`, which stops new requests for three seconds.
     pub fn record_failure(&self, now: Millis) {
         self.suspect_until(now + SUSPECT_MS);
     }
 
-    /// Lifts the doubt.
+    /// Allows new requests again.
     pub fn clear_suspicion(&self) {
-        self.doubted.store(0, Relaxed);
+        self.suspect.store(0, Relaxed);
     }
 
-    /// Whether new work is kept away at `now`.
+    /// Whether the upstream gets no new requests at `now`.
     pub fn is_suspect(&self, now: Millis) -> bool {
-        self.doubted.load(Relaxed) > now
+        self.suspect.load(Relaxed) > now
     }
 }
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -1,26 +1,26 @@
-//! Memory that requests hold at an engine, of this node and of all others.
+//! Memory at an engine held by the requests of this node and of all others.
 //!
-//! A node knows at once what its own requests hold, and by the engine's report, some hundred
-//! milliseconds late, what those of all nodes held. What all hold now is taken to be what they held
-//! then, grown as this node's own requests grew since. Alone, a node's own count says
-//! little: callers are spread by a hash, and a node with a third of a domain's callers takes a full
-//! engine for two thirds full.
+//! A node knows at once what its own requests hold. What the requests of all nodes held it learns from the engine's
+//! report, some hundred milliseconds late. The current total is estimated as the reported one, scaled with
+//! the change of this node's own requests since. A node's own count alone is a poor estimate: clients are spread by a
+//! hash, and a node with a third of a domain's clients would take a full engine for two thirds full.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 use heathpitch_core::Millis;
 
-use crate::engine_stats::REPORT_AGE;
+use crate::engine_stats::REPORT_TTL_MS;
 
-/// Span of an entry of the history, milliseconds: a part of the time that a report is late.
-const SPAN: Millis = 100;
-/// Entries of the history; together they reach back further than a report is believed.
-const SPANS: usize = 32;
-/// Bits of an entry that hold tokens; the others hold the number of its span.
+/// Interval of a history entry, milliseconds: a fraction of the delay of a report.
+const INTERVAL_MS: Millis = 100;
+/// Entries of the history; together they cover more than the lifetime of a report.
+const ENTRIES: usize = 32;
+/// Bits of an entry that hold tokens; the others hold the number of its interval.
 const TOKEN_BITS: u32 = 40;
+
 /// Tokens held at an engine.
 ///
-/// Soft state: a stale value costs speed, never a promise.
+/// Soft state: a stale value affects performance, never correctness.
 ///
 /// # Examples
 ///
@@ -37,11 +37,11 @@
 #[derive(Debug)]
 pub struct Occupancy {
     own: AtomicU64,
-    history: [AtomicU64; SPANS],
-    /// What the engine held, and of that this node's own, at `told_at`.
-    told: AtomicU64,
-    told_own: AtomicU64,
-    told_at: AtomicU64,
+    history: [AtomicU64; ENTRIES],
+    /// Tokens the engine held at `reported_at`, and this node's part of them.
+    reported: AtomicU64,
+    reported_own: AtomicU64,
+    reported_at: AtomicU64,
 }
 
 impl Default for Occupancy {
@@ -49,70 +49,71 @@
         Self {
             own: AtomicU64::new(0),
             history: std::array::from_fn(|_| AtomicU64::new(0)),
-            told: AtomicU64::new(0),
-            told_own: AtomicU64::new(0),
-            told_at: AtomicU64::new(0),
+            reported: AtomicU64::new(0),
+            reported_own: AtomicU64::new(0),
+            reported_at: AtomicU64::new(0),
         }
     }
 }
 
 /// # Counting
 impl Occupancy {
-    /// Counts an own request of `tokens` tokens that begins.
+    /// Counts the start of this node's request of `tokens` tokens.
     pub fn add(&self, tokens: u64, now: Millis) {
         let own = self.own.fetch_add(tokens, Relaxed) + tokens;
-        self.note(own, now);
+        self.record(own, now);
     }
 
-    /// Counts an own request of `tokens` tokens that ends.
+    /// Counts the end of this node's request of `tokens` tokens.
     pub fn sub(&self, tokens: u64, now: Millis) {
         let own = self.own.fetch_sub(tokens, Relaxed).saturating_sub(tokens);
-        self.note(own, now);
+        self.record(own, now);
     }
 
-    /// Takes the engine's word for what it held at `at`.
+    /// Records the tokens that the engine reports to have held at `at`.
     pub fn report(&self, tokens: u64, at: Millis) {
-        self.told.store(tokens, Relaxed);
-        self.told_own.store(self.own_at(at), Relaxed);
-        self.told_at.store(at.max(1), Relaxed);
+        self.reported.store(tokens, Relaxed);
+        self.reported_own.store(self.own_at(at), Relaxed);
+        self.reported_at.store(at.max(1), Relaxed);
     }
 
-    fn note(&self, own: u64, now: Millis) {
-        let span = now / SPAN + 1;
-        let entry = (span << TOKEN_BITS) | (own & ((1 << TOKEN_BITS) - 1));
-        self.history[span as usize % SPANS].store(entry, Relaxed);
+    fn record(&self, own: u64, now: Millis) {
+        let interval = now / INTERVAL_MS + 1;
+        let entry = (interval << TOKEN_BITS) | (own & ((1 << TOKEN_BITS) - 1));
+        self.history[interval as usize % ENTRIES].store(entry, Relaxed);
     }
 }
 
 /// # Reading
 impl Occupancy {
-    /// Tokens of own requests.
+    /// Tokens of this node's requests.
     pub fn own(&self) -> u64 {
         self.own.load(Relaxed)
     }
 
-    /// Tokens of all nodes' requests, as far as is known at `now`; `beside` nodes send it requests.
-    pub fn held(&self, beside: u32, now: Millis) -> f64 {
+    /// Estimated tokens of all nodes' requests at `now`, if `nodes` nodes use the engine.
+    pub fn held(&self, nodes: u32, now: Millis) -> f64 {
         let own = self.own() as f64;
         if self.age(now).is_none() {
-            return own * f64::from(beside.max(1));
+            return own * f64::from(nodes.max(1));
         }
-        let (told, then) = (self.told.load(Relaxed) as f64, self.told_own.load(Relaxed) as f64);
-        // Requests of all nodes that one of this node stands for.
-        let share = (told / then.max(1.0)).clamp(1.0, f64::from(beside.max(1)));
-        (told + (own - then) * share).max(own)
+        let (reported, then) =
+            (self.reported.load(Relaxed) as f64, self.reported_own.load(Relaxed) as f64);
+        // Requests of all nodes per request of this node.
+        let share = (reported / then.max(1.0)).clamp(1.0, f64::from(nodes.max(1)));
+        (reported + (own - then) * share).max(own)
     }
 
-    /// Age of the engine's word at `now`, if it is believed.
+    /// Age of the engine's report at `now`, if it is still valid.
     pub fn age(&self, now: Millis) -> Option<Millis> {
-        let at = self.told_at.load(Relaxed);
+        let at = self.reported_at.load(Relaxed);
         let age = now.saturating_sub(at);
-        (at > 0 && age <= REPORT_AGE).then_some(age)
+        (at > 0 && age <= REPORT_TTL_MS).then_some(age)
     }
 
-    /// Tokens of own requests at an earlier time.
+    /// Tokens of this node's requests at an earlier time.
     fn own_at(&self, at: Millis) -> u64 {
-        let until = at / SPAN + 1;
+        let until = at / INTERVAL_MS + 1;
         let entries = self.history.iter().map(|e| e.load(Relaxed));
         let before = entries.filter(|e| *e > 0 && e >> TOKEN_BITS <= until);
         before.max().map_or(0, |e| e & ((1 << TOKEN_BITS) - 1))
--- a/crates/policy/src/retry_schedule.rs
+++ b/crates/policy/src/retry_schedule.rs
@@ -1,62 +1,62 @@
-//! When callers that were refused for want of room are to come back.
+//! Retry times for clients rejected for lack of capacity.
 //!
-//! A caller that comes back into the same overload is refused once more, and has waited for nothing. So
-//! callers are told different times, one after the other, as fast as room frees beyond what new
-//! callers take, and none sooner than an overload usually lasts.
+//! A client that retries during the same overload is rejected again and has waited in vain. So clients
+//! get staggered retry times, at the rate at which capacity becomes free beyond what new requests
+//! take, and none earlier than an overload usually lasts.
 
 use heathpitch_core::Millis;
 use rand::Rng;
 
-/// Shortest time told, milliseconds: a lost engine's layers are loaded, and a burst of callers is over,
-/// in two to four seconds.
-const LEAST: Millis = 2_000;
-/// Part of the streams let in now that may come back in the same time: about what a fleet with its
-/// usual load has room for beside that.
-const SHARE: f64 = 0.25;
-/// Part of a caller's time that it waits at most before it comes back: with the rest it is served.
-const WAIT_SHARE: f64 = 0.3;
-/// Time over which the streams let in are counted, milliseconds.
-const SPAN: f64 = 2_000.0;
-/// Least rate at which callers come back, a millisecond: a node that lets nobody in now will again.
-const RATE_LEAST: f64 = 0.002;
+/// Shortest retry time, milliseconds: loading the layers of a lost engine, and a burst of requests, take
+/// two to four seconds.
+const MIN_DELAY_MS: Millis = 2_000;
+/// Rate of retries as a fraction of the current admission rate: about the spare capacity of a fleet
+/// under its usual load.
+const RETRY_SHARE: f64 = 0.25;
+/// Largest fraction of a client's remaining time to wait before the retry; the rest is left for serving it.
+const MAX_WAIT_SHARE: f64 = 0.3;
+/// Time constant of the admission rate, milliseconds.
+const RATE_WINDOW_MS: f64 = 2_000.0;
+/// Least rate of retries per millisecond: a node that admits nothing now will do so again.
+const MIN_RETRIES_PER_MS: f64 = 0.002;
 
-/// Times told to callers of one service at one node.
+/// Retry times for the clients of one service at one node.
 ///
 /// # Examples
 ///
 /// ```
 /// use heathpitch_policy::RetrySchedule;
 ///
-/// let mut returns = RetrySchedule::default();
-/// (0..200).for_each(|i| returns.admit(i * 50));
+/// let mut schedule = RetrySchedule::default();
+/// (0..200).for_each(|i| schedule.admit(i * 50));
 /// let mut rng = rand::rng();
-/// let told: Vec<u64> = (0..5).map(|_| returns.refuse(20_000, 10_000, &mut rng)).collect();
+/// let told: Vec<u64> = (0..5).map(|_| schedule.refuse(20_000, 10_000, &mut rng)).collect();
 /// assert_eq!(told[0], 2_000);
 /// assert!(told.is_sorted() && told[4] > 2_500);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RetrySchedule {
-    /// When the next caller may come back.
+    /// Earliest time of the next retry.
     next: Millis,
-    /// Streams let in, each counted less the longer ago.
+    /// Streams admitted, exponentially decayed.
     admitted: f64,
     at: Millis,
 }
 
 /// # Events
 impl RetrySchedule {
-    /// Counts a stream that is let in at `now`.
+    /// Counts a stream admitted at `now`.
     pub fn admit(&mut self, now: Millis) {
-        self.fade(now);
+        self.decay(now);
         self.admitted += 1.0;
     }
 
-    /// Time after which a caller that is refused at `now` and has `left` milliseconds should come back.
+    /// Time after which a client rejected at `now`, with `left` milliseconds remaining, should retry.
     pub fn refuse(&mut self, left: Millis, now: Millis, rng: &mut impl Rng) -> Millis {
-        self.refuse_for(LEAST, left, now, rng)
+        self.refuse_for(MIN_DELAY_MS, left, now, rng)
     }
 
-    /// The same, where it is known that nobody is taken for `least` milliseconds.
+    /// The same, if no request can be admitted for `least` milliseconds.
     pub fn refuse_for(
         &mut self,
         least: Millis,
@@ -64,21 +64,21 @@
         now: Millis,
         rng: &mut impl Rng,
     ) -> Millis {
-        self.fade(now);
-        let most = (left as f64 * WAIT_SHARE) as Millis;
-        let rate = (self.admitted / SPAN * SHARE).max(RATE_LEAST);
+        self.decay(now);
+        let most = (left as f64 * MAX_WAIT_SHARE) as Millis;
+        let rate = (self.admitted / RATE_WINDOW_MS * RETRY_SHARE).max(MIN_RETRIES_PER_MS);
         let at = self.next.max(now + least);
         if at > now + most {
-            // More wait than can come back in time: their turns are drawn.
+            // Too many clients wait for all to retry in time: spread this one at random.
             return rng.random_range(most / 2..=most);
         }
         self.next = at + (1.0 / rate) as Millis;
         at - now
     }
 
-    fn fade(&mut self, now: Millis) {
+    fn decay(&mut self, now: Millis) {
         let age = now.saturating_sub(self.at) as f64;
-        self.admitted *= (-age / SPAN).exp();
+        self.admitted *= (-age / RATE_WINDOW_MS).exp();
         self.at = now;
     }
 }
--- a/crates/policy/src/retry_window.rs
+++ b/crates/policy/src/retry_window.rs
@@ -1,48 +1,49 @@
-//! Second sends within a sliding window.
+//! Retry limit over a sliding window.
 
 use std::collections::VecDeque;
 
 use heathpitch_core::Millis;
 
-/// Parts of a window that are counted apart.
-const PARTS: u64 = 20;
-/// Share of what is agreed that is used: calls and second sends arrive at an engine later than they are counted here.
+/// Buckets that a window is divided into.
+const BUCKETS: u64 = 20;
+/// Fraction of the agreed limit that is used, because calls and retries reach an engine later than they are counted here.
 const MARGIN: f64 = 0.85;
-/// Windows for which a node keeps its rounding: a window in which that changes may hold what both let through.
+/// Windows for which a node keeps its rounding: a window in which it changes may contain the retries allowed by both
+/// values.
 const ROUNDING_WINDOWS: u64 = 6;
-/// Nodes that draw anew at about the same time have seeds this much further apart for what they draw, so that they do not
-/// all round up together.
+/// Factor that spreads the seeds of nodes that change their rounding at about the same time, so that they do not all
+/// round up together.
 const SEED_SPREAD: f64 = 4_096.0;
-/// Its multiples are spread evenly over the parts of one.
+/// Fractional parts of its multiples are evenly distributed over 0 to 1.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// What is agreed for a fleet, or one node's share of it.
+/// Retry limit agreed for a fleet, or one node's share of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryShare {
-    /// Second sends for each call.
+    /// Retries allowed per call.
     pub ratio: f64,
-    /// Second sends beyond that, in any window.
+    /// Retries allowed beyond that, in any window.
     pub slack: f64,
     /// Length of a window.
     pub window: Millis,
 }
 
 impl RetryShare {
-    /// A node's share at `now` of what is agreed for a fleet of so many nodes.
+    /// One node's share at `now` of the limit for a fleet of `nodes`.
     ///
-    /// A node's slack is a whole number of second sends. Rounded down it would leave most of what is agreed unused where it is
-    /// one or two, and one for each node at least would be more than is agreed for a large fleet. So a node rounds up or
-    /// down by a draw of `seed`, from 0 to 1, which it keeps for some windows: all nodes together send as many as they may.
+    /// A node's slack is a whole number of retries. Always rounding down would leave most of the limit unused when the
+    /// share is one or two, and at least one for each node would exceed the limit in a large fleet. So a node rounds
+    /// up or down at random, depending on `seed` (0 to 1), and keeps the choice for some windows: the shares of
+    /// all nodes add up to the limit.
     ///
-    /// Where the size of the fleet is not known a node has no part of the slack, since no assumed size holds for every
-    /// fleet.
+    /// If the size of the fleet is unknown a node gets no slack, since no assumed size is safe for every fleet.
     pub fn of_node(&self, nodes: Option<u32>, seed: f64, now: Millis) -> Self {
         let slack = nodes.map_or(0.0, |nodes| self.slack * MARGIN / f64::from(nodes.max(1)));
         let slack = (slack + self.rounding(seed, now)).floor();
         Self { ratio: self.ratio * MARGIN, slack, ..*self }
     }
 
-    /// What a node adds before rounding down; nodes draw it anew at different times.
+    /// Offset added before rounding down; it changes at a different time on each node.
     fn rounding(&self, seed: f64, now: Millis) -> f64 {
         let span = (self.window * ROUNDING_WINDOWS).max(1) as f64;
         let turn = (now as f64 / span + seed).floor();
@@ -50,10 +51,10 @@
     }
 }
 
-/// Holds one node's second sends to its share in every window.
+/// Limits one node's retries to its share in every window.
 ///
-/// Calls count over a window less a part, second sends over a window and a part, so that no window
-/// of the agreed length holds more, wherever it begins.
+/// Calls are counted over one bucket less than a window, and retries over one bucket more, so that no window of
+/// the agreed length contains more retries, wherever it starts.
 ///
 /// # Examples
 ///
@@ -70,11 +71,11 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RetryWindow {
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Part {
+struct Bucket {
     number: u64,
     calls: u32,
     spent: u32,
@@ -83,31 +84,31 @@
 impl RetryWindow {
     /// Counts a call.
     pub fn call(&mut self, share: &RetryShare, now: Millis) {
-        self.part(share, now).calls += 1;
+        self.bucket(share, now).calls += 1;
     }
 
-    /// Takes a second send, if the share has one left.
+    /// Takes a retry, if the share has one left.
     pub fn spend(&mut self, share: &RetryShare, now: Millis) -> bool {
-        let number = self.part(share, now).number;
-        let young = |p: &&Part| p.number + PARTS > number + 1;
-        let calls: u32 = self.parts.iter().filter(young).map(|p| p.calls).sum();
-        let spent: u32 = self.parts.iter().map(|p| p.spent).sum();
+        let number = self.bucket(share, now).number;
+        let young = |p: &&Bucket| p.number + BUCKETS > number + 1;
+        let calls: u32 = self.buckets.iter().filter(young).map(|p| p.calls).sum();
+        let spent: u32 = self.buckets.iter().map(|p| p.spent).sum();
         let most = share.slack + share.ratio * f64::from(calls);
         let left = f64::from(spent + 1) <= most;
         if left {
-            self.part(share, now).spent += 1;
+            self.bucket(share, now).spent += 1;
         }
         left
     }
 
-    /// The part of now; parts older than a window and a part are forgotten.
-    fn part(&mut self, share: &RetryShare, now: Millis) -> &mut Part {
-        let number = now / (share.window / PARTS).max(1);
-        self.parts.retain(|p| p.number + PARTS >= number);
-        if self.parts.back().is_none_or(|p| p.number < number) {
-            self.parts.push_back(Part { number, calls: 0, spent: 0 });
+    /// Current bucket; drops buckets older than a window and one bucket.
+    fn bucket(&mut self, share: &RetryShare, now: Millis) -> &mut Bucket {
+        let number = now / (share.window / BUCKETS).max(1);
+        self.buckets.retain(|p| p.number + BUCKETS >= number);
+        if self.buckets.back().is_none_or(|p| p.number < number) {
+            self.buckets.push_back(Bucket { number, calls: 0, spent: 0 });
         }
-        let last = self.parts.len() - 1;
-        &mut self.parts[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 }
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -1,9 +1,9 @@
-//! Rights to send requests to engines that name a limit, as the one node hands them out that plans an engine's
-//! failure domain.
+//! Rights to send requests to rate-limited engines, issued by the planner of an engine's failure domain.
 //!
-//! One right a request, at the rate of the limit: so the sum over all nodes is kept however many there are and whoever has the
-//! callers. Rights that were handed out before a node begins are not known to it, so it begins with next to none
-//! in hand. Who is told that there is none asks again when there may be one, all together at a bounded rate.
+//! Each request needs one right, and rights are issued at the rate of the limit. So the sum over all nodes stays
+//! within it, whatever their number and however clients are spread over them. A node that becomes the issuer does
+//! not know the rights issued before, so it starts with a nearly empty bucket. A node that gets no right is told when
+//! to ask again, such that all nodes together ask at a bounded rate.
 
 use std::collections::HashMap;
 
@@ -11,54 +11,55 @@
 
 use crate::{Bucket, EngineLife};
 
-/// Least rate, requests a second: one that takes next to nothing is asked now and then whether it still does.
-const RATE_LEAST: f64 = 0.25;
-/// Rights saved up for requests that come together, as seconds of the rate, and as a number; with what is
-/// handed out before they are used they stay within half of the rate and five, over four seconds.
-const SAVED_S: f64 = 0.3;
-const SAVED: f64 = 3.0;
-/// Rights in hand of a node that begins to hand them out, as seconds of the rate: of a high one nobody waits.
-const FIRST_S: f64 = 0.1;
-/// Time between two questions of all nodes together that find no right, milliseconds: a percent of a small VM.
-const QUESTION: Millis = 10;
-/// Time for which a node counts that asked, milliseconds.
-const ASKER: Millis = 1_500;
-/// Share by which waits are drawn apart.
-const SPREAD: f64 = 0.3;
-/// Time for which more is asked for than there is until a limit counts as one that binds, milliseconds: a burst of
-/// calls is over, and loads of layers take longer.
-const BINDS_AFTER: Millis = 1_000;
-/// Time without a question after which that begins anew, milliseconds.
-const SHORT_GAP: Millis = 2_000;
-/// Time for which nothing is kept of an engine that nobody asks for, milliseconds.
-const KEPT: Millis = 30_000;
+/// Least rate, requests per second: an engine with a limit near 0 still gets a request now and then, which shows whether
+/// the limit still applies.
+const MIN_RATE: f64 = 0.25;
+/// Burst of rights, as seconds of the rate plus a number. Together with the rights issued before they are used, it
+/// stays within half of the rate plus five over four seconds.
+const BURST_S: f64 = 0.3;
+const BURST: f64 = 3.0;
+/// Rights available to a new issuer, as seconds of the rate; at a high rate no request has to wait.
+const INITIAL_S: f64 = 0.1;
+/// Least interval between failing requests for rights, all nodes together, milliseconds: about a percent of a small VM.
+const REQUEST_INTERVAL_MS: Millis = 10;
+/// Time for which a node counts as requesting rights, milliseconds.
+const REQUESTER_TTL_MS: Millis = 1_500;
+/// Largest random extension of a wait, as a fraction of it.
+const JITTER: f64 = 0.3;
+/// Time of excess demand after which a limit counts as binding, milliseconds: longer than a burst of calls, shorter
+/// than a load of layers.
+const BINDING_DELAY_MS: Millis = 1_000;
+/// Time without a request after which excess demand is measured anew, milliseconds.
+const SHORTAGE_GAP_MS: Millis = 2_000;
+/// Time after which an engine without requests is removed, milliseconds.
+const IDLE_TTL_MS: Millis = 30_000;
 
-/// Requests a second that are sent in all to an engine which names this limit.
-pub(crate) fn used(limit: Rate) -> f64 {
-    limit.as_f64().max(RATE_LEAST)
+/// Total requests per second sent to an engine with this limit.
+pub(crate) fn target_rate(limit: Rate) -> f64 {
+    limit.as_f64().max(MIN_RATE)
 }
 
-/// What a node is handed out.
+/// Response to a request for rights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Rights.
+    /// Rights issued.
     pub given: u16,
-    /// Time after which asking again is worth it; 0 if all were given that were wanted.
+    /// Time after which to ask again; 0 if any were issued.
     pub wait: Millis,
 }
 
 #[derive(Clone, Debug)]
-struct Handed {
+struct Issued {
     bucket: Bucket,
-    askers: HashMap<Name, Millis>,
+    requesters: HashMap<Name, Millis>,
     at: Millis,
-    /// Since when more is asked for than there is.
-    short: Option<Millis>,
-    /// Whether that lasted.
-    binds: bool,
+    /// Since when demand has exceeded the limit.
+    shortage: Option<Millis>,
+    /// Whether the excess demand has lasted.
+    binding: bool,
 }
 
-/// Rights that one node hands out, by engine.
+/// Issuer of rights, by engine.
 ///
 /// # Examples
 ///
@@ -70,7 +71,7 @@
 /// let limit = Rate::from_thousandths(4_000);
 /// let (a, b) = ("n1".parse()?, "n2".parse()?);
 /// let mut rights = Rights::default();
-/// assert_eq!(rights.issue(&life, limit, &a, 1, 0.0, 0).given, 0, "next to none in hand at first");
+/// assert_eq!(rights.issue(&life, limit, &a, 1, 0.0, 0).given, 0, "nearly empty at first");
 /// assert_eq!(rights.issue(&life, limit, &a, 1, 0.0, 250).given, 1);
 /// let none = rights.issue(&life, limit, &b, 1, 0.0, 260);
 /// assert_eq!((none.given, none.wait), (0, 140));
@@ -78,11 +79,11 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Rights {
-    engines: HashMap<EngineLife, Handed>,
+    engines: HashMap<EngineLife, Issued>,
 }
 
 impl Rights {
-    /// Hands out up to `wanted` rights for an engine to a node; `draw`, from 0 to 1, spreads the time told to it.
+    /// Issues up to `wanted` rights for an engine to a node; `draw`, from 0 to 1, adds jitter to the wait.
     pub fn issue(
         &mut self,
         engine: &EngineLife,
@@ -92,56 +93,56 @@
         draw: f64,
         now: Millis,
     ) -> Grant {
-        let rate = used(limit);
-        let saved = rate * SAVED_S + SAVED.min(1.0 + 2.0 * limit.as_f64());
-        let handed = self.engines.entry(engine.clone()).or_insert_with(|| {
-            let mut bucket = Bucket::new(rate, saved, now);
-            bucket.spend((saved - rate * FIRST_S).max(0.0));
-            Handed { bucket, askers: HashMap::new(), at: now, short: None, binds: false }
+        let rate = target_rate(limit);
+        let burst = rate * BURST_S + BURST.min(1.0 + 2.0 * limit.as_f64());
+        let issued = self.engines.entry(engine.clone()).or_insert_with(|| {
+            let mut bucket = Bucket::new(rate, burst, now);
+            bucket.spend((burst - rate * INITIAL_S).max(0.0));
+            Issued { bucket, requesters: HashMap::new(), at: now, shortage: None, binding: false }
         });
-        handed.bucket.set(rate, saved, now);
-        if now >= handed.at + SHORT_GAP || handed.bucket.is_full(now) {
-            handed.short = None;
+        issued.bucket.set(rate, burst, now);
+        if now >= issued.at + SHORTAGE_GAP_MS || issued.bucket.is_full(now) {
+            issued.shortage = None;
         }
-        handed.at = now;
-        handed.askers.insert(node.clone(), now);
+        issued.at = now;
+        issued.requesters.insert(node.clone(), now);
         for given in 0..wanted {
-            if let Err(next) = handed.bucket.take(now) {
-                let since = *handed.short.get_or_insert(now);
-                handed.binds |= now >= since + BINDS_AFTER;
-                let wait = if given > 0 { 0 } else { handed.wait(next, draw, now) };
+            if let Err(next) = issued.bucket.take(now) {
+                let since = *issued.shortage.get_or_insert(now);
+                issued.binding |= now >= since + BINDING_DELAY_MS;
+                let wait = if given > 0 { 0 } else { issued.wait(next, draw, now) };
                 return Grant { given, wait };
             }
         }
         Grant { given: wanted, wait: 0 }
     }
 
-    /// Forgets all, when this node begins or ceases to hand out rights.
+    /// Removes all engines; called when this node becomes or stops being the issuer.
     pub fn clear(&mut self) {
         self.engines.clear();
     }
 
-    /// Whether more was asked for than an engine takes, for some time since it names its limit.
+    /// Whether demand for an engine exceeded its limit for some time since the limit applies.
     pub fn binds(&self, engine: &EngineLife) -> bool {
-        self.engines.get(engine).is_some_and(|h| h.binds)
+        self.engines.get(engine).is_some_and(|h| h.binding)
     }
 
-    /// Forgets an engine whose limit is over.
+    /// Removes an engine whose limit was lifted.
     pub fn remove(&mut self, engine: &EngineLife) {
         self.engines.remove(engine);
     }
 
-    /// Forgets engines that nobody asks for.
+    /// Removes engines without recent requests.
     pub fn expire(&mut self, now: Millis) {
-        self.engines.retain(|_, h| now < h.at + KEPT);
+        self.engines.retain(|_, h| now < h.at + IDLE_TTL_MS);
     }
 }
 
-impl Handed {
-    /// Time after which a node asks again that finds no right before `next` from now.
+impl Issued {
+    /// Time after which a node should ask again, if the next right is available after `next`.
     fn wait(&mut self, next: Millis, draw: f64, now: Millis) -> Millis {
-        self.askers.retain(|_, at| now < *at + ASKER);
-        let least = next.max(QUESTION * self.askers.len() as Millis);
-        least + (least as f64 * SPREAD * draw.clamp(0.0, 1.0)) as Millis
+        self.requesters.retain(|_, at| now < *at + REQUESTER_TTL_MS);
+        let least = next.max(REQUEST_INTERVAL_MS * self.requesters.len() as Millis);
+        least + (least as f64 * JITTER * draw.clamp(0.0, 1.0)) as Millis
     }
 }
