--- a/crates/policy/src/blocks.rs
+++ b/crates/policy/src/blocks.rs
@@ -3,13 +3,13 @@
 use heathpitch_core::Name;
 
 /// Token that starts every prompt.
-const START: u32 = 256;
+const START_TOKEN: u32 = 256;
 /// Tokens in a block.
 pub const BLOCK: usize = 16;
 
-/// Hashes of the whole blocks of a prompt, each chained to the one before.
+/// Hashes of the complete blocks of a prompt, each chained to the one before.
 ///
-/// The chain starts from the client account and the model, so that accounts never share a block. A
+/// The chain is seeded with the client account and the model, so that accounts never share a block. A
 /// prompt of `n` tokens can hit at most `n / 16` blocks, rounded down.
 ///
 /// # Examples
@@ -32,12 +32,12 @@
     chain.collect()
 }
 
-/// Tokens of a prompt as engines of this protocol count them: its bytes after a start token.
+/// Tokens of a prompt as engines of this protocol count them: a start token, then one per byte.
 pub fn prompt_tokens(prompt: &str) -> Vec<u32> {
-    std::iter::once(START).chain(prompt.bytes().map(u32::from)).collect()
+    std::iter::once(START_TOKEN).chain(prompt.bytes().map(u32::from)).collect()
 }
 
-/// Hashes a name after `seed`.
+/// Hashes a name with `seed`.
 pub(crate) fn text(name: &Name, seed: u64) -> u64 {
     name.as_str().bytes().fold(seed, |h, b| mix(h, u64::from(b) + 1))
 }
--- a/crates/policy/src/relay.rs
+++ b/crates/policy/src/relay.rs
@@ -1,18 +1,18 @@
-//! One request's attempts, from the first dispatch to the final answer.
+//! Attempts of one request, from the first dispatch to the final response.
 //!
-//! The relay lets one attempt at a time emit tokens, drops frames of older attempts, resumes at
-//! the first token not yet sent, and says of a request only what its evidence proves.
+//! The relay lets only one attempt at a time emit tokens, drops frames of earlier attempts, resumes at
+//! the first token not yet sent, and reports only an outcome that its evidence proves.
 
 use heathpitch_core::{Attempt, Evidence, Name, Outcome, Path, Violation, check};
 
 use crate::switch::{Mechanism, on};
 
-/// Whether a request may be dispatched again once it may have started.
+/// Whether a request that may have started may be dispatched again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may.
+    /// Dispatching it again is allowed.
     Allowed,
-    /// It may not.
+    /// It is never dispatched again.
     Never,
 }
 
@@ -21,42 +21,42 @@
 pub enum EndReason {
     /// The model ended it.
     Stop,
-    /// The wanted number of tokens is there.
+    /// The requested number of tokens was reached.
     Length,
 }
 
-/// How an attempt broke.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broken {
-    /// No connection was made; no byte left.
+    /// No connection was made, and no byte was sent.
     Unsent,
-    /// The upstream stated that it did not start.
+    /// The upstream reported that it did not start the request.
     Refused,
-    /// The upstream stated that a stage failed after the start.
+    /// The upstream reported that a stage failed after the start.
     Faulted,
-    /// The connection was lost, the answer malformed or the wait too long.
+    /// The connection was lost, the response was malformed, or the wait timed out.
     Lost,
 }
 
-/// Bounds of a request.
+/// Limits of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayPlan {
-    /// Tokens wanted.
+    /// Tokens requested.
     pub wanted: u32,
     /// Layers that every token must run.
     pub layers: u32,
-    /// Attempts allowed.
+    /// Most attempts.
     pub attempts: u32,
     /// Whether a started request may be dispatched again.
     pub repeat: Repeat,
 }
 
-/// Something that happened to a request.
+/// Event of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayEvent {
     /// A path was chosen for the next attempt.
     Chosen(Path),
-    /// No path can be had.
+    /// No path is available.
     NoPath,
     /// A token arrived.
     Token {
@@ -66,7 +66,7 @@
         position: u32,
         /// Its id.
         token: u32,
-        /// Layers that the engines say it ran.
+        /// Layers that it ran, according to the engines.
         layers: u32,
     },
     /// The upstream ended the answer.
@@ -78,42 +78,42 @@
         /// Why it ended.
         reason: EndReason,
     },
-    /// The attempt broke.
+    /// The attempt failed.
     Broken {
         /// Attempt it belongs to.
         attempt: Attempt,
-        /// How.
+        /// Kind of failure.
         how: Broken,
         /// Engine at fault, if known.
         engine: Option<Name>,
     },
-    /// The stream has been silent for too long; the engines that do not answer, if any was found.
+    /// The stream was silent for too long; holds the unresponsive engines, if any were found.
     Stalled(Vec<Name>),
-    /// The time for the request is over.
+    /// The deadline of the request has passed.
     Expired,
-    /// The caller has gone.
+    /// The client has disconnected.
     Abandoned,
 }
 
-/// What to do next.
+/// Action to take next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayAction {
-    /// Choose a path that avoids the named engines, then send [`RelayEvent::Chosen`].
+    /// Select a path that avoids the engines of [`Relay::avoid`], then send [`RelayEvent::Chosen`].
     Choose,
-    /// Send the request over the path, the first `resumed` tokens of the answer as prefix.
+    /// Send the request over the path, with the tokens sent so far as prefix.
     Dispatch {
-        /// Attempt to make.
+        /// Number of the attempt.
         attempt: Attempt,
         /// Path to take.
         path: Path,
     },
-    /// Pass a token to the caller.
+    /// Send a token to the client.
     Emit(u32),
-    /// Stop listening to an attempt and tell its upstream.
+    /// Stop reading an attempt, and cancel it at its upstream.
     Cancel(Attempt),
-    /// The answer is whole.
+    /// The answer is complete.
     Finish(EndReason),
-    /// Give the final answer at once; it is not whole.
+    /// Send the final response at once; the answer is incomplete.
     GiveUp(Outcome),
 }
 
@@ -144,12 +144,12 @@
     path: Option<Path>,
     sent: Vec<u32>,
     avoid: Vec<Name>,
-    seen: Evidence,
+    evidence: Evidence,
 }
 
 /// # Construction and reading
 impl Relay {
-    /// A request that waits for its first path.
+    /// Creates a request that waits for its first path.
     pub fn new(plan: RelayPlan) -> Self {
         Self {
             plan,
@@ -158,39 +158,39 @@
             path: None,
             sent: Vec::new(),
             avoid: Vec::new(),
-            seen: Evidence::new(),
+            evidence: Evidence::new(),
         }
     }
 
-    /// Tokens passed to the caller so far.
+    /// Tokens sent to the client so far.
     pub fn sent(&self) -> &[u32] {
         &self.sent
     }
 
-    /// Engines to avoid in the next choice.
+    /// Engines to avoid in the next selection.
     pub fn avoid(&self) -> &[Name] {
         &self.avoid
     }
 
-    /// The newest attempt.
+    /// Latest attempt.
     pub fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// Whether the final answer was given.
+    /// Whether the final response was sent.
     pub fn over(&self) -> bool {
         self.phase == Phase::Over
     }
 
-    /// What is known of the request.
+    /// Evidence collected about the request.
     pub fn evidence(&self) -> Evidence {
-        self.seen
+        self.evidence
     }
 }
 
 /// # Events
 impl Relay {
-    /// Takes an event and gives the actions that follow from it.
+    /// Handles an event and returns the resulting actions.
     pub fn on(&mut self, event: RelayEvent) -> Vec<RelayAction> {
         match (self.phase, event) {
             (Phase::Over, _) => vec![],
@@ -231,12 +231,12 @@
     fn dispatch(&mut self, path: Path) -> Vec<RelayAction> {
         check(
             Violation::AtMostOnce,
-            self.plan.repeat == Repeat::Allowed || self.seen.not_run().is_some(),
+            self.plan.repeat == Repeat::Allowed || self.evidence.not_run().is_some(),
         );
         self.attempt = self.attempt.next();
         self.phase = Phase::Running;
         self.path = Some(path.clone());
-        self.seen.sent();
+        self.evidence.sent();
         vec![RelayAction::Dispatch { attempt: self.attempt, path }]
     }
 
@@ -247,7 +247,7 @@
         token: u32,
         layers: u32,
     ) -> Vec<RelayAction> {
-        self.seen.started();
+        self.evidence.started();
         let due = self.sent.len() as u32;
         match position {
             p if (p == due && due < self.plan.wanted && layers == self.plan.layers)
@@ -270,7 +270,7 @@
     fn ended(&mut self, count: u32, reason: EndReason) -> Vec<RelayAction> {
         match count == self.sent.len() as u32 || !on(Mechanism::ExplicitEnd) {
             true => {
-                self.seen.started();
+                self.evidence.started();
                 self.phase = Phase::Over;
                 vec![RelayAction::Finish(reason)]
             }
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Leaves the silent engines; if none was found, every one of the path.
+    /// Abandons the attempt and avoids the unresponsive engines, or the whole path if none was found.
     fn stalled(&mut self, silent: Vec<Name>) -> Vec<RelayAction> {
         let stages = self.path.iter().flat_map(|p| p.stages()).map(|s| s.engine.clone());
         let left = if silent.is_empty() { stages.collect() } else { silent };
@@ -291,19 +291,19 @@
 
     fn broken(&mut self, how: Broken, engine: Option<Name>) -> Vec<RelayAction> {
         match how {
-            Broken::Unsent => self.seen.unsent(),
-            Broken::Refused => self.seen.refused(),
+            Broken::Unsent => self.evidence.unsent(),
+            Broken::Refused => self.evidence.refused(),
             Broken::Faulted => {
-                self.seen.started();
-                self.seen.lost();
+                self.evidence.started();
+                self.evidence.lost();
             }
-            Broken::Lost if on(Mechanism::Evidence) => self.seen.lost(),
-            Broken::Lost => self.seen.refused(),
+            Broken::Lost if on(Mechanism::Evidence) => self.evidence.lost(),
+            Broken::Lost => self.evidence.refused(),
         }
         self.phase = Phase::Choosing;
-        self.shun(engine);
+        self.avoid_engine(engine);
         let again = self.plan.repeat == Repeat::Allowed
-            || self.seen.not_run().is_some()
+            || self.evidence.not_run().is_some()
             || !on(Mechanism::NoRepeat);
         match self.attempt.0 < self.plan.attempts && again {
             true => vec![RelayAction::Choose],
@@ -311,8 +311,8 @@
         }
     }
 
-    /// Remembers the engine at fault; without one, the head that was spoken to.
-    fn shun(&mut self, engine: Option<Name>) {
+    /// Avoids the engine at fault or, if it is unknown, the head of the path.
+    fn avoid_engine(&mut self, engine: Option<Name>) {
         let head = self.path.take().map(|p| p.head().engine.clone());
         match engine.or(head) {
             Some(name) if !self.avoid.contains(&name) => self.avoid.push(name),
@@ -324,7 +324,7 @@
         let mut actions = Vec::new();
         if self.phase == Phase::Running {
             actions.push(RelayAction::Cancel(self.attempt));
-            self.seen.lost();
+            self.evidence.lost();
         }
         actions.extend(self.give_up());
         actions
@@ -332,7 +332,7 @@
 
     fn give_up(&mut self) -> Vec<RelayAction> {
         self.phase = Phase::Over;
-        let outcome = self.seen.outcome();
+        let outcome = self.evidence.outcome();
         check(Violation::NotRunTruth, outcome != Outcome::NotRun || self.sent.is_empty());
         vec![RelayAction::GiveUp(outcome)]
     }
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -1,25 +1,25 @@
-//! A node's copy of the configuration.
+//! Replica of the configuration on a node.
 //!
-//! Revisions are the platform's own and only go up. Whatever the store, a peer or a restart says,
-//! an older revision never replaces a newer one.
+//! The platform assigns revisions in increasing order. An older revision never replaces a newer
+//! one, whether it comes from the store, from a peer or after a restart.
 
 use std::sync::Arc;
 
 use crate::switch::{Mechanism, on};
 use heathpitch_core::{ConfigError, Index, Revision, Violation, check, parse_document};
 
-/// What became of an offered revision.
+/// Result of offering a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Adoption {
-    /// It is in force now.
+    /// It is now in force.
     Adopted,
     /// It is not newer than the one in force.
     Old,
-    /// It is newer but not valid; the one in force stays.
+    /// It is newer but invalid; the one in force stays.
     Invalid(ConfigError),
 }
 
-/// The newest valid configuration this node has seen.
+/// Newest valid configuration that this node has received.
 ///
 /// # Examples
 ///
@@ -36,20 +36,20 @@
 pub struct Replica {
     index: Arc<Index>,
     text: Arc<str>,
-    refused: Revision,
+    rejected: Revision,
 }
 
-/// # Changing
+/// # Updates
 impl Replica {
-    /// A copy of nothing.
+    /// Creates an empty replica.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a document read from the store or sent by a peer.
+    /// Offers a document read from the store or sent by a peer.
     pub fn offer(&mut self, revision: Revision, text: &str) -> Adoption {
         let before = self.revision();
-        if (revision <= before || revision <= self.refused) && on(Mechanism::RevisionOrder) {
+        if (revision <= before || revision <= self.rejected) && on(Mechanism::RevisionOrder) {
             return Adoption::Old;
         }
         match parse_document(text) {
@@ -60,7 +60,7 @@
                 Adoption::Adopted
             }
             Err(e) => {
-                self.refused = revision;
+                self.rejected = revision;
                 Adoption::Invalid(e)
             }
         }
@@ -69,17 +69,17 @@
 
 /// # Reading
 impl Replica {
-    /// Revision in force; 0 before the first.
+    /// Revision in force; 0 if there is none yet.
     pub fn revision(&self) -> Revision {
         self.index.revision
     }
 
-    /// The document in force, indexed.
+    /// Index of the document in force.
     pub fn index(&self) -> Arc<Index> {
         self.index.clone()
     }
 
-    /// The document in force as the store holds it.
+    /// Text of the document in force, as stored.
     pub fn text(&self) -> Arc<str> {
         self.text.clone()
     }
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -1,4 +1,4 @@
-//! Choice of a path through a model's engines.
+//! Selection of a path through a model's engines.
 //!
 //! Engines that hold the same layers are candidates for the same stage. A strategy picks one
 //! candidate per range; a shortest-path search over layer boundaries then joins the ranges.
@@ -11,56 +11,56 @@
 use crate::blocks::{mix, text};
 use crate::{BLOCK, Need, PrefixIndex, Upstream, predict};
 
-/// Part by which the engine that a prefix is assigned to may be worse and still be taken.
-const PREFIX_AFFINITY: f64 = 0.25;
-/// Part of a prompt's blocks that the engine it is assigned to is taken to hold.
-const ASSUMED: f64 = 0.75;
-/// Cost of one more stage on a path, milliseconds.
-const HOP: f64 = 0.5;
+/// Extra cost, as a fraction, at which the engine with the prefix is still preferred.
+const AFFINITY_TOLERANCE: f64 = 0.25;
+/// Fraction of a prompt's blocks assumed to be cached by the engine that its prefix is assigned to.
+const ASSUMED_HIT: f64 = 0.75;
+/// Cost of each additional stage, milliseconds.
+const HOP_MS: f64 = 0.5;
 
-/// A request as the choice sees it.
+/// Request for a path.
 #[derive(Clone, Debug)]
 pub struct PathRequest<'a> {
     /// Model to run.
     pub model: &'a Model,
     /// Failure domain of the node.
     pub domain: &'a Name,
-    /// Prompt tokens, those of a resumed answer included.
+    /// Prompt tokens, including those of a resumed answer.
     pub tokens: u32,
     /// Chained hashes of the prompt's blocks.
     pub chain: &'a [u64],
-    /// Engines known to hold prompt blocks.
+    /// Index of cached prompt blocks.
     pub prefixes: &'a PrefixIndex,
-    /// Whether engines in doubt may be used.
+    /// Whether suspect engines may be used.
     pub doubted: bool,
-    /// Engines that failed this request already.
+    /// Engines that already failed this request.
     pub avoid: &'a [Name],
-    /// Time of the choice.
+    /// Time of the selection.
     pub now: Millis,
-    /// How stages are picked.
+    /// Strategy for picking stages.
     pub strategy: Strategy,
 }
 
 /// Why there is no path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NoPath {
-    /// No engine admitted by the route holds a layer of the model.
+    /// No engine in the route's pools holds a layer of the model.
     #[error("no engine of the route's pools holds the model")]
     NoEngine,
-    /// The engines left do not hold every layer between them.
-    #[error("the engines left do not hold every layer")]
+    /// The usable engines together do not hold every layer.
+    #[error("the usable engines do not hold every layer")]
     Incomplete,
 }
 
 type Pick<'a> = (&'a Upstream, f64);
 
-/// Chooses the path with the least predicted time to first token.
+/// Selects the path with the shortest predicted time to first token.
 ///
-/// `admits` says whether the route's pools hold an engine.
+/// `admits` returns whether an engine is in the route's pools.
 ///
 /// # Errors
 ///
-/// [`NoPath`] if the engines that may be used do not hold every layer.
+/// [`NoPath`] if the usable engines do not hold every layer.
 pub fn choose<'a>(
     engines: &'a [Upstream],
     admits: impl Fn(&Upstream) -> bool,
@@ -102,16 +102,16 @@
         }
         Strategy::Best => group.iter().map(|u| with_cost(u)).fold(with_cost(group[any]), least),
         Strategy::Affinity => match ask.chain.first() {
-            Some(prefix) => loyal(group, *prefix, ask, with_cost(group[any])),
+            Some(prefix) => pick_by_prefix(group, *prefix, ask, with_cost(group[any])),
             None => least(with_cost(group[any]), with_cost(group[other])),
         },
     }
 }
 
-/// The engine that the prefix is assigned to or that holds most of it, unless `any` is better.
+/// Picks the engine that the prefix is assigned to, or that caches most of it, unless `any` is clearly cheaper.
 ///
-/// The assignment is by rendezvous hashing: every node comes to the same one without a message.
-fn loyal<'a>(
+/// Assignment uses rendezvous hashing, so that all nodes agree on it without communication.
+fn pick_by_prefix<'a>(
     group: &[&'a Upstream],
     prefix: u64,
     ask: &PathRequest<'_>,
@@ -120,7 +120,7 @@
     let rank = |u: &&&Upstream| mix(prefix, text(&u.vm.name, 5));
     let hit = |u: &&&Upstream| ask.prefixes.hit(u.vm.name.as_str(), ask.chain);
     let assigned = group.iter().max_by_key(rank).copied();
-    let assigned = assigned.map(|u| (u, cost_with(u, ask, assumed(u, ask))));
+    let assigned = assigned.map(|u| (u, cost_with(u, ask, assumed_hit(u, ask))));
     let holder = group.iter().filter(|u| hit(u) > 0).max_by_key(hit).copied();
     let holder = holder.map(|u| (u, cost(u, ask)));
     let best = match (assigned, holder) {
@@ -128,17 +128,17 @@
         (Some(a), _) => a,
         (None, _) => any,
     };
-    if best.1 <= any.1 * (1.0 + PREFIX_AFFINITY) { best } else { any }
+    if best.1 <= any.1 * (1.0 + AFFINITY_TOLERANCE) { best } else { any }
 }
 
-/// Blocks that the engine a prefix is assigned to may be taken to hold: it was sent all prompts
-/// with that prefix, whatever is known of its cache so far.
-fn assumed(u: &Upstream, ask: &PathRequest<'_>) -> usize {
+/// Blocks assumed to be cached by the engine that a prefix is assigned to. It receives all prompts with
+/// that prefix, even if the index does not show them yet.
+fn assumed_hit(u: &Upstream, ask: &PathRequest<'_>) -> usize {
     let known = ask.prefixes.hit(u.vm.name.as_str(), ask.chain);
-    known.max((ask.chain.len() as f64 * ASSUMED) as usize)
+    known.max((ask.chain.len() as f64 * ASSUMED_HIT) as usize)
 }
 
-/// Predicted cost of an engine, its known prefix hit taken off.
+/// Predicted cost of an engine, less its known prefix hit.
 fn cost(u: &Upstream, ask: &PathRequest<'_>) -> f64 {
     cost_with(u, ask, ask.prefixes.hit(u.vm.name.as_str(), ask.chain))
 }
@@ -148,7 +148,7 @@
     predict(u, &Need { tokens, domain: ask.domain, now: ask.now })
 }
 
-/// Joins picked ranges into the cheapest path; a stage may run part of what its engine holds.
+/// Joins the picked ranges into the cheapest path; a stage may run part of the layers its engine holds.
 fn join(picks: &[(LayerRange, Pick<'_>)], model: &Model) -> Option<(Path, f64)> {
     let ends = picks.iter().flat_map(|(l, _)| [l.first, l.end]);
     let mut cuts: Vec<u32> = ends.filter(|c| *c <= model.layers).chain([0]).collect();
@@ -157,7 +157,7 @@
     let mut best: Vec<Option<(f64, usize, usize)>> = vec![None; cuts.len()];
     best[0] = Some((0.0, 0, 0));
     for at in 0..cuts.len() {
-        let Some((so_far, ..)) = best[at] else {
+        let Some((prefix_cost, ..)) = best[at] else {
             continue;
         };
         for (p, (held, (_, cost))) in picks.iter().enumerate() {
@@ -167,7 +167,7 @@
             let reach = (at + 1..cuts.len()).take_while(|to| cuts[*to] <= held.end);
             for to in reach {
                 let part = f64::from(cuts[to] - cuts[at]) / f64::from(held.count().max(1));
-                let total = so_far + cost * part.max(0.5) + HOP;
+                let total = prefix_cost + cost * part.max(0.5) + HOP_MS;
                 match best[to] {
                     Some((old, ..)) if old <= total => {}
                     _ => best[to] = Some((total, at, p)),
@@ -181,6 +181,7 @@
     Path::new(model, stages).ok().map(|path| (path, total))
 }
 
+/// Stages of the cheapest path, followed back from `goal`.
 fn trace(
     best: &[Option<(f64, usize, usize)>],
     cuts: &[u32],
--- a/crates/policy/src/settle.rs
+++ b/crates/policy/src/settle.rs
@@ -1,36 +1,36 @@
-//! Who may run a request with a caller-chosen key, once its claim was asked for.
+//! Decides which node may run a request with a client-chosen key, from the verdict on its claim.
 
 use heathpitch_core::{Incarnation, Name, Outcome};
 
 use crate::switch::{Mechanism, on};
 use crate::{ClaimEntry, Verdict};
 
-/// What is to be done with a request whose claim was asked for.
+/// Decision on a request whose claim was requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settlement {
-    /// This life may dispatch it, once.
+    /// This incarnation may dispatch it once.
     Run,
-    /// Only another life may have run it.
+    /// Only another incarnation may have run it.
     PassOn {
-        /// Node of that life.
+        /// Node of that incarnation.
         node: Name,
-        /// The life.
+        /// The incarnation.
         life: Incarnation,
     },
-    /// It may have run; nothing more is known of it.
+    /// It may have run; nothing more is known.
     Spent(Outcome),
-    /// The key was used with another body.
+    /// The key was used with a different body.
     Mismatch,
-    /// Nobody can say for now; it did not run for this request.
+    /// The claim cannot be checked now; this request did not run.
     Unavailable,
-    /// No more claims are taken for now.
+    /// No more claims are accepted for now.
     Full,
 }
 
-/// Settles a request by the verdict on its claim.
+/// Decides on a request by the verdict on its claim.
 ///
-/// `idle` is whether this life's ledger knows the key as certainly never dispatched; `life` is this
-/// life, `body` the digest of the request.
+/// `idle` is whether this incarnation's idempotency table knows that the key was never dispatched; `life` is this
+/// incarnation, and `body` the digest of the request.
 ///
 /// # Examples
 ///
@@ -45,7 +45,7 @@
     match verdict {
         Verdict::Granted => Settlement::Run,
         Verdict::Taken(entry) if entry.body != body => Settlement::Mismatch,
-        // This life claimed the key before and certainly never dispatched it.
+        // This incarnation claimed the key before and never dispatched it.
         Verdict::Taken(entry) if entry.life == life && may_rerun(idle) => Settlement::Run,
         Verdict::Taken(entry) if entry.life == life => Settlement::Spent(Outcome::Unknown),
         Verdict::Taken(ClaimEntry { node, life, .. }) => Settlement::PassOn { node, life },
--- a/crates/policy/src/split.rs
+++ b/crates/policy/src/split.rs
@@ -1,38 +1,37 @@
-//! Split of consecutive layers over unequal engines.
+//! Partitioning of consecutive layers over unequal engines.
 
 use heathpitch_core::Name;
 
-/// Engines up to which every choice of engines is looked at.
-const EXACT: usize = 10;
+/// Most engines for which all subsets are searched.
+const MAX_EXACT: usize = 10;
 
-/// What an engine can do for a split.
+/// Capacity and speed of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineCapacity {
     /// Engine.
     pub engine: Name,
-    /// Layers its memory takes.
+    /// Layers that fit into its memory.
     pub room: u32,
-    /// Time of one layer for one step, microseconds.
+    /// Time of one layer per step, microseconds.
     pub layer: u64,
-    /// Time an activation takes to the next stage, microseconds.
+    /// Transfer time of an activation to the next stage, microseconds.
     pub link: u64,
 }
 
-/// Layers given to each engine, in order, and the time of the slowest stage, microseconds.
+/// Layers assigned to each engine, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Split {
     /// Engines with their number of layers, none of them 0.
     pub parts: Vec<(Name, u32)>,
-    /// Time of the slowest stage.
+    /// Time of the slowest stage, microseconds.
     pub slowest: u64,
 }
 
-/// Splits `layers` over as few engines as hold them, so that the slowest stage is as fast as can
-/// be.
+/// Partitions `layers` over the fewest engines that can hold them, minimising the time of the slowest stage.
 ///
-/// Fewer stages mean fewer hops for each token, and leave engines for whole replicas, which bring
-/// the same throughput. With up to ten engines the result is exact; beyond that the fastest that
-/// fit are taken.
+/// Fewer stages mean fewer hops for each token, and leave engines free for complete replicas, which add
+/// the same throughput. The result is exact for up to ten engines; beyond that only the fastest and the
+/// largest engines are tried.
 ///
 /// # Examples
 ///
@@ -53,12 +52,12 @@
         return None;
     }
     (1..=engines.len()).find_map(|count| match engines.len() {
-        n if n <= EXACT => best_subset(engines, layers, count),
-        _ => likely_subset(engines, layers, count),
+        n if n <= MAX_EXACT => best_subset(engines, layers, count),
+        _ => greedy_subset(engines, layers, count),
     })
 }
 
-/// The best of all choices of `count` engines.
+/// Best split over all subsets of `count` engines.
 fn best_subset(engines: &[EngineCapacity], layers: u32, count: usize) -> Option<Split> {
     let masks = (1_u32..1 << engines.len()).filter(|m| m.count_ones() as usize == count);
     let chosen = |mask: u32| -> Vec<&EngineCapacity> {
@@ -67,24 +66,25 @@
     masks.filter_map(|m| fill(&chosen(m), layers)).min_by_key(|s| s.slowest)
 }
 
-/// The better of the `count` fastest and the `count` roomiest engines.
-fn likely_subset(engines: &[EngineCapacity], layers: u32, count: usize) -> Option<Split> {
+/// Better split of the `count` fastest and the `count` largest engines.
+fn greedy_subset(engines: &[EngineCapacity], layers: u32, count: usize) -> Option<Split> {
     let mut fastest: Vec<&EngineCapacity> = engines.iter().collect();
     fastest.sort_by_key(|e| (e.layer, e.link));
-    let mut roomiest: Vec<&EngineCapacity> = engines.iter().collect();
-    roomiest.sort_by_key(|e| (std::cmp::Reverse(e.room), e.layer));
-    let tried = [&fastest[..count], &roomiest[..count]];
+    let mut largest: Vec<&EngineCapacity> = engines.iter().collect();
+    largest.sort_by_key(|e| (std::cmp::Reverse(e.room), e.layer));
+    let tried = [&fastest[..count], &largest[..count]];
     tried.into_iter().filter_map(|c| fill(c, layers)).min_by_key(|s| s.slowest)
 }
 
-/// Gives each engine as many layers as it runs in the least time that places them all.
+/// Assigns each engine the layers it can run within the shortest stage time that places all layers.
 fn fill(engines: &[&EngineCapacity], layers: u32) -> Option<Split> {
     let total: u64 = engines.iter().map(|e| u64::from(e.room)).sum();
     if total < u64::from(layers) || engines.len() > layers as usize {
         return None;
     }
-    let fits = |time: u64| -> u64 { engines.iter().map(|e| u64::from(takes(e, time))).sum() };
-    let (mut low, mut high) = (0, longest(engines));
+    let fits =
+        |time: u64| -> u64 { engines.iter().map(|e| u64::from(layers_within(e, time))).sum() };
+    let (mut low, mut high) = (0, max_time(engines));
     while low < high {
         let middle = low + (high - low) / 2;
         match fits(middle) >= u64::from(layers) {
@@ -92,9 +92,10 @@
             false => low = middle + 1,
         }
     }
-    let mut parts: Vec<(usize, u32)> = engines.iter().map(|e| takes(e, low)).enumerate().collect();
+    let mut parts: Vec<(usize, u32)> =
+        engines.iter().map(|e| layers_within(e, low)).enumerate().collect();
     let mut extra = parts.iter().map(|p| p.1).sum::<u32>().saturating_sub(layers);
-    // What is too much is taken from the slowest first, since it was the last to fit.
+    // Surplus layers are removed from the slowest stage first, since it was the last to fit.
     while extra > 0 {
         let time = |p: &(usize, u32)| u64::from(p.1) * engines[p.0].layer + engines[p.0].link;
         let part = parts.iter_mut().filter(|p| p.1 > 0).max_by_key(|p| time(p))?;
@@ -108,13 +109,14 @@
     Some(Split { parts: named.collect(), slowest })
 }
 
-/// Layers an engine runs within `time`.
-fn takes(engine: &EngineCapacity, time: u64) -> u32 {
+/// Layers that an engine can run within `time`.
+fn layers_within(engine: &EngineCapacity, time: u64) -> u32 {
     let layers = time.saturating_sub(engine.link) / engine.layer.max(1);
     layers.min(engine.room.into()) as u32
 }
 
-fn longest(engines: &[&EngineCapacity]) -> u64 {
+/// Upper bound of the stage time.
+fn max_time(engines: &[&EngineCapacity]) -> u64 {
     let time = |e: &&EngineCapacity| u64::from(e.room) * e.layer.max(1) + e.link;
     engines.iter().map(time).max().unwrap_or(0)
 }
--- a/crates/policy/src/switch.rs
+++ b/crates/policy/src/switch.rs
@@ -1,39 +1,39 @@
-//! Switches that take one mechanism away, so that a run can show which promise it carries.
+//! Switches that disable single safety mechanisms, so that tests can show which guarantee depends on each.
 //!
-//! Without the `switches` feature every mechanism is on and the switches cost nothing.
+//! Without the `switches` feature every mechanism is enabled, and the switches have no cost.
 
-/// A mechanism that carries a promise.
+/// Mechanism that a guarantee depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mechanism {
     /// Frames of older attempts are dropped.
     AttemptNumbers,
-    /// Tokens are taken only at the position that is due.
+    /// Tokens are accepted only at the next expected position.
     Positions,
-    /// An answer ends only with an end that counts its tokens.
+    /// An answer is complete only after an explicit end with the right token count.
     ExplicitEnd,
-    /// A lost attempt counts as one that may have run.
+    /// A lost attempt counts as possibly run.
     Evidence,
     /// A started request that may not be repeated is not dispatched again.
     NoRepeat,
-    /// A claim is granted only once its own nonce was seen to stand.
+    /// A claim is granted only after its nonce was read back from the store.
     ClaimReadBack,
-    /// The ledger lets a key be dispatched once.
+    /// The idempotency table lets a key be dispatched only once.
     LedgerOnce,
-    /// A key that the ledger has forgotten counts as run.
+    /// A key evicted from the idempotency table counts as run.
     ForgottenIsRun,
-    /// An engine's own word that it will stop keeps new work away.
+    /// An engine that announces its shutdown gets no new requests.
     LeavingWord,
-    /// Only a newer list of VMs is taken.
+    /// Only a newer list of VMs is accepted.
     ListOrder,
-    /// Only a newer revision is taken.
+    /// Only a newer revision is accepted.
     RevisionOrder,
-    /// A few nodes of a failure domain read the store if its planner does not tell.
+    /// A few standby nodes of a failure domain read the store if its planner sends no updates.
     Standbys,
-    /// The others go to the store one after the other.
+    /// The other nodes read the store in random turns.
     DrawnTurns,
-    /// A list that was proven earlier than one's own is not taken from another source.
+    /// A list confirmed earlier than the own one is not accepted from another source.
     ListAge,
-    /// Time in which the VM was suspended counts.
+    /// Time during which the VM was suspended counts.
     SuspendedTime,
 }
 
@@ -65,23 +65,23 @@
     use super::Mechanism;
 
     thread_local! {
-        static OFF: Cell<Option<Mechanism>> = const { Cell::new(None) };
+        static DISABLED: Cell<Option<Mechanism>> = const { Cell::new(None) };
     }
 
-    /// Runs `work` with one mechanism off on this thread.
+    /// Runs `work` with one mechanism disabled on this thread.
     pub fn without<T>(mechanism: Mechanism, work: impl FnOnce() -> T) -> T {
         struct Restore(Option<Mechanism>);
         impl Drop for Restore {
             fn drop(&mut self) {
-                OFF.set(self.0);
+                DISABLED.set(self.0);
             }
         }
-        let _restore = Restore(OFF.replace(Some(mechanism)));
+        let _restore = Restore(DISABLED.replace(Some(mechanism)));
         work()
     }
 
     pub(crate) fn on(mechanism: Mechanism) -> bool {
-        OFF.get() != Some(mechanism)
+        DISABLED.get() != Some(mechanism)
     }
 }
 
@@ -90,7 +90,7 @@
 #[cfg(feature = "switches")]
 pub use state::without;
 
-/// Whether the mechanism is on.
+/// Whether the mechanism is enabled.
 #[cfg(not(feature = "switches"))]
 pub(crate) const fn on(_: Mechanism) -> bool {
     true
--- a/crates/policy/src/ticket.rs
+++ b/crates/policy/src/ticket.rs
@@ -1,17 +1,17 @@
-//! Tickets: request keys minted by the one node life that may run the request.
+//! Tickets: request keys minted by the one node incarnation that may run the request.
 //!
-//! A ticket needs no call on the platform and works in a failure domain that is cut off. Only the
-//! life named in it ever dispatches the request; once that life is gone nobody does.
+//! A ticket needs no call to the platform, so it works in a partitioned failure domain. Only the
+//! incarnation named in it ever dispatches the request; once that has ended, no node does.
 
 use std::fmt;
 use std::str::FromStr;
 
 use heathpitch_core::{Incarnation, Name};
 
-/// First characters of every ticket.
+/// Prefix of every ticket.
 const PREFIX: &str = "hpt";
 
-/// A key that names its owner.
+/// Request key that names its owner.
 ///
 /// # Examples
 ///
@@ -28,19 +28,19 @@
 pub struct Ticket {
     /// Node that minted it.
     pub node: Name,
-    /// Life of the node.
+    /// Incarnation of the node.
     pub life: Incarnation,
-    /// Count within that life.
+    /// Serial number within that incarnation.
     pub serial: u64,
 }
 
-/// The key is not a ticket.
+/// Error of parsing a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TicketError {
-    /// It does not start like one: the caller chose the key.
+    /// The prefix is missing: the client chose the key.
     #[error("the key is not a ticket")]
     Foreign,
-    /// It starts like one, but is malformed.
+    /// The prefix matches, but the rest is malformed.
     #[error("the ticket is malformed")]
     Malformed,
 }
