--- a/crates/heathpitch/examples/claim_a_key.rs
+++ b/crates/heathpitch/examples/claim_a_key.rs
@@ -1,7 +1,7 @@
 //! Cookbook: two nodes claim the same key; the store decides, and only one may dispatch.
 
 use heathpitch::core::{Incarnation, Revision, digest};
-use heathpitch::policy::{ClaimAction, ClaimEvent, ClaimPage, Claims, Verdict, settle};
+use heathpitch::policy::{ClaimAction, ClaimEvent, ClaimPage, Claims, Verdict, decide_claim};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let (one, two) = (Incarnation(1), Incarnation(2));
@@ -21,8 +21,8 @@
     let granted = first.on(ClaimEvent::Written(page, Revision(1)), 2, 2);
     second.on(ClaimEvent::Conflict(page), 2, 2);
     let taken = second.on(ClaimEvent::Read(page, Revision(1), Some(written)), 3, 3);
-    println!("n1: {:?}", settle(verdict(granted)?, false, one, 9));
-    println!("n2: {:?}", settle(verdict(taken)?, false, two, 9));
+    println!("n1: {:?}", decide_claim(verdict(granted)?, false, one, 9));
+    println!("n2: {:?}", decide_claim(verdict(taken)?, false, two, 9));
     Ok(())
 }
 
--- a/crates/heathpitchd/src/filters/repeat.rs
+++ b/crates/heathpitchd/src/filters/repeat.rs
@@ -7,7 +7,7 @@
 
 use heathpitch_core::{Account, Incarnation, Millis, Name, Outcome, digest};
 use heathpitch_net::Body;
-use heathpitch_policy::{Settlement, Start, Ticket, TicketError, Verdict, settle as policy_settle};
+use heathpitch_policy::{ClaimDecision, Start, Ticket, TicketError, Verdict, decide_claim};
 use hyper::Response;
 use tokio::sync::oneshot;
 
@@ -105,25 +105,25 @@
     };
     let hold = keyed::Hold::new(cx.traffic.clone(), key.clone());
     let verdict = claim(cx, key, body).await;
-    match policy_settle(verdict, idle, cx.traffic.shared.life, body) {
-        Settlement::Run => Ok(Settled::Run(Granted::Keyed(hold))),
-        Settlement::Mismatch => {
+    match decide_claim(verdict, idle, cx.traffic.shared.life, body) {
+        ClaimDecision::Run => Ok(Settled::Run(Granted::Keyed(hold))),
+        ClaimDecision::Mismatch => {
             hold.forget();
             Err(mismatch())
         }
-        Settlement::Spent(outcome) => {
+        ClaimDecision::MayHaveRun(outcome) => {
             hold.forget();
             Err(spent(outcome))
         }
-        Settlement::PassOn { node, life } => {
+        ClaimDecision::Forward { node, life } => {
             hold.forget();
             pass_on(cx, head, &node, life).await
         }
-        Settlement::Unavailable => {
+        ClaimDecision::Unavailable => {
             let message = "the platform does not answer, so the key cannot be claimed";
             Err(Refusal::not_run(RefusalKind::ClaimsAway, message).back(BACK))
         }
-        Settlement::Full => {
+        ClaimDecision::Full => {
             let message = "no more keys can be claimed for now; tickets still can be used";
             Err(Refusal::not_run(RefusalKind::ClaimsAway, message).back(BACK))
         }
--- a/crates/heathpitchd/src/filters/run/attempt.rs
+++ b/crates/heathpitchd/src/filters/run/attempt.rs
@@ -66,7 +66,7 @@
             tokens: self.prompt + self.relay.sent().len() as u32,
             chain: &self.chain,
             prefixes: &prefixes,
-            doubted: false,
+            allow_suspect: false,
             avoid: self.relay.avoid(),
             now: shared.now(),
             strategy: self.matched.route.settings.strategy,
@@ -74,7 +74,7 @@
         let mut chosen = choose(engines, admits, &ask, &mut rand::rng());
         if chosen.is_err() {
             // Doubt and earlier failures are reasons to prefer others, not to refuse.
-            ask.doubted = true;
+            ask.allow_suspect = true;
             if retry {
                 ask.avoid = &[];
             }
--- a/crates/policy/src/blocks.rs
+++ b/crates/policy/src/blocks.rs
@@ -24,7 +24,7 @@
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 pub fn blocks(account: &Name, model: &Name, tokens: &[u32]) -> Vec<u64> {
-    let salt = text(model, text(account, 3));
+    let salt = hash_name(model, hash_name(account, 3));
     let chain = tokens.chunks_exact(BLOCK).scan(salt, |h, block| {
         *h = block.iter().fold(*h, |h, t| mix(h, u64::from(*t) + 1));
         Some(*h)
@@ -38,7 +38,7 @@
 }
 
 /// Hashes a name with `seed`.
-pub(crate) fn text(name: &Name, seed: u64) -> u64 {
+pub(crate) fn hash_name(name: &Name, seed: u64) -> u64 {
     name.as_str().bytes().fold(seed, |h, b| mix(h, u64::from(b) + 1))
 }
 
--- a/crates/policy/src/settle.rs
+++ b/crates/policy/src/claim_decision.rs
@@ -7,18 +7,18 @@
 
 /// Decision on a request whose claim was requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settlement {
+pub enum ClaimDecision {
     /// This incarnation may dispatch it once.
     Run,
     /// Only another incarnation may have run it.
-    PassOn {
+    Forward {
         /// Node of that incarnation.
         node: Name,
         /// The incarnation.
         life: Incarnation,
     },
     /// It may have run; nothing more is known.
-    Spent(Outcome),
+    MayHaveRun(Outcome),
     /// The key was used with a different body.
     Mismatch,
     /// The claim cannot be checked now; this request did not run.
@@ -36,21 +36,21 @@
 ///
 /// ```
 /// use heathpitch_core::Incarnation;
-/// use heathpitch_policy::{Settlement, Verdict, settle};
+/// use heathpitch_policy::{ClaimDecision, Verdict, decide_claim};
 ///
-/// let settled = settle(Verdict::Granted, false, Incarnation(1), 7);
-/// assert_eq!(settled, Settlement::Run);
+/// let decision = decide_claim(Verdict::Granted, false, Incarnation(1), 7);
+/// assert_eq!(decision, ClaimDecision::Run);
 /// ```
-pub fn settle(verdict: Verdict, idle: bool, life: Incarnation, body: u64) -> Settlement {
+pub fn decide_claim(verdict: Verdict, idle: bool, life: Incarnation, body: u64) -> ClaimDecision {
     match verdict {
-        Verdict::Granted => Settlement::Run,
-        Verdict::Taken(entry) if entry.body != body => Settlement::Mismatch,
+        Verdict::Granted => ClaimDecision::Run,
+        Verdict::Taken(entry) if entry.body != body => ClaimDecision::Mismatch,
         // This incarnation claimed the key before and never dispatched it.
-        Verdict::Taken(entry) if entry.life == life && may_rerun(idle) => Settlement::Run,
-        Verdict::Taken(entry) if entry.life == life => Settlement::Spent(Outcome::Unknown),
-        Verdict::Taken(ClaimEntry { node, life, .. }) => Settlement::PassOn { node, life },
-        Verdict::Unavailable => Settlement::Unavailable,
-        Verdict::Full => Settlement::Full,
+        Verdict::Taken(entry) if entry.life == life && may_rerun(idle) => ClaimDecision::Run,
+        Verdict::Taken(entry) if entry.life == life => ClaimDecision::MayHaveRun(Outcome::Unknown),
+        Verdict::Taken(ClaimEntry { node, life, .. }) => ClaimDecision::Forward { node, life },
+        Verdict::Unavailable => ClaimDecision::Unavailable,
+        Verdict::Full => ClaimDecision::Full,
     }
 }
 
--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -9,7 +9,7 @@
 
 use heathpitch_core::{Millis, Name};
 
-use crate::blocks::text;
+use crate::blocks::hash_name;
 
 /// Length of a round, milliseconds of wall-clock time.
 const ROUND: Millis = 8_000;
@@ -56,7 +56,7 @@
 impl Demand {
     /// Number under which an account is told.
     pub fn key(account: &Name) -> u64 {
-        text(account, 1)
+        hash_name(account, 1)
     }
 
     /// No demand seen.
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -212,7 +212,7 @@
     fn standing(&self, now: Millis) -> Standing {
         match &self.report {
             _ if self.vm.state == VmState::Leaving => Standing::Leaving,
-            Some(r) if r.leaving && on(Mechanism::LeavingWord) => Standing::Leaving,
+            Some(r) if r.leaving && on(Mechanism::DrainNotice) => Standing::Leaving,
             None => Standing::New,
             _ if self.fails >= MAX_FAILS => Standing::Down,
             _ if now.saturating_sub(self.seen) > SILENCE => Standing::Down,
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -8,7 +8,7 @@
 use heathpitch_core::{LayerRange, Millis, Model, Name, Path, Stage, Strategy};
 use rand::Rng;
 
-use crate::blocks::{mix, text};
+use crate::blocks::{hash_name, mix};
 use crate::{BLOCK, Need, PrefixIndex, Upstream, predict};
 
 /// Extra cost, as a fraction, at which the engine with the prefix is still preferred.
@@ -32,7 +32,7 @@
     /// Index of cached prompt blocks.
     pub prefixes: &'a PrefixIndex,
     /// Whether suspect engines may be used.
-    pub doubted: bool,
+    pub allow_suspect: bool,
     /// Engines that already failed this request.
     pub avoid: &'a [Name],
     /// Time of the selection.
@@ -70,7 +70,7 @@
     let usable = |u: &&Upstream| {
         u.report.version == ask.model.version
             && !ask.avoid.contains(&u.vm.name)
-            && (ask.doubted || !u.gauge.is_suspect(ask.now))
+            && (ask.allow_suspect || !u.gauge.is_suspect(ask.now))
             && admits(u)
     };
     let mut groups: BTreeMap<LayerRange, Vec<&'a Upstream>> = BTreeMap::new();
@@ -117,7 +117,7 @@
     ask: &PathRequest<'_>,
     any: Pick<'a>,
 ) -> Pick<'a> {
-    let rank = |u: &&&Upstream| mix(prefix, text(&u.vm.name, 5));
+    let rank = |u: &&&Upstream| mix(prefix, hash_name(&u.vm.name, 5));
     let hit = |u: &&&Upstream| ask.prefixes.hit(u.vm.name.as_str(), ask.chain);
     let assigned = group.iter().max_by_key(rank).copied();
     let assigned = assigned.map(|u| (u, cost_with(u, ask, assumed_hit(u, ask))));
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -377,7 +377,7 @@
 
 /// Time until a turn, drawn so that those of a failure domain are spread evenly.
 fn wait(beside: u32, rng: &mut impl Rng) -> Millis {
-    if !on(Mechanism::DrawnTurns) {
+    if !on(Mechanism::RandomTurns) {
         return SOURCE_GRACE_MS;
     }
     SOURCE_GRACE_MS + rng.random_range(0..=READ_SLOT_MS * u64::from(beside.max(1)))
--- a/crates/policy/src/switch.rs
+++ b/crates/policy/src/switch.rs
@@ -22,7 +22,7 @@
     /// A key evicted from the idempotency table counts as run.
     ForgottenIsRun,
     /// An engine that announces its shutdown gets no new requests.
-    LeavingWord,
+    DrainNotice,
     /// Only a newer list of VMs is accepted.
     ListOrder,
     /// Only a newer revision is accepted.
@@ -30,7 +30,7 @@
     /// A few standby nodes of a failure domain read the store if its planner sends no updates.
     Standbys,
     /// The other nodes read the store in random turns.
-    DrawnTurns,
+    RandomTurns,
     /// A list confirmed earlier than the own one is not accepted from another source.
     ListAge,
     /// Time during which the VM was suspended counts.
@@ -48,11 +48,11 @@
         Mechanism::ClaimReadBack,
         Mechanism::LedgerOnce,
         Mechanism::ForgottenIsRun,
-        Mechanism::LeavingWord,
+        Mechanism::DrainNotice,
         Mechanism::ListOrder,
         Mechanism::RevisionOrder,
         Mechanism::Standbys,
-        Mechanism::DrawnTurns,
+        Mechanism::RandomTurns,
         Mechanism::ListAge,
         Mechanism::SuspendedTime,
     ];
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -137,7 +137,7 @@
             tokens: 500,
             chain: &[1, 2, 3],
             prefixes: &prefixes,
-            doubted: false,
+            allow_suspect: false,
             avoid: &[],
             now: 1_000,
             strategy: Strategy::Affinity,
--- a/crates/proof/src/keys.rs
+++ b/crates/proof/src/keys.rs
@@ -4,7 +4,7 @@
 
 use heathpitch_core::{Evidence, Incarnation, Millis, Name, Outcome, Revision, digest};
 use heathpitch_policy::{
-    ClaimAction, ClaimEvent, ClaimPage, Claims, Ledger, Record, Settlement, Start, settle,
+    ClaimAction, ClaimDecision, ClaimEvent, ClaimPage, Claims, Ledger, Record, Start, decide_claim,
 };
 
 use crate::breach::{Breach, Promise};
@@ -185,8 +185,8 @@
         let node = &mut self.nodes[at];
         let Some((number, idle, asked)) = node.asks.remove(&id) else { return Ok(()) };
         let digest = key(number);
-        match settle(verdict, idle, node.life, asked) {
-            Settlement::Run if node.ledger.dispatch(&digest) => {
+        match decide_claim(verdict, idle, node.life, asked) {
+            ClaimDecision::Run if node.ledger.dispatch(&digest) => {
                 tally.event("dispatched");
                 self.open.push((at, self.nodes[at].life, number));
                 let ran = self.ran.entry(number).or_default();
@@ -196,13 +196,15 @@
                     format!("key {number} was dispatched {ran} times")
                 })
             }
-            Settlement::Run => Ok(()),
-            Settlement::Unavailable | Settlement::Full => {
+            ClaimDecision::Run => Ok(()),
+            ClaimDecision::Unavailable | ClaimDecision::Full => {
                 tally.event("not claimed");
                 node.ledger.release(&digest);
                 Ok(())
             }
-            Settlement::PassOn { .. } | Settlement::Spent(_) | Settlement::Mismatch => {
+            ClaimDecision::Forward { .. }
+            | ClaimDecision::MayHaveRun(_)
+            | ClaimDecision::Mismatch => {
                 tally.event("another's or spent");
                 node.ledger.forget(&digest);
                 Ok(())
--- a/crates/proof/tests/mechanisms.rs
+++ b/crates/proof/tests/mechanisms.rs
@@ -16,10 +16,10 @@
         | Mechanism::Evidence
         | Mechanism::NoRepeat => World::Requests,
         Mechanism::ClaimReadBack | Mechanism::LedgerOnce | Mechanism::ForgottenIsRun => World::Keys,
-        Mechanism::LeavingWord | Mechanism::ListOrder => World::Upstreams,
+        Mechanism::DrainNotice | Mechanism::ListOrder => World::Upstreams,
         Mechanism::RevisionOrder => World::Config,
         Mechanism::Standbys
-        | Mechanism::DrawnTurns
+        | Mechanism::RandomTurns
         | Mechanism::ListAge
         | Mechanism::SuspendedTime => World::Telling,
     }
