--- a/crates/policy/tests/fleet_retries.rs
+++ b/crates/policy/tests/fleet_retries.rs
@@ -1,42 +1,42 @@
-//! Second sends of a whole fleet, at sizes at which each node's part of the slack is less than one send.
+//! Retries of a whole fleet, at sizes at which each node's share of the slack is less than one retry.
 //!
-//! Callers are spread thinly: a node has a call in four seconds, and of one of its services a call in a minute. All of a
-//! service's engines fail at once, so that every node sends again whatever it may, for minutes.
+//! Load is thin: a node has one call in four seconds, and one in a minute for a single service. All engines of a
+//! service fail at once, so that every node uses up its retries for minutes.
 
 use heathpitch_policy::{RetryShare, RetryWindow};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// What is agreed for the fleet: second sends for each call, beyond that, and the window, milliseconds.
+/// Limit for the fleet: retries per call, retries beyond that, and the window, milliseconds.
 const RATIO: f64 = 0.2;
 const SLACK: f64 = 1_040.0;
-const WINDOW: u64 = 10_000;
-/// Length of a run, and the step in which it is played, milliseconds.
-const LENGTH: u64 = 180_000;
-const STEP: u64 = 500;
+const WINDOW_MS: u64 = 10_000;
+/// Length of a run and of a simulation step, milliseconds.
+const RUN_MS: u64 = 180_000;
+const STEP_MS: u64 = 500;
 
-struct Found {
-    /// Most second sends in a window, as a part of what is agreed.
+struct Outcome {
+    /// Most retries in a window, as a fraction of the limit.
     worst: f64,
-    /// Second sends for each that the slack has, over the whole run.
+    /// Retries over the whole run, as a fraction of the slack.
     used: f64,
-    /// Part of the nodes that sent again at least once in a minute.
+    /// Fraction of the nodes that retried at least once in a minute.
     reached: f64,
 }
 
-fn play(nodes: usize, calls: f64, known: bool, seed: u64) -> Found {
+fn simulate(nodes: usize, calls: f64, known: bool, seed: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let agreed = RetryShare { ratio: RATIO, slack: SLACK, window: WINDOW };
+    let limit = RetryShare { ratio: RATIO, slack: SLACK, window: WINDOW_MS };
     let mut windows: Vec<(f64, RetryWindow)> =
         (0..nodes).map(|_| (rng.random(), RetryWindow::default())).collect();
-    let steps = (LENGTH / STEP) as usize;
+    let steps = (RUN_MS / STEP_MS) as usize;
     let (mut called, mut sent) = (vec![0.0; steps], vec![0.0; steps]);
     let mut reached = vec![false; nodes];
     for step in 0..steps {
-        let now = 1_000 + step as u64 * STEP;
+        let now = 1_000 + step as u64 * STEP_MS;
         for (node, (seed, window)) in windows.iter_mut().enumerate() {
-            let share = agreed.of_node(known.then_some(nodes as u32), *seed, now);
-            if rng.random_bool(calls * STEP as f64 / 1e3) {
+            let share = limit.of_node(known.then_some(nodes as u32), *seed, now);
+            if rng.random_bool(calls * STEP_MS as f64 / 1e3) {
                 window.call(&share, now);
                 called[step] += 1.0;
             }
@@ -46,25 +46,25 @@
             }
         }
     }
-    let span = (WINDOW / STEP) as usize;
+    let span = (WINDOW_MS / STEP_MS) as usize;
     let sum = |counts: &[f64]| counts.iter().sum::<f64>();
-    let agreed = |from: usize| SLACK + RATIO * sum(&called[from..from + span]);
-    let parts = (0..steps - span).map(|from| sum(&sent[from..from + span]) / agreed(from));
-    let all = SLACK * LENGTH as f64 / WINDOW as f64;
-    Found {
+    let limit = |from: usize| SLACK + RATIO * sum(&called[from..from + span]);
+    let parts = (0..steps - span).map(|from| sum(&sent[from..from + span]) / limit(from));
+    let all = SLACK * RUN_MS as f64 / WINDOW_MS as f64;
+    Outcome {
         worst: parts.fold(0.0, f64::max),
         used: sum(&sent) / all,
         reached: reached.iter().filter(|r| **r).count() as f64 / nodes as f64,
     }
 }
 
-/// One second send for each node is more than is agreed from as many nodes on as the slack has sends.
+/// One retry for each node would exceed the limit once there are more nodes than the slack has retries.
 #[test]
-fn a_fleet_of_any_size_keeps_to_the_second_sends_agreed_and_uses_them() {
+fn a_fleet_of_any_size_keeps_to_its_retry_limit_and_uses_it() {
     for (nodes, seed) in [(250, 1), (500, 2), (985, 3), (985, 4), (1_970, 5), (1_970, 6)] {
         for calls in [0.23, 0.016] {
-            let found = play(nodes, calls, true, seed);
-            let Found { worst, used, reached } = found;
+            let outcome = simulate(nodes, calls, true, seed);
+            let Outcome { worst, used, reached } = outcome;
             println!(
                 "{nodes} nodes, {calls} calls a second each: worst {worst:.2}, used {used:.2}, reached {reached:.2}"
             );
@@ -75,11 +75,11 @@
     }
 }
 
-/// Nodes that all begin at once do not know how many they are.
+/// Nodes that all start at once do not know the size of the fleet.
 #[test]
-fn a_fleet_whose_size_no_node_knows_keeps_to_the_second_sends_agreed() {
+fn a_fleet_of_unknown_size_keeps_to_its_retry_limit() {
     for nodes in [250, 985, 1_970] {
-        let found = play(nodes, 0.23, false, 7);
-        assert!(found.worst <= 1.0, "{nodes} nodes: {}", found.worst);
+        let outcome = simulate(nodes, 0.23, false, 7);
+        assert!(outcome.worst <= 1.0, "{nodes} nodes: {}", outcome.worst);
     }
 }
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of accounts and of a node, retry budgets, times to come back.
+//! Limits of accounts and of a node, retry budgets and retry times.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -19,21 +19,21 @@
 #[test]
 fn a_large_account_cannot_starve_a_small_one() {
     let (large, small) = (account("large", 1), account("small", 1));
-    let mut gate = AdmissionControl::new();
-    gate.admit(&small, Priority::Normal, 100).unwrap();
-    while gate.admit(&large, Priority::Normal, 100).is_ok() {}
-    let free = (0..).take_while(|_| gate.admit(&small, Priority::Normal, 100).is_ok()).count();
-    assert!(free >= 30, "the small account got {free} places");
+    let mut admission = AdmissionControl::new();
+    admission.admit(&small, Priority::Normal, 100).unwrap();
+    while admission.admit(&large, Priority::Normal, 100).is_ok() {}
+    let free = (0..).take_while(|_| admission.admit(&small, Priority::Normal, 100).is_ok()).count();
+    assert!(free >= 30, "the small account got {free} slots");
 }
 
 #[test]
 fn shares_follow_weights_under_load() {
     let (heavy, light) = (account("heavy", 3), account("light", 1));
-    let mut gate = AdmissionControl::new();
+    let mut admission = AdmissionControl::new();
     let (mut h, mut l) = (0, 0);
     for _ in 0..200 {
-        h += u32::from(gate.admit(&heavy, Priority::High, 80).is_ok());
-        l += u32::from(gate.admit(&light, Priority::High, 80).is_ok());
+        h += u32::from(admission.admit(&heavy, Priority::High, 80).is_ok());
+        l += u32::from(admission.admit(&light, Priority::High, 80).is_ok());
     }
     assert_eq!((h, l), (60, 20));
 }
@@ -41,20 +41,20 @@
 #[test]
 fn lowest_priority_is_shed_first() {
     let desk = account("desk", 1);
-    let mut gate = AdmissionControl::new();
+    let mut admission = AdmissionControl::new();
     let mut fill = |at: Priority| {
         let mut n = 0;
-        while gate.admit(&desk, at, 100).is_ok() {
+        while admission.admit(&desk, at, 100).is_ok() {
             n += 1;
         }
         n
     };
     assert_eq!([fill(Priority::Low), fill(Priority::Normal), fill(Priority::High)], [70, 20, 10]);
-    assert_eq!(gate.admit(&desk, Priority::High, 100), Err(Shed::Full));
+    assert_eq!(admission.admit(&desk, Priority::High, 100), Err(Shed::Full));
 }
 
 #[test]
-fn rates_are_held_and_say_when_to_come_back() {
+fn rate_limits_hold_and_give_a_retry_time() {
     let mut desk = account("desk", 1);
     desk.rate = Some(10.0);
     let mut meter = Meter::new();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn times_to_come_back_are_spread_and_bounded() {
+fn retry_times_are_spread_and_bounded() {
     let mut rng = SmallRng::seed_from_u64(7);
     let times: BTreeSet<u64> = (0..1_000).map(|_| retry_after(1_000, &mut rng)).collect();
     assert!(times.len() > 500);
--- a/crates/policy/tests/retry_schedule.rs
+++ b/crates/policy/tests/retry_schedule.rs
@@ -1,46 +1,46 @@
-//! When refused callers come back: spread over what room there will be, and within their time.
+//! Retry times of rejected clients: spread over the capacity to come, and within the client's time.
 
 use heathpitch_policy::RetrySchedule;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Time that the users' callers have, milliseconds.
-const LEFT: u64 = 20_000;
+/// Time that a client has left, milliseconds.
+const LEFT_MS: u64 = 20_000;
 
-/// A burst of 1.7 times the usual load over three seconds at a node with room for 1.2 times 20 a second.
+/// A burst of 1.7 times the usual load of 20 a second, for three seconds, at a node with capacity for 1.2 times that load.
 #[test]
-fn callers_refused_in_a_burst_do_not_come_back_as_one() {
+fn clients_rejected_in_a_burst_do_not_retry_together() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut schedule = RetrySchedule::default();
     (0..100).for_each(|i| schedule.admit(i * 50));
-    let mut back = Vec::new();
+    let mut retries = Vec::new();
     for now in (5_000..8_000).step_by(50) {
         match now % 340 < 240 {
             true => schedule.admit(now),
-            false => back.push(now + schedule.refuse(LEFT, now, &mut rng)),
+            false => retries.push(now + schedule.refuse(LEFT_MS, now, &mut rng)),
         }
     }
-    back.sort_unstable();
-    assert!(back.len() > 12, "{}", back.len());
-    let most = back.windows(8).map(|w| w[7] - w[0]).min().unwrap_or(0);
-    assert!(most >= 1_000, "eight come back within {most} ms: {back:?}");
-    let early = back.iter().filter(|at| **at < 7_500).count();
-    assert!(early * 4 <= back.len(), "{early} of {} come back into the burst", back.len());
+    retries.sort_unstable();
+    assert!(retries.len() > 12, "{}", retries.len());
+    let most = retries.windows(8).map(|w| w[7] - w[0]).min().unwrap_or(0);
+    assert!(most >= 1_000, "eight retry within {most} ms: {retries:?}");
+    let early = retries.iter().filter(|at| **at < 7_500).count();
+    assert!(early * 4 <= retries.len(), "{early} of {} retry into the burst", retries.len());
 }
 
 #[test]
-fn a_caller_is_told_no_more_than_it_waits_for() {
+fn retry_times_fit_into_the_time_left() {
     let mut rng = StdRng::seed_from_u64(2);
     let mut schedule = RetrySchedule::default();
-    let told: Vec<u64> = (0..500).map(|i| schedule.refuse(LEFT, i, &mut rng)).collect();
-    assert!(told.iter().all(|t| (2_000..=LEFT * 3 / 10).contains(t)), "{told:?}");
+    let delays: Vec<u64> = (0..500).map(|i| schedule.refuse(LEFT_MS, i, &mut rng)).collect();
+    assert!(delays.iter().all(|t| (2_000..=LEFT_MS * 3 / 10).contains(t)), "{delays:?}");
     let short = schedule.refuse(3_000, 600, &mut rng);
     assert!(short <= 900, "{short} of 3000 ms left");
 }
 
 #[test]
-fn a_single_refusal_is_put_off_no_longer_than_needed() {
+fn a_single_rejection_gets_the_shortest_retry_time() {
     let mut schedule = RetrySchedule::default();
-    let told = schedule.refuse(LEFT, 90_000, &mut StdRng::seed_from_u64(3));
-    assert_eq!(told, 2_000);
+    let delay = schedule.refuse(LEFT_MS, 90_000, &mut StdRng::seed_from_u64(3));
+    assert_eq!(delay, 2_000);
 }
--- a/crates/policy/tests/retry_window.rs
+++ b/crates/policy/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! Second sends stay within the share in every window, wherever it begins.
+//! Retries stay within the share in every window, wherever it starts.
 
 use heathpitch_policy::{RetryShare, RetryWindow};
 use proptest::prelude::*;
@@ -28,7 +28,7 @@
             times.iter().filter(|t| (from..from + share.window).contains(t)).count() as f64
         };
         for end in &spent {
-            // Windows that end with a second send are the fullest.
+            // Windows that end with a retry are the fullest.
             let from = (end + 1).saturating_sub(share.window);
             let most = share.slack + share.ratio * within(&calls, from);
             prop_assert!(within(&spent, from) <= most + 1e-9);
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -1,4 +1,4 @@
-//! Choice of paths.
+//! Selection of paths.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_less_loaded_replica_is_taken() {
+fn the_less_loaded_replica_is_chosen() {
     let busy = upstream(report("busy", 0, 4));
     (0..8).for_each(|_| busy.gauge.open());
     let idle = upstream(report("idle", 0, 4));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_faster_engine_is_taken_until_its_queue_outweighs_it() {
+fn a_faster_engine_is_chosen_until_its_queue_outweighs_it() {
     let mut quick = report("quick", 0, 4);
     quick.step = 1_000;
     quick.prefill = 100_000.0;
@@ -74,23 +74,23 @@
 }
 
 #[test]
-fn other_versions_and_doubted_engines_are_left_out() {
+fn other_versions_and_suspect_engines_are_excluded() {
     let mut other = report("other", 0, 4);
     other.version = name("v2");
-    let doubted = upstream(report("doubted", 0, 4));
-    doubted.gauge.suspect_until(5_000);
-    let all = [upstream(other), doubted];
+    let suspect = upstream(report("suspect", 0, 4));
+    suspect.gauge.suspect_until(5_000);
+    let all = [upstream(other), suspect];
     assert_eq!(path(&all, 4, &[]), Err(NoPath::NoEngine));
     all[1].gauge.clear_suspicion();
-    assert_eq!(engines(&path(&all, 4, &[]).unwrap()), ["doubted"]);
+    assert_eq!(engines(&path(&all, 4, &[]).unwrap()), ["suspect"]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever engines hold, a chosen path tiles the model, and one is found if there is any.
+    /// A chosen path covers the model without gaps or overlaps, and one is found if there is any.
     #[test]
-    fn chosen_paths_tile_the_model(
+    fn chosen_paths_cover_the_model(
         ranges in proptest::collection::vec((0_u32..12, 1_u32..12), 0..12),
         seed in any::<u64>(),
     ) {
