--- a/crates/policy/src/backpressure.rs
+++ b/crates/policy/src/backpressure.rs
@@ -33,12 +33,12 @@
 /// use std::sync::Arc;
 /// use heathpitch_policy::Backpressure;
 ///
-/// let wish = Arc::new(Backpressure::default());
-/// wish.pause(3_000, 0.0, 10);
-/// assert_eq!(wish.pause_left(1_010), Some(2_000));
-/// assert!(wish.admit(None, 3_009).is_none());
-/// let first = wish.admit(None, 3_010);
-/// assert!(first.is_some() && wish.admit(None, 3_010).is_none(), "one request at first");
+/// let backpressure = Arc::new(Backpressure::default());
+/// backpressure.pause(3_000, 0.0, 10);
+/// assert_eq!(backpressure.pause_left(1_010), Some(2_000));
+/// assert!(backpressure.admit(None, 3_009).is_none());
+/// let first = backpressure.admit(None, 3_010);
+/// assert!(first.is_some() && backpressure.admit(None, 3_010).is_none(), "one request at first");
 /// ```
 #[derive(Debug, Default)]
 pub struct Backpressure {
--- a/crates/policy/src/engine_stats.rs
+++ b/crates/policy/src/engine_stats.rs
@@ -31,7 +31,7 @@
     gauge: Gauge,
     occupancy: Occupancy,
     reported_load: AtomicU32,
-    loaded_at: AtomicU64,
+    load_at: AtomicU64,
     mean: AtomicU64,
     mean_at: AtomicU64,
     waiting: AtomicU32,
@@ -66,7 +66,7 @@
     /// Records the load that the engine reported at `now`: requests running or queued there.
     pub fn record_load(&self, load: u32, now: Millis) {
         self.reported_load.store(load, Relaxed);
-        self.loaded_at.store(now, Relaxed);
+        self.load_at.store(now, Relaxed);
     }
 
     /// Records the slowdown that the engine reported at `at`: its step time relative to that expected of its accelerator.
@@ -121,7 +121,7 @@
     /// Requests known at `now` to run or wait at the engine.
     pub fn load(&self, now: Millis) -> u32 {
         let own = self.gauge.count();
-        match now.saturating_sub(self.loaded_at.load(Relaxed)) {
+        match now.saturating_sub(self.load_at.load(Relaxed)) {
             age if age <= LOAD_TTL_MS => own.max(self.reported_load.load(Relaxed)),
             _ => own,
         }
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -46,8 +46,8 @@
 /// let mut limits = Limits::default();
 /// assert!(limits.learn(life.clone(), rate, 100));
 /// assert!(!limits.learn(life.clone(), None, 90), "older");
-/// let (told, serial) = limits.since(0, 16, 500);
-/// assert_eq!((told[0].rate, told[0].age), (rate, 400));
+/// let (updates, serial) = limits.since(0, 16, 500);
+/// assert_eq!((updates[0].rate, updates[0].age), (rate, 400));
 /// assert!(limits.since(serial, 16, 500).0.is_empty());
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
--- a/crates/policy/src/retry_schedule.rs
+++ b/crates/policy/src/retry_schedule.rs
@@ -30,9 +30,9 @@
 /// let mut schedule = RetrySchedule::default();
 /// (0..200).for_each(|i| schedule.admit(i * 50));
 /// let mut rng = rand::rng();
-/// let told: Vec<u64> = (0..5).map(|_| schedule.refuse(20_000, 10_000, &mut rng)).collect();
-/// assert_eq!(told[0], 2_000);
-/// assert!(told.is_sorted() && told[4] > 2_500);
+/// let delays: Vec<u64> = (0..5).map(|_| schedule.refuse(20_000, 10_000, &mut rng)).collect();
+/// assert_eq!(delays[0], 2_000);
+/// assert!(delays.is_sorted() && delays[4] > 2_500);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RetrySchedule {
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -108,7 +108,7 @@
     other: Bucket,
     /// Time at which the limited engine has processed its queue.
     busy: f64,
-    came: VecDeque<u64>,
+    arrivals: VecDeque<u64>,
     /// Requests without a response.
     pending: VecDeque<(u64, usize)>,
     outcome: Outcome,
@@ -137,7 +137,7 @@
             record: String::new(),
             other: Bucket::new(rate / 2.0, 8.0, 0),
             busy: 0.0,
-            came: VecDeque::new(),
+            arrivals: VecDeque::new(),
             pending: VecDeque::new(),
             outcome: Outcome::default(),
         }
@@ -159,7 +159,8 @@
                 rate -= 1.0;
             }
         }
-        let held: Vec<u64> = self.came.iter().copied().filter(|at| *at >= CONVERGENCE_MS).collect();
+        let held: Vec<u64> =
+            self.arrivals.iter().copied().filter(|at| *at >= CONVERGENCE_MS).collect();
         let within =
             |from: u64| held.iter().filter(|at| (from..from + WINDOW_MS).contains(at)).count();
         let most = held.iter().map(|at| within(*at)).max().unwrap_or(0) as f64;
@@ -172,7 +173,7 @@
 
     /// Applies the fault, and shares the limit with the nodes.
     fn update(&mut self, now: u64) {
-        let heard = match self.load.fault {
+        let shared = match self.load.fault {
             Fault::Restart if now == FAULT_AT_MS => {
                 self.signals.iter_mut().for_each(|backpressure| *backpressure = Arc::default());
                 self.rights.clear();
@@ -187,7 +188,7 @@
             Fault::Joins => now == SHARED_MS || now == FAULT_AT_MS,
             _ => now == SHARED_MS,
         };
-        if heard {
+        if shared {
             let rate = Rate::per_second(self.load.limit);
             self.signals.iter().for_each(|backpressure| {
                 backpressure.limit().learn(rate, now);
@@ -261,7 +262,7 @@
         let node = self.node(now);
         let first = self.policy != Policy::Ignore || self.rng.random_bool(0.5);
         if first && self.admits(node, now) {
-            self.came.push_back(now);
+            self.arrivals.push_back(now);
             self.pending.push_back((now, node));
             self.busy = self.busy.max(now as f64) + 1e3 / (self.load.limit * 1.2);
             self.outcome.in_time +=
--- a/crates/policy/tests/pause_load.rs
+++ b/crates/policy/tests/pause_load.rs
@@ -199,7 +199,7 @@
         self.refuse(node, call, now);
     }
 
-    /// Sends a call; retries whether the engine accepts it.
+    /// Sends a call; returns whether the engine accepts it.
     fn send(&mut self, node: usize, engine: usize, call: &Call, now: u64) -> bool {
         let admission = (self.policy == Policy::Backpressure)
             .then(|| self.signals[node][engine].admit(None, now));
@@ -248,8 +248,8 @@
             }
             _ => self.until[node][e].saturating_sub(now).max(1),
         };
-        let shared = (0..self.load.engines).map(delay_of).min().unwrap_or(DEFAULT_RETRY_MS);
-        let at = now + shared.min(left / 3).max(1);
+        let delay = (0..self.load.engines).map(delay_of).min().unwrap_or(DEFAULT_RETRY_MS);
+        let at = now + delay.min(left / 3).max(1);
         self.retries.entry(at).or_default().push(Call { is_retry: true, ..call });
     }
 
@@ -323,7 +323,7 @@
     // With many nodes, each has little load at an engine, and both policies perform alike.
     let (strict, backpressure) =
         (simulate(BURST, Policy::Strict), simulate(BURST, Policy::Backpressure));
-    let served = |f: &Outcome| f64::from(f.in_time + f.late);
+    let served = |o: &Outcome| f64::from(o.in_time + o.late);
     assert!(served(&backpressure) > 0.98 * served(&strict), "{backpressure:?} {strict:?}");
 }
 
