--- a/crates/policy/tests/engine_limit.rs
+++ b/crates/policy/tests/engine_limit.rs
@@ -52,7 +52,7 @@
     let backpressure = limited(3.0);
     let limit = backpressure.limit();
     assert!(!limit.observe_none(600, 700));
-    assert!(!limit.observe(rate(3.0), 650, 800), "unchanged");
+    assert!(!limit.observe(rate(3.0), 650, 800), "the limit is unchanged");
     assert!(!limit.observe_none(900, 1_000), "stated since");
     assert!(!limit.observe_none(1_000, 1_100), "too soon after it was stated");
     assert!(limit.observe_none(1_200, 1_400));
