--- a/crates/heathpitchd/src/filters/run/attempt.rs
+++ b/crates/heathpitchd/src/filters/run/attempt.rs
@@ -4,7 +4,7 @@
 
 use heathpitch_core::{Attempt, Millis, Path, Stage};
 use heathpitch_net::{GenerateCall, Hop};
-use heathpitch_policy::{Pace, RelayEvent, Upstream, choose};
+use heathpitch_policy::{RelayEvent, StallDetector, Upstream, choose};
 
 use super::{Live, Run};
 use crate::filters::guard::Opened;
@@ -60,13 +60,13 @@
         let prefixes = shared.prefixes.load();
         let engines = fleet.holding(&self.matched.model.name);
         let admits = |u: &Upstream| self.matched.index.admits(&self.matched.route, u.labels());
-        let mut ask = heathpitch_policy::Ask {
+        let mut ask = heathpitch_policy::PathRequest {
             model: &self.matched.model,
             domain: &shared.settings.domain,
             tokens: self.prompt + self.relay.sent().len() as u32,
             chain: &self.chain,
             prefixes: &prefixes,
-            doubted: false,
+            allow_suspect: false,
             avoid: self.relay.avoid(),
             now: shared.now(),
             strategy: self.matched.route.settings.strategy,
@@ -74,7 +74,7 @@
         let mut chosen = choose(engines, admits, &ask, &mut rand::rng());
         if chosen.is_err() {
             // Doubt and earlier failures are reasons to prefer others, not to refuse.
-            ask.doubted = true;
+            ask.allow_suspect = true;
             if retry {
                 ask.avoid = &[];
             }
@@ -107,7 +107,7 @@
         let settings = &self.matched.route.settings;
         let soon = (self.predicted * STALL_FACTOR) as Millis;
         let first = settings.first_ms.max(soon);
-        self.pace = Pace::new(settings.stall_ms, first, shared.now()).expecting(soon);
+        self.pace = StallDetector::new(settings.stall_ms, first, shared.now()).expecting(soon);
         self.look = None;
         self.warn = 0;
         let call = self.call(attempt, &path);
--- /dev/null
+++ b/crates/policy/src/engine_stats.rs
@@ -0,0 +1,154 @@
+//! Load and latency of one engine, from this node's requests and the engine's reports.
+
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
+
+use heathpitch_core::Millis;
+
+use crate::{Backpressure, Gauge, Occupancy};
+
+/// Time for which a load reported by an engine is valid, milliseconds.
+const LOAD_TTL_MS: Millis = 1_000;
+/// Weight of the newest sample in the moving average, in eighths.
+const GAIN_EIGHTHS: u64 = 2;
+/// Age at which the moving average has decayed to nothing, milliseconds.
+const MEAN_TTL_MS: Millis = 2_500;
+/// Time for which an engine's report is valid, milliseconds: two poll intervals plus the delay of the report
+/// itself.
+pub(crate) const REPORT_TTL_MS: Millis = 2_500;
+/// Range that a reported slowdown is clamped to.
+const SLOWDOWN_RANGE: std::ops::RangeInclusive<f64> = 1.0..=50.0;
+/// Fixed-point scale of a stored slowdown.
+const SLOWDOWN_SCALE: f64 = 1e3;
+/// Expected wait added by each waiting request of this node, milliseconds: about one forward pass.
+const WAIT_PER_REQUEST_MS: f64 = 25.0;
+
+/// Open requests, the memory they hold, the last reported load, latency and suspicion.
+///
+/// Soft state: a stale value affects performance, never correctness.
+#[derive(Debug, Default)]
+pub struct EngineStats {
+    gauge: Gauge,
+    occupancy: Occupancy,
+    reported_load: AtomicU32,
+    load_at: AtomicU64,
+    mean: AtomicU64,
+    mean_at: AtomicU64,
+    waiting: AtomicU32,
+    deprioritized: AtomicU64,
+    slowdown: AtomicU64,
+    reported_at: AtomicU64,
+    backpressure: Arc<Backpressure>,
+}
+
+/// # Construction
+impl EngineStats {
+    /// Creates empty statistics of an engine with this backpressure.
+    pub fn of(backpressure: Arc<Backpressure>) -> Self {
+        Self { backpressure, ..Self::default() }
+    }
+}
+
+/// # Counting
+impl EngineStats {
+    /// Counts a request of `tokens` tokens opened at `now`.
+    pub fn open(&self, tokens: u64, now: Millis) {
+        self.gauge.open();
+        self.occupancy.add(tokens, now);
+    }
+
+    /// Counts a request of `tokens` tokens closed at `now`.
+    pub fn close(&self, tokens: u64, now: Millis) {
+        self.gauge.close();
+        self.occupancy.sub(tokens, now);
+    }
+
+    /// Records the load that the engine reported at `now`: requests running or queued there.
+    pub fn record_load(&self, load: u32, now: Millis) {
+        self.reported_load.store(load, Relaxed);
+        self.load_at.store(now, Relaxed);
+    }
+
+    /// Records the slowdown that the engine reported at `at`: its step time relative to that expected of its accelerator.
+    pub fn record_slowdown(&self, slowdown: f64, at: Millis) {
+        self.slowdown.store((slowdown * SLOWDOWN_SCALE) as u64, Relaxed);
+        self.reported_at.store(at, Relaxed);
+    }
+
+    /// Prefers other engines until `until`, because this one had no capacity.
+    pub fn deprioritize(&self, until: Millis) {
+        self.deprioritized.fetch_max(until, Relaxed);
+    }
+
+    /// Counts a request that starts waiting for its first response.
+    pub fn wait_began(&self) {
+        self.waiting.fetch_add(1, Relaxed);
+    }
+
+    /// Counts a request that stops waiting.
+    pub fn wait_ended(&self) {
+        self.waiting.fetch_sub(1, Relaxed);
+    }
+
+    /// Records the time to a first response.
+    pub fn record_latency(&self, ms: Millis, now: Millis) {
+        self.mean_at.store(now, Relaxed);
+        let old = self.mean.load(Relaxed);
+        let sample = ms * 1_000;
+        let new =
+            if old == 0 { sample } else { (old * (8 - GAIN_EIGHTHS) + sample * GAIN_EIGHTHS) / 8 };
+        self.mean.store(new, Relaxed);
+    }
+}
+
+/// # Reading
+impl EngineStats {
+    /// Open requests and suspicion.
+    pub fn gauge(&self) -> &Gauge {
+        &self.gauge
+    }
+
+    /// Backpressure of the engine.
+    pub fn backpressure(&self) -> &Arc<Backpressure> {
+        &self.backpressure
+    }
+
+    /// Memory held by requests at the engine.
+    pub fn occupancy(&self) -> &Occupancy {
+        &self.occupancy
+    }
+
+    /// Requests known at `now` to run or wait at the engine.
+    pub fn load(&self, now: Millis) -> u32 {
+        let own = self.gauge.count();
+        match now.saturating_sub(self.load_at.load(Relaxed)) {
+            age if age <= LOAD_TTL_MS => own.max(self.reported_load.load(Relaxed)),
+            _ => own,
+        }
+    }
+
+    /// Factor by which the engine is slower than expected of its accelerator, as known at `now`.
+    pub fn slowdown(&self, now: Millis) -> f64 {
+        let at = self.reported_at.load(Relaxed);
+        if at == 0 || now.saturating_sub(at) > REPORT_TTL_MS {
+            return 1.0;
+        }
+        let slowdown = self.slowdown.load(Relaxed) as f64 / SLOWDOWN_SCALE;
+        slowdown.clamp(*SLOWDOWN_RANGE.start(), *SLOWDOWN_RANGE.end())
+    }
+
+    /// Whether other engines are preferred at `now`.
+    pub fn is_deprioritized(&self, now: Millis) -> bool {
+        self.deprioritized.load(Relaxed) > now
+    }
+
+    /// Expected wait for a first response at `now`, milliseconds.
+    ///
+    /// The moving average decays with its age, so that an engine that was slow is tried again.
+    pub fn wait_ms(&self, now: Millis) -> f64 {
+        let age = now.saturating_sub(self.mean_at.load(Relaxed)).min(MEAN_TTL_MS);
+        let decay = 1.0 - age as f64 / MEAN_TTL_MS as f64;
+        let mean = self.mean.load(Relaxed) as f64 / 1e3;
+        mean * decay + f64::from(self.waiting.load(Relaxed)) * WAIT_PER_REQUEST_MS
+    }
+}
