--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -175,12 +175,12 @@
     match reason {
         LayoutReason::Gap if !main => Release::Cut,
         LayoutReason::Gap
-        | LayoutReason::Fresh
+        | LayoutReason::Initial
         | LayoutReason::Reorder
         | LayoutReason::Relief
         | LayoutReason::Trim
-        | LayoutReason::StandIn
-        | LayoutReason::Even => Release::Wait,
+        | LayoutReason::ExtraCopy
+        | LayoutReason::Rebalance => Release::Wait,
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/planner.rs
+++ b/crates/heathpitchd/src/gateway/control/planner.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{EngineEntry, EntryState, LayeredModel, Millis, Name};
-use heathpitch_policy::{Worker, copies, lay_out};
+use heathpitch_policy::{Worker, copy_counts, plan_layout};
 
 use super::orders::{self, Pending};
 use super::state::Control;
@@ -47,7 +47,7 @@
             if fresh && control.settles() {
                 continue;
             }
-            let plan = lay_out(model, &workers);
+            let plan = plan_layout(model, &workers);
             if !plan.is_empty() {
                 log(model, &service.name, &workers, plan.len());
             }
@@ -62,7 +62,7 @@
 }
 
 fn log(model: &LayeredModel, service: &Name, workers: &[Worker], moves: usize) {
-    let copies = copies(model.layers, workers.iter().map(|w| w.layers));
+    let copies = copy_counts(model.layers, workers.iter().map(|w| w.layers));
     GatewayEvent::LayoutPlanned {
         service: service.clone(),
         engines: workers.len(),
@@ -126,11 +126,11 @@
             engine: e.id.clone(),
             card,
             layers: ordered.unwrap_or(e.layers),
-            free: !pending.contains_key(&e.id),
-            open: tally.map_or(0, |t| t.gauge().count()),
-            held: control.held(&e.id),
-            short: control.binds(e),
-            new: since.get(&e.id).is_some_and(|at| now < at + NEW),
+            assignable: !pending.contains_key(&e.id),
+            open_requests: tally.map_or(0, |t| t.gauge().count()),
+            held_tokens: control.held(&e.id),
+            limited: control.binds(e),
+            is_new: since.get(&e.id).is_some_and(|at| now < at + NEW),
         })
     };
     engines.iter().filter_map(worker).collect()
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use heathpitch_core::{EntryState, LayerRange, Name};
-use heathpitch_policy::{Tally, Wish, mains};
+use heathpitch_policy::{Tally, Wish, primaries};
 
 use super::state::Control;
 use crate::gateway::engine_table::{EngineTable, EngineView};
@@ -15,7 +15,7 @@
 /// # Publishing
 impl Control {
     /// Engines that requests run through by rule, in each failure domain.
-    fn mains(&self) -> HashSet<Name> {
+    fn primaries(&self) -> HashSet<Name> {
         let Some(catalog) = self.shared.catalog.load_full() else { return HashSet::new() };
         let entries = self.entries.borrow();
         // By service and failure domain, in one walk.
@@ -33,7 +33,7 @@
         for ((service, _), held) in holders {
             let model = catalog.services.get(service).and_then(|s| s.model.as_ref());
             let layers = model.map_or(0, |m| m.layers);
-            found.extend(mains(layers, held.into_iter()).into_iter().cloned());
+            found.extend(primaries(layers, held.into_iter()).into_iter().cloned());
         }
         found
     }
@@ -42,7 +42,7 @@
     pub(super) fn publish(&self) {
         let catalog = self.shared.catalog.load();
         let mut services: HashMap<Name, Vec<EngineView>> = HashMap::new();
-        let mains = self.mains();
+        let primaries = self.primaries();
         let mut tallies = self.tallies.borrow_mut();
         let entries = self.entries.borrow();
         tallies.retain(|engine, _| entries.contains_key(engine));
@@ -60,7 +60,7 @@
             let wish = wishes.entry(entry.id.clone()).or_insert_with(|| self.new_wish(entry));
             let tally = tallies.entry(entry.id.clone());
             let tally = tally.or_insert_with(|| Arc::new(Tally::of(wish.clone()))).clone();
-            let main = mains.contains(&entry.id);
+            let main = primaries.contains(&entry.id);
             let view = EngineView { entry: entry.clone(), card, tally, main };
             services.entry(entry.service.clone()).or_default().push(view);
         }
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -23,15 +23,15 @@
     /// Layers it holds or is loading.
     pub layers: LayerRange,
     /// Whether it can be ordered now.
-    pub free: bool,
+    pub assignable: bool,
     /// Requests that run through it, as far as is known.
-    pub open: u32,
+    pub open_requests: u32,
     /// Tokens that requests hold there, as far as is known.
-    pub held: f64,
+    pub held_tokens: f64,
     /// Whether it takes less than it is asked for, by a limit that it names.
-    pub short: bool,
+    pub limited: bool,
     /// Whether it came a moment ago: where it replaces another one, that one leaves next.
-    pub new: bool,
+    pub is_new: bool,
 }
 
 /// Why a worker is to hold other layers.
@@ -39,7 +39,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum LayoutReason {
     /// The domain holds nothing yet.
-    Fresh,
+    #[serde(rename = "fresh")]
+    Initial,
     /// No worker holds these layers.
     Gap,
     /// No worker holds these layers, and all are dealt out anew.
@@ -49,9 +50,11 @@
     /// Others hold the rest of what it held.
     Trim,
     /// A further copy.
-    StandIn,
+    #[serde(rename = "stand_in")]
+    ExtraCopy,
     /// A copy of layers that have fewer than those it held.
-    Even,
+    #[serde(rename = "even")]
+    Rebalance,
 }
 
 /// Layers that a worker is to hold.
@@ -71,7 +74,7 @@
 ///
 /// ```
 /// use heathpitch_core::{Card, LayerRange, LayeredModel};
-/// use heathpitch_policy::{Worker, lay_out};
+/// use heathpitch_policy::{Worker, plan_layout};
 ///
 /// let card = Card { name: "small".parse()?, memory_mb: 10_000.0, pace: 1.0, read: 1.0 };
 /// let model = LayeredModel {
@@ -82,15 +85,15 @@
 /// };
 /// let worker = |name: &str| -> Result<Worker, heathpitch_core::NameError> {
 ///     let layers = LayerRange::new(0, 0);
-///     Ok(Worker { engine: name.parse()?, card: card.clone(), layers, free: true, open: 0, held: 0.0, short: false, new: false })
+///     Ok(Worker { engine: name.parse()?, card: card.clone(), layers, assignable: true, open_requests: 0, held_tokens: 0.0, limited: false, is_new: false })
 /// };
-/// let plan = lay_out(&model, &[worker("a")?, worker("b")?]);
+/// let plan = plan_layout(&model, &[worker("a")?, worker("b")?]);
 /// let held: Vec<_> = plan.iter().map(|a| a.layers.to_string()).collect();
 /// assert_eq!(held, ["0..8", "0..8"]);
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
-pub fn lay_out(model: &LayeredModel, workers: &[Worker]) -> Vec<Assignment> {
-    let short = workers.iter().any(|w| w.short);
+pub fn plan_layout(model: &LayeredModel, workers: &[Worker]) -> Vec<Assignment> {
+    let short = workers.iter().any(|w| w.limited);
     if let Some(plan) = short.then(|| beside(model, workers)).flatten() {
         return plan;
     }
@@ -98,10 +101,10 @@
         false => fresh(model, workers),
         true => {
             let mut layout = Layout::new(model, workers);
-            let gaps = uncovered(model.layers, workers.iter().map(|w| w.layers));
+            let gaps = layer_gaps(model.layers, workers.iter().map(|w| w.layers));
             let closed = gaps.iter().all(|gap| layout.close(*gap));
             match closed {
-                false if workers.iter().all(|w| w.free) => reorder(model, workers),
+                false if workers.iter().all(|w| w.assignable) => reorder(model, workers),
                 // What can be spared is kept for the gap until the others are done.
                 false => layout.into_plan(),
                 true => settle(layout, &gaps),
@@ -114,8 +117,8 @@
 /// hold it already or workers that can be spared are enough. Nobody else is moved for a limit, which may be over
 /// before a domain's layers are dealt out anew.
 fn beside(model: &LayeredModel, workers: &[Worker]) -> Option<Vec<Assignment>> {
-    let others: Vec<Worker> = workers.iter().filter(|w| !w.short).cloned().collect();
-    let gaps = uncovered(model.layers, others.iter().map(|w| w.layers));
+    let others: Vec<Worker> = workers.iter().filter(|w| !w.limited).cloned().collect();
+    let gaps = layer_gaps(model.layers, others.iter().map(|w| w.layers));
     let mut layout = Layout::new(model, &others);
     gaps.iter().all(|gap| layout.spare(*gap, ROOM_POOR)).then(|| settle(layout, &gaps))
 }
@@ -136,29 +139,29 @@
 ///
 /// Every node comes to the same ones from the same list: those of one chain, and where the others hold
 /// further whole chains, of all these.
-pub fn mains<'a>(
+pub fn primaries<'a>(
     layers: u32,
     workers: impl Iterator<Item = (&'a Name, f64, LayerRange)>,
 ) -> Vec<&'a Name> {
     let mut left: Vec<_> = workers.filter(|(.., held)| held.count() > 0).collect();
-    let mut mains = main_chain(layers, &left);
+    let mut primaries = primary_chain(layers, &left);
     let mut seen = 0;
     loop {
-        left.retain(|(engine, ..)| !mains[seen..].contains(engine));
-        seen = mains.len();
-        if !uncovered(layers, left.iter().map(|(.., held)| *held)).is_empty() {
-            return mains;
+        left.retain(|(engine, ..)| !primaries[seen..].contains(engine));
+        seen = primaries.len();
+        if !layer_gaps(layers, left.iter().map(|(.., held)| *held)).is_empty() {
+            return primaries;
         }
-        mains.extend(main_chain(layers, &left));
-        if mains.len() == seen {
-            return mains;
+        primaries.extend(primary_chain(layers, &left));
+        if primaries.len() == seen {
+            return primaries;
         }
     }
 }
 
 /// From the first layer on, the fastest worker that holds the next layer, of these the one that holds
 /// most beyond it.
-fn main_chain<'a>(layers: u32, workers: &[(&'a Name, f64, LayerRange)]) -> Vec<&'a Name> {
+fn primary_chain<'a>(layers: u32, workers: &[(&'a Name, f64, LayerRange)]) -> Vec<&'a Name> {
     let mut chain = Vec::new();
     let mut at = 0;
     while at < layers {
@@ -182,7 +185,7 @@
 }
 
 /// How many of these ranges hold each layer.
-pub fn copies(layers: u32, held: impl Iterator<Item = LayerRange>) -> Vec<usize> {
+pub fn copy_counts(layers: u32, held: impl Iterator<Item = LayerRange>) -> Vec<usize> {
     let mut copies = vec![0; layers as usize];
     for range in held {
         for layer in range.first..range.end.min(layers) {
@@ -193,7 +196,7 @@
 }
 
 /// Layers that none of these ranges holds.
-pub fn uncovered(layers: u32, held: impl Iterator<Item = LayerRange>) -> Vec<LayerRange> {
+pub fn layer_gaps(layers: u32, held: impl Iterator<Item = LayerRange>) -> Vec<LayerRange> {
     let mut held: Vec<LayerRange> = held.filter(|r| r.count() > 0).collect();
     held.sort_by_key(|r| r.first);
     let mut gaps = Vec::new();
--- a/crates/policy/src/layout_copies.rs
+++ b/crates/policy/src/layout_copies.rs
@@ -4,7 +4,7 @@
 
 use crate::layout_deal::{ROOM_MOST, spares_ample};
 use crate::layout_repair::Layout;
-use crate::{LayoutReason, Worker, copies};
+use crate::{LayoutReason, Worker, copy_counts};
 
 /// Copies of each layer beyond which further ones wait until requests need their room. Each costs as many orders as it
 /// has workers, and each worker that holds layers is asked for its state and weighed for every request.
@@ -14,7 +14,7 @@
 
 /// Copies of each layer that a domain's workers are to hold, if there are enough of them.
 pub(crate) fn copies_wanted(model: &LayeredModel, workers: &[Worker]) -> usize {
-    let held: f64 = workers.iter().map(|w| w.held * f64::from(w.layers.count())).sum();
+    let held: f64 = workers.iter().map(|w| w.held_tokens * f64::from(w.layers.count())).sum();
     let chains = held / f64::from(model.layers.max(1)) / f64::from(ROOM_MOST);
     COPIES_IDLE.max((chains * HEADROOM).ceil() as usize)
 }
@@ -24,7 +24,7 @@
     /// Gives empty workers a further copy of what has the fewest copies: a second one of each layer, and
     /// where all have two, more of them while they are wanted and a few workers stay empty.
     pub(crate) fn stand_in(&mut self) {
-        let empty = |w: &Worker| w.free && !w.new && w.layers.count() == 0;
+        let empty = |w: &Worker| w.assignable && !w.is_new && w.layers.count() == 0;
         let mut empties: Vec<usize> =
             (0..self.workers.len()).filter(|i| empty(&self.workers[*i])).collect();
         let spares = spares_ample(self.workers.len());
@@ -43,7 +43,7 @@
             let most = self.most(index);
             let Some(start) = self.thinnest(most, few, &copies) else { return };
             let end = (start + most).min(self.model.layers);
-            self.assign(index, LayerRange::new(start, end), LayoutReason::StandIn);
+            self.assign(index, LayerRange::new(start, end), LayoutReason::ExtraCopy);
             left -= 1;
         }
     }
@@ -56,26 +56,28 @@
     /// One at a time, and nothing while another order is under way, so that the others serve meanwhile; it
     /// leaves no layer as thin as the one that it is for, so moves end.
     pub(crate) fn even_out(&mut self) {
-        if !self.is_ample() || self.workers.iter().any(|w| !w.free) {
+        if !self.is_ample() || self.workers.iter().any(|w| !w.assignable) {
             return;
         }
         let copies = self.copies();
         let few = fewest(&copies);
         let spared = |w: &Worker| {
             let held = copies.get(w.layers.first as usize..w.layers.end as usize);
-            !w.new && held.is_some_and(|h| !h.is_empty() && h.iter().all(|c| *c >= few + 2))
+            !w.is_new && held.is_some_and(|h| !h.is_empty() && h.iter().all(|c| *c >= few + 2))
         };
         let spared = (0..self.workers.len()).filter(|i| spared(&self.workers[*i]));
-        let Some(index) = spared.min_by_key(|i| (self.workers[*i].open, *i)) else { return };
+        let Some(index) = spared.min_by_key(|i| (self.workers[*i].open_requests, *i)) else {
+            return;
+        };
         let most = self.most(index).min(self.model.layers);
         let Some(start) = self.thinnest(most, few, &copies) else { return };
         let start = start.min(self.model.layers - most);
-        self.assign(index, LayerRange::new(start, start + most), LayoutReason::Even);
+        self.assign(index, LayerRange::new(start, start + most), LayoutReason::Rebalance);
     }
 
     /// Copies of each layer.
     fn copies(&self) -> Vec<usize> {
-        copies(self.model.layers, self.workers.iter().map(|w| w.layers))
+        copy_counts(self.model.layers, self.workers.iter().map(|w| w.layers))
     }
 
     /// Start of a worker's range from which `most` layers have `few` copies or fewer, if any have.
--- a/crates/policy/src/layout_deal.rs
+++ b/crates/policy/src/layout_deal.rs
@@ -63,7 +63,7 @@
 
 /// A layout of workers that hold nothing.
 pub(crate) fn fresh(model: &LayeredModel, workers: &[Worker]) -> Vec<Assignment> {
-    let mut order: Vec<&Worker> = workers.iter().filter(|w| w.free).collect();
+    let mut order: Vec<&Worker> = workers.iter().filter(|w| w.assignable).collect();
     let speed = |w: &Worker| w.card.speed();
     order.sort_by(|a, b| speed(a).total_cmp(&speed(b)).then(a.engine.cmp(&b.engine)));
     let spares = (order.len() as f64 * SPARE_SHARE).ceil() as usize;
@@ -158,7 +158,7 @@
             continue;
         }
         let layers = LayerRange::new(at, at + count);
-        plan.push(Assignment { engine: w.engine.clone(), layers, reason: LayoutReason::Fresh });
+        plan.push(Assignment { engine: w.engine.clone(), layers, reason: LayoutReason::Initial });
         at += count;
     }
     (at == model.layers && !plan.is_empty()).then_some(plan)
--- a/crates/policy/src/layout_repair.rs
+++ b/crates/policy/src/layout_repair.rs
@@ -3,7 +3,7 @@
 use heathpitch_core::{LayerRange, LayeredModel};
 
 use crate::layout_deal::{ROOM_MOST, ROOM_STEP};
-use crate::{Assignment, LayoutReason, Worker, mains, uncovered};
+use crate::{Assignment, LayoutReason, Worker, layer_gaps, primaries};
 
 /// Room left by workers that take over layers of others, if possible, in a domain without memory
 /// for two copies.
@@ -80,7 +80,7 @@
     /// Workers that can be spared come first; then those that hold the layers next to the gap take
     /// more, nearest first, each handing layers on to the next one if that is not enough.
     pub(crate) fn close(&mut self, gap: LayerRange) -> bool {
-        let busy = self.workers.iter().any(|w| !w.free);
+        let busy = self.workers.iter().any(|w| !w.assignable);
         let least = if busy { ROOM_POOR } else { ROOM_FLOOR };
         if self.spare(gap, least) {
             return true;
@@ -123,7 +123,7 @@
                 let w = &self.workers[h.index];
                 let spare =
                     self.model.fits(&w.card, f64::from(room)).saturating_sub(h.part.count());
-                let extra = if w.free { spare.min(missing) } else { 0 };
+                let extra = if w.assignable { spare.min(missing) } else { 0 };
                 missing -= extra;
                 (*h, extra)
             };
@@ -189,8 +189,9 @@
 
     /// Takes layers off workers that hold too much.
     pub(crate) fn relieve(&mut self) {
-        let tight =
-            |w: &&Worker| w.free && w.layers.count() > 0 && self.room(w, w.layers) < self.tight();
+        let tight = |w: &&Worker| {
+            w.assignable && w.layers.count() > 0 && self.room(w, w.layers) < self.tight()
+        };
         let tight: Vec<usize> =
             (0..self.workers.len()).filter(|i| tight(&&self.workers[*i])).collect();
         for index in tight {
@@ -203,11 +204,10 @@
     /// Gives up what others hold as well; false if that is nothing.
     fn trim(&mut self, index: usize) -> bool {
         let held = self.workers[index].layers;
-        let others = self
-            .workers
-            .iter()
-            .enumerate()
-            .filter(|(i, w)| *i != index && w.free && self.room(w, w.layers) >= self.tight());
+        let others =
+            self.workers.iter().enumerate().filter(|(i, w)| {
+                *i != index && w.assignable && self.room(w, w.layers) >= self.tight()
+            });
         let others: Vec<LayerRange> = others.map(|(_, w)| w.layers).collect();
         let alone = |l: &u32| !others.iter().any(|o| (o.first..o.end).contains(l));
         let first = (held.first..held.end).find(alone);
@@ -261,15 +261,15 @@
         let mut left = self.workers.clone();
         let mut takers = Vec::new();
         let held = self.workers.iter().map(|w| (&w.engine, w.card.pace, w.layers));
-        let mains = mains(self.model.layers, held);
-        let main = |w: &Worker| mains.contains(&&w.engine);
+        let primaries = primaries(self.model.layers, held);
+        let main = |w: &Worker| primaries.contains(&&w.engine);
         let mut order: Vec<usize> = (0..self.workers.len()).collect();
-        let rank = |w: &Worker| (main(w), w.open > 0, w.layers.count());
+        let rank = |w: &Worker| (main(w), w.open_requests > 0, w.layers.count());
         order.sort_by_key(|i| (rank(&self.workers[*i]), *i));
         for index in order {
             let w = &self.workers[index];
             let most = self.model.fits(&w.card, f64::from(room));
-            if w.free && most > 0 && redundant(&left, index) {
+            if w.assignable && most > 0 && redundant(&left, index) {
                 left[index].layers = LayerRange::new(0, 0);
                 takers.push(Taker { index, most });
             }
@@ -292,7 +292,7 @@
     pub(crate) fn assign(&mut self, index: usize, layers: LayerRange, reason: LayoutReason) {
         let w = &mut self.workers[index];
         w.layers = layers;
-        w.free = false;
+        w.assignable = false;
         self.plan.push(Assignment { engine: w.engine.clone(), layers, reason });
     }
 }
@@ -329,7 +329,7 @@
 fn redundant(workers: &[Worker], index: usize) -> bool {
     let held = workers[index].layers;
     let others = workers.iter().enumerate().filter(|(i, _)| *i != index).map(|(_, w)| w.layers);
-    let gaps = uncovered(held.end, others);
+    let gaps = layer_gaps(held.end, others);
     gaps.iter().all(|g| g.end <= held.first)
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -72,7 +72,9 @@
 pub use gate::{Gate, Shed};
 pub use gauge::Gauge;
 pub use health::{Health, HealthEvent, Standing};
-pub use layout::{Assignment, LayoutReason, Worker, copies, lay_out, mains, uncovered};
+pub use layout::{
+    Assignment, LayoutReason, Worker, copy_counts, layer_gaps, plan_layout, primaries,
+};
 pub use leavers::Leavers;
 pub use ledger::{Ledger, Record, Start};
 pub use limit_record::{LimitEntry, LimitRecord, LimitRecorder};
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -6,7 +6,7 @@
 
 use common::name;
 use heathpitch_core::{Card, LayerRange, LayeredModel};
-use heathpitch_policy::{Assignment, LayoutReason, Worker, lay_out, mains, uncovered};
+use heathpitch_policy::{Assignment, LayoutReason, Worker, layer_gaps, plan_layout, primaries};
 use proptest::prelude::*;
 
 /// The cards of the users' deployments.
@@ -49,11 +49,11 @@
             engine: name(&format!("{}-{i}", card.name)),
             card: card.clone(),
             layers: LayerRange::new(0, 0),
-            free: true,
-            open: 0,
-            held: 0.0,
-            short: false,
-            new: false,
+            assignable: true,
+            open_requests: 0,
+            held_tokens: 0.0,
+            limited: false,
+            is_new: false,
         })
     };
     cards.iter().zip(counts).flat_map(of).collect()
@@ -73,7 +73,7 @@
 /// Applies plans until none is left.
 fn settle(workers: &mut [Worker]) -> usize {
     for round in 0..40 {
-        let plan = lay_out(&model(), workers);
+        let plan = plan_layout(&model(), workers);
         if plan.is_empty() {
             return round;
         }
@@ -83,7 +83,7 @@
 }
 
 fn gaps(workers: &[Worker]) -> Vec<LayerRange> {
-    uncovered(80, workers.iter().map(|w| w.layers))
+    layer_gaps(80, workers.iter().map(|w| w.layers))
 }
 
 fn least_room(workers: &[Worker]) -> f64 {
@@ -95,11 +95,11 @@
 fn a_fresh_domain_holds_every_layer_with_room_and_stand_ins() {
     for counts in [MEMPHIS, BIRMINGHAM, ATLANTA] {
         let mut workers = workers(counts);
-        let plan = lay_out(&model(), &workers);
+        let plan = plan_layout(&model(), &workers);
         apply(&mut workers, &plan);
         assert_eq!(gaps(&workers), []);
         assert!(least_room(&workers) >= 70_000.0, "{counts:?}: {}", least_room(&workers));
-        let spare = plan.iter().filter(|a| a.reason == LayoutReason::StandIn).count();
+        let spare = plan.iter().filter(|a| a.reason == LayoutReason::ExtraCopy).count();
         assert!(spare >= 2, "{counts:?}: {spare} stand-ins");
         assert_eq!(settle(&mut workers), 0);
     }
@@ -149,11 +149,11 @@
         engine: name("new"),
         card,
         layers,
-        free: true,
-        open: 0,
-        held: 0.0,
-        short: false,
-        new: false,
+        assignable: true,
+        open_requests: 0,
+        held_tokens: 0.0,
+        limited: false,
+        is_new: false,
     });
     settle(&mut workers);
     assert_eq!(gaps(&workers), []);
@@ -168,14 +168,14 @@
     let replacement = Worker {
         engine: name("new"),
         layers: LayerRange::new(0, 0),
-        short: false,
-        new: true,
+        limited: false,
+        is_new: true,
         ..workers[old].clone()
     };
     workers.push(replacement);
-    assert_eq!(lay_out(&model(), &workers), [], "nothing to do while the old one is there");
+    assert_eq!(plan_layout(&model(), &workers), [], "nothing to do while the old one is there");
     workers.remove(old);
-    let plan = lay_out(&model(), &workers);
+    let plan = plan_layout(&model(), &workers);
     assert_eq!(plan[0].engine, name("new"));
     apply(&mut workers, &plan);
     assert_eq!(gaps(&workers), []);
@@ -186,15 +186,15 @@
     let mut workers = workers(BIRMINGHAM);
     settle(&mut workers);
     let held: Vec<_> = workers.iter().map(|w| (w.engine.clone(), w.card.pace, w.layers)).collect();
-    let mains = mains(80, held.iter().map(|(e, p, l)| (e, *p, *l)));
+    let primaries = primaries(80, held.iter().map(|(e, p, l)| (e, *p, *l)));
     let lost = workers.iter().position(|w| w.card.name == name("l4")).unwrap();
     workers.remove(lost);
-    let busy = workers.iter().position(|w| !mains.contains(&&w.engine)).unwrap();
-    workers[busy].open = 3;
-    let plan = lay_out(&model(), &workers);
+    let busy = workers.iter().position(|w| !primaries.contains(&&w.engine)).unwrap();
+    workers[busy].open_requests = 3;
+    let plan = plan_layout(&model(), &workers);
     assert!(plan.iter().any(|a| a.reason == LayoutReason::Gap));
     for a in plan.iter().filter(|a| a.reason == LayoutReason::Gap) {
-        assert!(!mains.contains(&&a.engine), "{a:?} is one that requests run through");
+        assert!(!primaries.contains(&&a.engine), "{a:?} is one that requests run through");
         assert_ne!(a.engine, workers[busy].engine);
     }
 }
@@ -208,7 +208,7 @@
 
 fn settle_large(workers: &mut [Worker]) {
     for _ in 0..60 {
-        let plan = lay_out(&large_model(), workers);
+        let plan = plan_layout(&large_model(), workers);
         if plan.is_empty() {
             return;
         }
@@ -257,7 +257,7 @@
 #[test]
 fn a_domain_that_cannot_hold_the_model_orders_nothing_beyond_memory() {
     let mut workers = workers([0, 0, 3, 2]);
-    let plan = lay_out(&model(), &workers);
+    let plan = plan_layout(&model(), &workers);
     apply(&mut workers, &plan);
     for w in &workers {
         assert!(f64::from(w.layers.count()) * 1_750.0 <= w.card.memory_mb);
@@ -273,15 +273,15 @@
         let before = all.clone();
         let head = |w: &&mut Worker| w.layers.first == 0 && w.layers.count() > 0;
         let short = all.iter_mut().filter(head).max_by_key(|w| w.layers.count()).unwrap();
-        short.short = true;
+        short.limited = true;
         settle(&mut all);
-        let others: Vec<Worker> = all.iter().filter(|w| !w.short).cloned().collect();
+        let others: Vec<Worker> = all.iter().filter(|w| !w.limited).cloned().collect();
         assert_eq!(gaps(&others), [], "{counts:?}");
         let stays = |(w, was): &(&Worker, &Worker)| w.layers == was.layers;
         let kept = all.iter().zip(&before).filter(stays).map(|(w, _)| w.clone());
         assert_eq!(gaps(&kept.collect::<Vec<_>>()), [], "{counts:?}: one that is needed moved");
         // When it is over one may be relieved, and nobody else moves.
-        all.iter_mut().for_each(|w| w.short = false);
+        all.iter_mut().for_each(|w| w.limited = false);
         assert!(settle(&mut all) <= 1, "{counts:?}");
     }
 }
@@ -291,7 +291,7 @@
 fn nobody_moves_for_a_limit_where_none_can_be_spared() {
     let mut all = workers([0, 4, 0, 0]);
     settle(&mut all);
-    all[0].short = true;
+    all[0].limited = true;
     assert_eq!(settle(&mut all), 0);
 }
 
@@ -312,11 +312,11 @@
                     engine: name(&format!("added-{i}")),
                     card: cards().remove(kind),
                     layers: LayerRange::new(0, 0),
-                    free: true,
-                    open: 0,
-                    held: 0.0,
-            short: false,
-            new: false,
+                    assignable: true,
+                    open_requests: 0,
+                    held_tokens: 0.0,
+            limited: false,
+            is_new: false,
                 }),
                 false if workers.is_empty() => {}
                 false => {
--- a/crates/policy/tests/layout_large_domain.rs
+++ b/crates/policy/tests/layout_large_domain.rs
@@ -10,7 +10,7 @@
 
 use common::name;
 use heathpitch_core::{Card, LayerRange, LayeredModel};
-use heathpitch_policy::{Worker, copies, lay_out};
+use heathpitch_policy::{Worker, copy_counts, plan_layout};
 
 const LAYERS: u32 = 80;
 /// Workers of each card of one domain: h100, a100s, l4, t4.
@@ -55,11 +55,11 @@
             engine: name(&format!("{}-{i:04}", card.name)),
             card: card.clone(),
             layers: LayerRange::new(0, 0),
-            free: true,
-            open: 0,
-            held: 0.0,
-            short: false,
-            new: false,
+            assignable: true,
+            open_requests: 0,
+            held_tokens: 0.0,
+            limited: false,
+            is_new: false,
         };
         (0..count * times).map(worker).collect()
     };
@@ -70,7 +70,7 @@
 fn settle(workers: &mut [Worker]) -> usize {
     let mut orders = 0;
     for _ in 0..60 {
-        let plan = lay_out(&model(), workers);
+        let plan = plan_layout(&model(), workers);
         if plan.is_empty() {
             return orders;
         }
@@ -83,14 +83,14 @@
 }
 
 fn fewest(workers: &[Worker]) -> usize {
-    copies(LAYERS, workers.iter().map(|w| w.layers)).into_iter().min().unwrap()
+    copy_counts(LAYERS, workers.iter().map(|w| w.layers)).into_iter().min().unwrap()
 }
 
 /// Spreads tokens of requests over the chains.
 fn hold(workers: &mut [Worker], tokens: f64) {
     let chains = fewest(workers) as f64;
     for w in workers {
-        w.held = if w.layers.count() > 0 { tokens / chains } else { 0.0 };
+        w.held_tokens = if w.layers.count() > 0 { tokens / chains } else { 0.0 };
     }
 }
 
--- a/crates/policy/tests/layout_whole_fleet.rs
+++ b/crates/policy/tests/layout_whole_fleet.rs
@@ -14,7 +14,7 @@
 
 use common::name;
 use heathpitch_core::{Card, EngineEntry, EntryState, LayerRange, LayeredModel, Name, Path};
-use heathpitch_policy::{Assignment, Link, Search, Worker, find_chain, lay_out, mains};
+use heathpitch_policy::{Assignment, Link, Search, Worker, find_chain, plan_layout, primaries};
 
 const LAYERS: u32 = 80;
 /// Streams that a domain is asked for each second: its third of 255.
@@ -59,11 +59,11 @@
         engine: name(engine),
         card: card.clone(),
         layers,
-        free: true,
-        open: 0,
-        held: 0.0,
-        short: false,
-        new: false,
+        assignable: true,
+        open_requests: 0,
+        held_tokens: 0.0,
+        limited: false,
+        is_new: false,
     }
 }
 
@@ -80,7 +80,7 @@
 
 fn settle(workers: &mut [Worker]) {
     for _ in 0..60 {
-        let plan = lay_out(&model(), workers);
+        let plan = plan_layout(&model(), workers);
         if plan.is_empty() {
             return;
         }
@@ -202,7 +202,7 @@
         let fewest = fewest_copies(&workers);
         assert!(fewest >= 2, "{counts:?}: a layer has {fewest} copies");
         let held = workers.iter().map(|w| (&w.engine, w.card.pace, w.layers));
-        let used = mains(LAYERS, held).len();
+        let used = primaries(LAYERS, held).len();
         assert!(used * 3 > workers.len(), "{counts:?}: requests run through {used}");
     }
 }
@@ -272,7 +272,7 @@
 fn a_model_without_layers_asks_for_nothing() {
     let cards = cards();
     let workers = [worker("a", &cards[0]), worker("b", &cards[1]), worker("c", &cards[2])];
-    assert_eq!(lay_out(&LayeredModel { layers: 0, ..model() }, &workers), []);
+    assert_eq!(plan_layout(&LayeredModel { layers: 0, ..model() }, &workers), []);
 }
 
 /// The same workers in any order give the same layout, so that a planner's successor moves nothing.
@@ -280,9 +280,9 @@
 fn a_layout_that_stands_is_left_alone() {
     for counts in DOMAINS {
         let mut workers = domain(counts);
-        assert_eq!(lay_out(&model(), &workers), []);
+        assert_eq!(plan_layout(&model(), &workers), []);
         workers.reverse();
-        assert_eq!(lay_out(&model(), &workers), []);
+        assert_eq!(plan_layout(&model(), &workers), []);
     }
 }
 
@@ -295,10 +295,13 @@
     let fresh = start.elapsed();
     workers[3].layers = LayerRange::new(0, 0);
     let start = std::time::Instant::now();
-    let plan = lay_out(&model(), &workers);
+    let plan = plan_layout(&model(), &workers);
     let repair = start.elapsed();
     let held = workers.iter().map(|w| (&w.engine, w.card.pace, w.layers));
     let start = std::time::Instant::now();
-    let used = mains(LAYERS, held).len();
-    println!("fresh {fresh:?}, repair of {plan:?} {repair:?}, {used} mains {:?}", start.elapsed());
+    let used = primaries(LAYERS, held).len();
+    println!(
+        "fresh {fresh:?}, repair of {plan:?} {repair:?}, {used} primaries {:?}",
+        start.elapsed()
+    );
 }
