--- a/crates/heathpitch/examples/place_layers.rs
+++ b/crates/heathpitch/examples/place_layers.rs
@@ -1,7 +1,7 @@
 //! Cookbook: a plan for a model that lost a stage.
 
 use heathpitch::core::{LayerRange, Model, NameError};
-use heathpitch::policy::{Holding, Placeable, Wanted, plan};
+use heathpitch::policy::{LoadedLayers, ModelDemand, PlacementEngine, plan_placement};
 
 fn main() -> Result<(), NameError> {
     let model = Model::new("tickets".parse()?, "v1".parse()?, 24);
@@ -10,16 +10,19 @@
         engine("idle-slow", 400, None)?,
         engine("idle-quick", 100, None)?,
     ];
-    for m in plan(&[Wanted { model, demand: 1.0, allowed: None }], &engines) {
+    for m in plan_placement(&[ModelDemand { model, demand: 1.0, allowed: None }], &engines) {
         let (engine, layers) = (m.engine, m.holding.layers);
         println!("{engine} loads {layers} ({} MB): {:?}", m.megabytes, m.reason);
     }
     Ok(())
 }
 
-fn engine(name: &str, layer: u64, held: Option<(u32, u32)>) -> Result<Placeable, NameError> {
+fn engine(name: &str, layer: u64, held: Option<(u32, u32)>) -> Result<PlacementEngine, NameError> {
     let (model, version) = ("tickets".parse()?, "v1".parse()?);
-    let holding =
-        held.map(|(first, end)| Holding { model, version, layers: LayerRange::new(first, end) });
-    Ok(Placeable { engine: name.parse()?, memory: 8_000, layer, link: 50, holding })
+    let holding = held.map(|(first, end)| LoadedLayers {
+        model,
+        version,
+        layers: LayerRange::new(first, end),
+    });
+    Ok(PlacementEngine { engine: name.parse()?, memory: 8_000, layer, link: 50, holding })
 }
--- a/crates/heathpitchd/src/control/placement.rs
+++ b/crates/heathpitchd/src/control/placement.rs
@@ -12,7 +12,9 @@
 
 use heathpitch_core::{Epoch, Index, Millis, Model, Name, RouteKind, Vm, VmRole};
 use heathpitch_net::{Order, OrderError, OrderKind};
-use heathpitch_policy::{EngineReport, Holding, Move, Placeable, Wanted, plan};
+use heathpitch_policy::{
+    EngineReport, LoadedLayers, ModelDemand, Move, PlacementEngine, plan_placement,
+};
 
 use super::config::note;
 use super::state::Control;
@@ -35,7 +37,7 @@
     epoch: Option<Epoch>,
     until: Millis,
     next: Millis,
-    loading: HashMap<Name, (Holding, Millis)>,
+    loading: HashMap<Name, (LoadedLayers, Millis)>,
 }
 
 /// Takes part in planning.
@@ -102,9 +104,10 @@
         self.settle(&engines, now);
         let index = control.replica.borrow().index();
         let wanted = wanted(&index, &engines);
-        let placeable: Vec<Placeable> = engines.iter().map(|(_, r)| self.placeable(r)).collect();
+        let placeable: Vec<PlacementEngine> =
+            engines.iter().map(|(_, r)| self.placeable(r)).collect();
         let room = MAX_LOADS.saturating_sub(self.loading.len());
-        for step in plan(&wanted, &placeable).into_iter().take(room) {
+        for step in plan_placement(&wanted, &placeable).into_iter().take(room) {
             let Some((vm, _)) = engines.iter().find(|(vm, _)| vm.name == step.engine) else {
                 continue;
             };
@@ -121,7 +124,7 @@
 
     /// Gives one order; false if a newer planner is known to be at work.
     async fn order(&mut self, control: &Control, vm: &Vm, step: &Move, epoch: Epoch) -> bool {
-        let Holding { model, version, layers } = step.holding.clone();
+        let LoadedLayers { model, version, layers } = step.holding.clone();
         let kind =
             OrderKind::Load { model: model.clone(), version, layers, megabytes: step.megabytes };
         let answer = control.edges.engine.order(&vm.address, Order { epoch, kind }).await;
@@ -158,9 +161,9 @@
         });
     }
 
-    fn placeable(&self, report: &EngineReport) -> Placeable {
+    fn placeable(&self, report: &EngineReport) -> PlacementEngine {
         let loading = self.loading.get(&report.engine).map(|(h, _)| h.clone());
-        Placeable {
+        PlacementEngine {
             engine: report.engine.clone(),
             memory: report.memory,
             layer: report.layer,
@@ -186,19 +189,19 @@
     engines
 }
 
-fn holding(report: &EngineReport) -> Option<Holding> {
+fn holding(report: &EngineReport) -> Option<LoadedLayers> {
     let model = report.model.clone()?;
-    Some(Holding { model, version: report.version.clone(), layers: report.layers })
+    Some(LoadedLayers { model, version: report.version.clone(), layers: report.layers })
 }
 
 /// Models that routes lead to, with the engines their pools admit.
-fn wanted(index: &Index, engines: &[(Vm, EngineReport)]) -> Vec<Wanted> {
+fn wanted(index: &Index, engines: &[(Vm, EngineReport)]) -> Vec<ModelDemand> {
     let mut models: Vec<&Model> = index.models.values().map(|m| &**m).collect();
     models.sort_by(|a, b| a.name.cmp(&b.name));
     models.into_iter().filter_map(|m| want(index, m, engines)).collect()
 }
 
-fn want(index: &Index, model: &Model, engines: &[(Vm, EngineReport)]) -> Option<Wanted> {
+fn want(index: &Index, model: &Model, engines: &[(Vm, EngineReport)]) -> Option<ModelDemand> {
     let serves = |r: &heathpitch_core::Route| {
         r.kind == RouteKind::Model
             && (r.select.models.is_empty() || r.select.models.contains(&model.name))
@@ -213,5 +216,5 @@
     let of_model = engines.iter().filter(|(_, r)| r.model.as_ref() == Some(&model.name));
     let load: u32 = of_model.map(|(_, r)| r.running + r.queued).sum();
     let demand = 1.0 + f64::from(load);
-    Some(Wanted { model: model.clone(), demand, allowed: Some(allowed) })
+    Some(ModelDemand { model: model.clone(), demand, allowed: Some(allowed) })
 }
--- a/crates/heathpitchd/src/filters/limit.rs
+++ b/crates/heathpitchd/src/filters/limit.rs
@@ -59,7 +59,7 @@
 
 /// Requests this node may have open for the model: its part of the places in whole paths.
 fn room(fleet: &Fleet, matched: &Matched, nodes: u32) -> u32 {
-    let held = fleet.holding(&matched.model.name).iter();
+    let held = fleet.engines_for(&matched.model.name).iter();
     let usable = held.filter(|u| matched.index.admits(&matched.route, u.labels()));
     let places: u64 =
         usable.map(|u| u64::from(u.report.slots) * u64::from(u.report.layers.count())).sum();
--- a/crates/heathpitchd/src/filters/run/attempt.rs
+++ b/crates/heathpitchd/src/filters/run/attempt.rs
@@ -58,7 +58,7 @@
         let shared = &self.cx.traffic.shared;
         let fleet = shared.fleet.load();
         let prefixes = shared.prefixes.load();
-        let engines = fleet.holding(&self.matched.model.name);
+        let engines = fleet.engines_for(&self.matched.model.name);
         let admits = |u: &Upstream| self.matched.index.admits(&self.matched.route, u.labels());
         let mut ask = heathpitch_policy::Ask {
             model: &self.matched.model,
@@ -101,7 +101,7 @@
         self.log_route(attempt, &path);
         let shared = &self.cx.traffic.shared;
         let fleet = shared.fleet.load();
-        let engines = fleet.holding(&self.matched.model.name);
+        let engines = fleet.engines_for(&self.matched.model.name);
         let on_path = engines.iter().filter(|u| path.uses(u.vm.name.as_str()));
         self.opened = Some(Opened::new(on_path.map(|u| u.gauge.clone()).collect()));
         let settings = &self.matched.route.settings;
--- a/crates/heathpitchd/src/filters/run/failure.rs
+++ b/crates/heathpitchd/src/filters/run/failure.rs
@@ -60,7 +60,7 @@
     pub(super) fn doubt(&self, name: &Name) {
         let shared = &self.cx.traffic.shared;
         let fleet = shared.fleet.load();
-        let engines = fleet.holding(&self.matched.model.name);
+        let engines = fleet.engines_for(&self.matched.model.name);
         if let Some(u) = engines.iter().find(|u| u.vm.name == *name) {
             u.gauge.fail(shared.now());
         }
@@ -70,7 +70,7 @@
     /// Looks at every engine that a path could be made of, so that the next path avoids them all.
     pub(super) fn start_look(&self) -> JoinHandle<Vec<Name>> {
         let fleet = self.cx.traffic.shared.fleet.load();
-        let engines = fleet.holding(&self.matched.model.name).iter();
+        let engines = fleet.engines_for(&self.matched.model.name).iter();
         let admitted =
             engines.filter(|u| self.matched.index.admits(&self.matched.route, u.labels()));
         let targets = probe::candidates(admitted);
--- a/crates/heathpitchd/src/gateway/call/pick.rs
+++ b/crates/heathpitchd/src/gateway/call/pick.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use heathpitch_core::{Millis, Name, Path};
-use heathpitch_policy::{Link, Search, find_near_chain};
+use heathpitch_policy::{ChainEngine, ChainQuery, find_local_chain};
 use rand::Rng;
 
 use super::admit::Call;
@@ -90,11 +90,12 @@
 ) -> Option<Chosen> {
     let now = avoid.now;
     let (path, links) = chain(table, call, home, now, |s| avoid.allows(s))?;
-    let on_path = |l: &&Link| l.full && path.stages().iter().any(|s| s.engine == l.entry.id);
-    let fullest = links.iter().filter(on_path).max_by(|a, b| a.share.total_cmp(&b.share));
+    let on_path = |l: &&ChainEngine| l.full && path.stages().iter().any(|s| s.engine == l.entry.id);
+    let fullest =
+        links.iter().filter(on_path).max_by(|a, b| a.utilization.total_cmp(&b.utilization));
     let full = fullest.map(|l| {
         let age = table.view(l.entry.id.as_str()).and_then(|v| v.tally.occupancy().age(now));
-        Full { engine: l.entry.id.clone(), share: l.share, age }
+        Full { engine: l.entry.id.clone(), share: l.utilization, age }
     });
     Some(Chosen { path, full })
 }
@@ -106,12 +107,12 @@
     home: &Name,
     now: Millis,
     usable: impl Fn(&EngineView) -> bool,
-) -> Option<(Path, Vec<Link>)> {
+) -> Option<(Path, Vec<ChainEngine>)> {
     let model = call.service.model.as_ref()?;
     let (service, tokens) = (&call.service.name, need(call));
     let links = table.links(&Wanted { service, model, tokens, now, current: None }, usable);
-    let search = Search { model, name: service, home, current: None };
-    let (path, _) = find_near_chain(&search, &links)?;
+    let search = ChainQuery { model, name: service, home, current: None };
+    let (path, _) = find_local_chain(&search, &links)?;
     Some((path, links))
 }
 
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -13,7 +13,7 @@
 
 use heathpitch_core::{LayeredModel, Millis, Name, Path, Stage};
 use heathpitch_net::{EdgeError, Ordered};
-use heathpitch_policy::{Search, find_near_chain};
+use heathpitch_policy::{ChainQuery, find_local_chain};
 use tokio::task::spawn_local;
 
 use super::looks;
@@ -244,8 +244,8 @@
     let links = table.links(&Wanted { service, model, tokens, now, current: Some(path) }, usable);
     // The first engine stays, so its domain is where the others are best.
     let home = table.view(head.as_str())?.entry.domain.clone();
-    let search = Search { model, name: &live.service, home: &home, current: Some(path) };
-    find_near_chain(&search, &links).map(|(path, _)| path)
+    let search = ChainQuery { model, name: &live.service, home: &home, current: Some(path) };
+    find_local_chain(&search, &links).map(|(path, _)| path)
 }
 
 /// # Lives
--- a/crates/heathpitchd/src/gateway/engine_table.rs
+++ b/crates/heathpitchd/src/gateway/engine_table.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use heathpitch_core::{Card, EngineEntry, EntryState, LayeredModel, Millis, Name, Path};
-use heathpitch_policy::{Link, Tally};
+use heathpitch_policy::{ChainEngine, Tally};
 use rand::Rng;
 
 /// Share of an engine's room beyond which it takes no new requests: beside it requests make each other be read anew.
@@ -89,7 +89,7 @@
         &self,
         wanted: &Wanted<'_>,
         usable: impl Fn(&EngineView) -> bool,
-    ) -> Vec<Link> {
+    ) -> Vec<ChainEngine> {
         let &Wanted { service, model, now, .. } = wanted;
         let link = |s: &EngineView| {
             let card = s.card.clone()?;
@@ -109,7 +109,15 @@
             let penalty = LOADED * share * share + none + stand_in + jitter;
             let wait = s.tally.wait_ms(now) - WAIT_USUAL;
             let start = wait.max(0.0) / WAIT_SPREAD;
-            Some(Link { entry: s.entry.clone(), card, penalty, start, share, full, crowded })
+            Some(ChainEngine {
+                entry: s.entry.clone(),
+                card,
+                penalty,
+                start_cost: start,
+                utilization: share,
+                full,
+                deprioritized: crowded,
+            })
         };
         let views = self.of(service).iter();
         views.filter(|s| s.entry.layers.count() > 0 && usable(s)).filter_map(link).collect()
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -28,7 +28,7 @@
 
 /// An engine that a chain may run through.
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct ChainEngine {
     /// The engine.
     pub entry: Arc<EngineEntry>,
     /// Its card.
@@ -36,18 +36,18 @@
     /// Cost beside that of its layers: load, doubt; milliseconds a token.
     pub penalty: f64,
     /// Cost of starting here: requests that wait for their prompt to be read; milliseconds a token.
-    pub start: f64,
+    pub start_cost: f64,
     /// Share of its room that requests would hold, as far as is known.
-    pub share: f64,
+    pub utilization: f64,
     /// Whether it has no room, as far as is known.
     pub full: bool,
     /// Whether others are preferred to it for a moment: it refused its part.
-    pub crowded: bool,
+    pub deprioritized: bool,
 }
 
 /// What a chain is looked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Search<'a> {
+pub struct ChainQuery<'a> {
     /// The model.
     pub model: &'a LayeredModel,
     /// Its name.
@@ -69,12 +69,12 @@
 ///
 /// None if the links do not hold every layer, or the first part of the current chain is not among
 /// them.
-pub fn find_near_chain(search: &Search<'_>, links: &[Link]) -> Option<(Path, f64)> {
-    let near: Vec<Link> =
+pub fn find_local_chain(search: &ChainQuery<'_>, links: &[ChainEngine]) -> Option<(Path, f64)> {
+    let near: Vec<ChainEngine> =
         links.iter().filter(|l| &l.entry.domain == search.home).cloned().collect();
     let full = |path: &Path| {
-        let used = |l: &&Link| path.stages().iter().any(|s| s.engine == l.entry.id);
-        near.iter().filter(used).any(|l| l.full || l.crowded)
+        let used = |l: &&ChainEngine| path.stages().iter().any(|s| s.engine == l.entry.id);
+        near.iter().filter(used).any(|l| l.full || l.deprioritized)
     };
     match find_chain(search, &near) {
         Some((path, cost)) if !full(&path) => Some((path, cost)),
@@ -86,7 +86,7 @@
 ///
 /// None if the links do not hold every layer, or the first part of the current chain is not among
 /// them.
-pub fn find_chain(search: &Search<'_>, links: &[Link]) -> Option<(Path, f64)> {
+pub fn find_chain(search: &ChainQuery<'_>, links: &[ChainEngine]) -> Option<(Path, f64)> {
     let (stages, cost) = cheapest(search, links, SPLITS)?;
     let model = Model::new(search.name.clone(), search.name.clone(), search.model.layers);
     match Path::new(&model, stages) {
@@ -97,7 +97,11 @@
 
 /// The cheapest stages. Where an engine stands twice they are sought anew with the one and with the other part of
 /// its layers alone, at most `splits` times one in the other: all that lies between may cost far more there.
-fn cheapest(search: &Search<'_>, links: &[Link], splits: u32) -> Option<(Vec<Stage>, f64)> {
+fn cheapest(
+    search: &ChainQuery<'_>,
+    links: &[ChainEngine],
+    splits: u32,
+) -> Option<(Vec<Stage>, f64)> {
     let mut table = Table::new(search, links)?;
     table.fill();
     let stages = table.best()?;
@@ -145,8 +149,8 @@
 }
 
 struct Table<'a> {
-    search: &'a Search<'a>,
-    links: &'a [Link],
+    search: &'a ChainQuery<'a>,
+    links: &'a [ChainEngine],
     cuts: Vec<u32>,
     domains: Vec<&'a Name>,
     start: (usize, usize),
@@ -156,7 +160,7 @@
 
 /// # Construction
 impl<'a> Table<'a> {
-    fn new(search: &'a Search<'a>, links: &'a [Link]) -> Option<Self> {
+    fn new(search: &'a ChainQuery<'a>, links: &'a [ChainEngine]) -> Option<Self> {
         let head = search.current.map(|path| path.head().clone());
         let first = head.as_ref().map_or(0, |h| h.layers.end);
         let layers = search.model.layers;
@@ -169,7 +173,7 @@
         domains.push(search.home);
         domains.sort();
         domains.dedup();
-        let holds = |l: &&Link| head.as_ref().is_some_and(|h| h.engine == l.entry.id);
+        let holds = |l: &&ChainEngine| head.as_ref().is_some_and(|h| h.engine == l.entry.id);
         let at = match (&head, links.iter().find(holds)) {
             (Some(_), None) => return None,
             (Some(_), Some(link)) => &link.entry.domain,
@@ -181,7 +185,7 @@
     }
 }
 
-/// # Search
+/// # ChainQuery
 impl Table<'_> {
     fn fill(&mut self) {
         for cut in 0..self.cuts.len() {
@@ -207,7 +211,7 @@
         }
         let Ok(domain) = self.domains.binary_search(&&l.entry.domain) else { return };
         let begins = from == self.start && self.head.is_none();
-        let start = if begins { l.start } else { 0.0 };
+        let start = if begins { l.start_cost } else { 0.0 };
         let entry = so_far + l.penalty + start + self.hop(from.1, domain, !begins);
         for to in from.0 + 1..self.cuts.len() {
             if self.cuts[to] > l.entry.layers.end {
@@ -233,7 +237,7 @@
         }
     }
 
-    fn work(&self, link: &Link, part: LayerRange) -> f64 {
+    fn work(&self, link: &ChainEngine, part: LayerRange) -> f64 {
         let model = self.search.model;
         let share = f64::from(part.count()) / f64::from(model.layers);
         let kept = self.search.current.is_some_and(|path| {
@@ -264,7 +268,7 @@
             };
             let domain = self.domains.binary_search(&&link.entry.domain).unwrap_or(at);
             let begins = stage.layers.first == 0;
-            let start = if begins { link.start } else { 0.0 };
+            let start = if begins { link.start_cost } else { 0.0 };
             let hop = self.hop(at, domain, !begins);
             cost += link.penalty + start + hop + self.work(link, stage.layers);
             at = domain;
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -44,7 +44,7 @@
 
 impl Fleet {
     /// Engines that hold a layer of `model`.
-    pub fn holding(&self, model: &Name) -> &[Upstream] {
+    pub fn engines_for(&self, model: &Name) -> &[Upstream] {
         self.engines.get(model).map_or(&[], Vec::as_slice)
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -58,7 +58,7 @@
 pub use blocks::{BLOCK, blocks, prompt_tokens};
 pub use bucket::Bucket;
 pub use budget::{RetryBudget, come_back};
-pub use chain::{Link, Search, find_chain, find_near_chain};
+pub use chain::{ChainEngine, ChainQuery, find_chain, find_local_chain};
 pub use claims::{ClaimAction, ClaimEvent, Claims, Verdict};
 pub use claims_page::{ClaimEntry, ClaimPage};
 pub use clocks::{Clocks, Suspensions};
@@ -85,7 +85,9 @@
 pub use mirror::{Delta, Mirror};
 pub use occupancy::Occupancy;
 pub use pace::Pace;
-pub use placement::{Holding, Move, MoveReason, Placeable, Wanted, gaps, plan};
+pub use placement::{
+    LoadedLayers, ModelDemand, Move, MoveReason, PlacementEngine, model_gaps, plan_placement,
+};
 pub use predict::{Need, predict};
 pub use prefix::{BlockEvent, PrefixIndex};
 pub use quarantine::{End, EngineLife, Quarantine, has_just_begun};
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -15,7 +15,7 @@
 
 /// Layers of a model on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holding {
+pub struct LoadedLayers {
     /// Model.
     pub model: Name,
     /// Version of the weights.
@@ -26,7 +26,7 @@
 
 /// An engine that a plan may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Placeable {
+pub struct PlacementEngine {
     /// Engine.
     pub engine: Name,
     /// Memory for weights, megabytes.
@@ -36,12 +36,12 @@
     /// Time an activation takes to the next stage, microseconds.
     pub link: u64,
     /// What it holds, or is loading.
-    pub holding: Option<Holding>,
+    pub holding: Option<LoadedLayers>,
 }
 
 /// A model and how much it is asked for, in any unit that all models share.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct ModelDemand {
     /// Model.
     pub model: Model,
     /// Demand, above 0.
@@ -56,7 +56,7 @@
     /// Engine.
     pub engine: Name,
     /// What it is to hold.
-    pub holding: Holding,
+    pub holding: LoadedLayers,
     /// Weights to load, megabytes.
     pub megabytes: u64,
     /// Why.
@@ -81,19 +81,19 @@
 ///
 /// ```
 /// use heathpitch_core::Model;
-/// use heathpitch_policy::{Placeable, Wanted, plan};
+/// use heathpitch_policy::{PlacementEngine, ModelDemand, plan_placement};
 ///
 /// let model = Model::new("m".parse()?, "v1".parse()?, 4);
-/// let wanted = [Wanted { model, demand: 1.0, allowed: None }];
-/// let engine = |name: &str| -> Result<Placeable, heathpitch_core::NameError> {
-///     Ok(Placeable { engine: name.parse()?, memory: 1_000, layer: 100, link: 10, holding: None })
+/// let wanted = [ModelDemand { model, demand: 1.0, allowed: None }];
+/// let engine = |name: &str| -> Result<PlacementEngine, heathpitch_core::NameError> {
+///     Ok(PlacementEngine { engine: name.parse()?, memory: 1_000, layer: 100, link: 10, holding: None })
 /// };
-/// let moves = plan(&wanted, &[engine("a")?, engine("b")?]);
+/// let moves = plan_placement(&wanted, &[engine("a")?, engine("b")?]);
 /// let ends: Vec<_> = moves.iter().map(|m| m.holding.layers.to_string()).collect();
 /// assert_eq!(ends, ["0..2", "2..4"]);
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
-pub fn plan(wanted: &[Wanted], engines: &[Placeable]) -> Vec<Move> {
+pub fn plan_placement(wanted: &[ModelDemand], engines: &[PlacementEngine]) -> Vec<Move> {
     let mut planner = Planner { wanted, engines: engines.to_vec(), moves: Vec::new() };
     planner.cover();
     planner.use_idle();
@@ -104,8 +104,8 @@
 }
 
 struct Planner<'a> {
-    wanted: &'a [Wanted],
-    engines: Vec<Placeable>,
+    wanted: &'a [ModelDemand],
+    engines: Vec<PlacementEngine>,
     moves: Vec<Move>,
 }
 
@@ -113,17 +113,17 @@
 impl Planner<'_> {
     /// Closes the gaps of models that no path runs through, the most wanted first.
     fn cover(&mut self) {
-        let mut order: Vec<&Wanted> = self.wanted.iter().collect();
+        let mut order: Vec<&ModelDemand> = self.wanted.iter().collect();
         order.sort_by(|a, b| b.demand.total_cmp(&a.demand).then(a.model.name.cmp(&b.model.name)));
         for w in order {
-            for gap in gaps(&self.engines, &w.model) {
+            for gap in model_gaps(&self.engines, &w.model) {
                 self.close(w, gap);
             }
         }
     }
 
     /// Closes a gap with idle engines; if they do not hold it, with spare ones as well.
-    fn close(&mut self, w: &Wanted, gap: LayerRange) {
+    fn close(&mut self, w: &ModelDemand, gap: LayerRange) {
         let mut usable: Vec<usize> = self.idle().collect();
         loop {
             let capable: Vec<Capable> =
@@ -148,8 +148,8 @@
     fn use_idle(&mut self) {
         loop {
             let idle: Vec<usize> = self.idle().collect();
-            let served = |w: &&Wanted| {
-                gaps(&self.engines, &w.model).is_empty()
+            let served = |w: &&ModelDemand| {
+                model_gaps(&self.engines, &w.model).is_empty()
                     && idle.iter().any(|i| capable(&self.engines[*i], w).room > 0)
             };
             let Some(w) = self
@@ -173,7 +173,8 @@
 
     /// Moves one engine from a model with plenty to the one most in need.
     fn balance(&mut self) {
-        let by_plenty = |a: &&Wanted, b: &&Wanted| self.plenty(a).total_cmp(&self.plenty(b));
+        let by_plenty =
+            |a: &&ModelDemand, b: &&ModelDemand| self.plenty(a).total_cmp(&self.plenty(b));
         let (Some(poor), Some(rich)) =
             (self.wanted.iter().min_by(by_plenty), self.wanted.iter().max_by(by_plenty))
         else {
@@ -202,14 +203,14 @@
         (0..self.engines.len()).filter(|i| self.is_idle(&self.engines[*i]))
     }
 
-    fn is_idle(&self, engine: &Placeable) -> bool {
+    fn is_idle(&self, engine: &PlacementEngine) -> bool {
         let Some(h) = &engine.holding else { return true };
-        let same = |w: &Wanted| w.model.name == h.model && w.model.version == h.version;
+        let same = |w: &ModelDemand| w.model.name == h.model && w.model.version == h.version;
         !self.wanted.iter().any(same)
     }
 
     /// An engine whose model keeps a path without it, of the model with most plenty.
-    fn spare(&self, taken: &[usize], w: &Wanted) -> Option<usize> {
+    fn spare(&self, taken: &[usize], w: &ModelDemand) -> Option<usize> {
         let plenty = |i: &usize| {
             let name = self.engines[*i].holding.as_ref().map(|h| &h.model);
             let of = self.wanted.iter().find(|w| Some(&w.model.name) == name);
@@ -229,21 +230,22 @@
         };
         let mut without = self.engines.clone();
         without.remove(at);
-        gaps(&without, &w.model) == gaps(&self.engines, &w.model)
+        model_gaps(&without, &w.model) == model_gaps(&self.engines, &w.model)
     }
 
     /// Steps per second that the weakest layer of a model can run, by its demand.
-    fn plenty(&self, w: &Wanted) -> f64 {
+    fn plenty(&self, w: &ModelDemand) -> f64 {
         let layers = 0..w.model.layers;
         let least = layers.map(|l| self.strength(&w.model, l)).min_by(f64::total_cmp);
         least.unwrap_or(0.0) / w.demand.max(f64::MIN_POSITIVE)
     }
 
     fn strength(&self, model: &Model, layer: u32) -> f64 {
-        let holds = |h: &&Holding| holds_layer(h, model, layer);
-        let time =
-            |e: &Placeable, h: &Holding| u64::from(h.layers.count()) * e.layer.max(1) + e.link;
-        let of = |e: &Placeable| {
+        let holds = |h: &&LoadedLayers| holds_layer(h, model, layer);
+        let time = |e: &PlacementEngine, h: &LoadedLayers| {
+            u64::from(h.layers.count()) * e.layer.max(1) + e.link
+        };
+        let of = |e: &PlacementEngine| {
             e.holding.as_ref().filter(holds).map(|h| 1_000_000.0 / time(e, h) as f64)
         };
         self.engines.iter().filter_map(of).sum()
@@ -266,7 +268,7 @@
     fn place(&mut self, engine: &Name, model: &Model, layers: LayerRange, reason: MoveReason) {
         let Some(e) = self.engines.iter_mut().find(|e| e.engine == *engine) else { return };
         let (name, version) = (model.name.clone(), model.version.clone());
-        let holding = Holding { model: name, version, layers };
+        let holding = LoadedLayers { model: name, version, layers };
         let before = e.holding.as_ref().filter(|h| h.model == holding.model);
         let kept = before.map_or(0, |h| overlap(h.layers, layers));
         let megabytes = u64::from(layers.count() - kept) * u64::from(model.layer_mb);
@@ -276,7 +278,7 @@
 }
 
 /// Layers of a model that no engine holds.
-pub fn gaps(engines: &[Placeable], model: &Model) -> Vec<LayerRange> {
+pub fn model_gaps(engines: &[PlacementEngine], model: &Model) -> Vec<LayerRange> {
     let mut held = BTreeSet::new();
     for h in engines.iter().filter_map(|e| e.holding.as_ref()) {
         if h.model == model.name && h.version == model.version {
@@ -293,7 +295,7 @@
     gaps
 }
 
-fn capable(engine: &Placeable, w: &Wanted) -> Capable {
+fn capable(engine: &PlacementEngine, w: &ModelDemand) -> Capable {
     let admitted = w.allowed.as_ref().is_none_or(|a| a.contains(&engine.engine));
     let room = engine.memory / u64::from(w.model.layer_mb.max(1));
     Capable {
@@ -304,7 +306,7 @@
     }
 }
 
-fn holds_layer(h: &Holding, model: &Model, layer: u32) -> bool {
+fn holds_layer(h: &LoadedLayers, model: &Model, layer: u32) -> bool {
     h.model == model.name
         && h.version == model.version
         && (h.layers.first..h.layers.end).contains(&layer)
--- a/crates/policy/tests/chain.rs
+++ b/crates/policy/tests/chain.rs
@@ -8,7 +8,7 @@
 
 use common::name;
 use heathpitch_core::{Card, Delay, EngineEntry, EntryState, LayerRange, LayeredModel, Name, Path};
-use heathpitch_policy::{Link, Search, find_chain, find_near_chain};
+use heathpitch_policy::{ChainEngine, ChainQuery, find_chain, find_local_chain};
 use proptest::prelude::*;
 
 fn model(layers: u32) -> LayeredModel {
@@ -31,7 +31,7 @@
     }
 }
 
-fn link(id: &str, domain: &str, layers: (u32, u32), pace: f64) -> Link {
+fn link(id: &str, domain: &str, layers: (u32, u32), pace: f64) -> ChainEngine {
     let entry = EngineEntry {
         id: name(id),
         service: name("llm"),
@@ -44,20 +44,24 @@
         born: None,
     };
     let card = Card { name: name("card"), memory_mb: 9_000.0, pace, read: pace };
-    Link {
+    ChainEngine {
         entry: Arc::new(entry),
         card,
         penalty: 0.0,
-        start: 0.0,
-        share: 0.0,
+        start_cost: 0.0,
+        utilization: 0.0,
         full: false,
-        crowded: false,
+        deprioritized: false,
     }
 }
 
-fn search<'a>(model: &'a LayeredModel, home: &'a Name, current: Option<&'a Path>) -> Search<'a> {
+fn search<'a>(
+    model: &'a LayeredModel,
+    home: &'a Name,
+    current: Option<&'a Path>,
+) -> ChainQuery<'a> {
     static LLM: std::sync::LazyLock<Name> = std::sync::LazyLock::new(|| name("llm"));
-    Search { model, name: &LLM, home, current }
+    ChainQuery { model, name: &LLM, home, current }
 }
 
 fn shown(path: &Path) -> Vec<String> {
@@ -91,12 +95,12 @@
     let links = [&near[..], &far[..]].concat();
     let (running, _) =
         find_chain(&search(&model, &home, None), &[near[0].clone(), far[1].clone()]).unwrap();
-    let (path, _) = find_near_chain(&search(&model, &home, Some(&running)), &links).unwrap();
+    let (path, _) = find_local_chain(&search(&model, &home, Some(&running)), &links).unwrap();
     assert!(path.stages().iter().all(|s| s.engine != name("y")), "{:?}", shown(&path));
     let mut crowded = links.clone();
     crowded[1].full = true;
     crowded[1].penalty = 16.0;
-    let (path, _) = find_near_chain(&search(&model, &home, None), &crowded).unwrap();
+    let (path, _) = find_local_chain(&search(&model, &home, None), &crowded).unwrap();
     assert_eq!(shown(&path), ["x=0..40", "y=40..80"], "a whole domain with room, not half of one");
 }
 
@@ -131,7 +135,7 @@
 fn a_request_starts_where_fewer_wait() {
     let (model, home) = (model(8), name("east"));
     let mut busy = link("busy", "east", (0, 5), 1.0);
-    busy.start = 2.0;
+    busy.start_cost = 2.0;
     let links = [busy, link("idle", "east", (0, 2), 1.0), link("rest", "east", (5, 8), 1.0)];
     let (path, _) = find_chain(&search(&model, &home, None), &links).unwrap();
     assert_eq!(shown(&path), ["idle=0..2", "busy=2..5", "rest=5..8"]);
@@ -149,7 +153,8 @@
     ];
     let kept = [links[0].clone(), links[1].clone(), links[2].clone()];
     let (running, _) = find_chain(&search(&model, &home, None), &kept).unwrap();
-    let left: Vec<Link> = links.iter().filter(|l| l.entry.id != name("b")).cloned().collect();
+    let left: Vec<ChainEngine> =
+        links.iter().filter(|l| l.entry.id != name("b")).cloned().collect();
     let (path, _) = find_chain(&search(&model, &home, Some(&running)), &left).unwrap();
     assert_eq!(shown(&path), ["a=0..4", "stand-in=4..8", "c=8..12"]);
     let headless = &links[1..];
@@ -157,7 +162,7 @@
 }
 
 /// Cost of the cheapest chain by trying all, without changes of domain.
-fn cheapest(links: &[Link], at: u32, layers: u32, used: &[usize]) -> Option<f64> {
+fn cheapest(links: &[ChainEngine], at: u32, layers: u32, used: &[usize]) -> Option<f64> {
     if at == layers {
         return Some(0.0);
     }
@@ -187,7 +192,7 @@
         engines in prop::collection::vec((0_u32..6, 1_u32..6, 1_u32..20), 1..6),
     ) {
         let (model, home) = (model(6), name("east"));
-        let links: Vec<Link> = engines
+        let links: Vec<ChainEngine> = engines
             .iter()
             .enumerate()
             .map(|(i, (first, count, pace))| {
--- a/crates/policy/tests/layout_whole_fleet.rs
+++ b/crates/policy/tests/layout_whole_fleet.rs
@@ -14,7 +14,9 @@
 
 use common::name;
 use heathpitch_core::{Card, EngineEntry, EntryState, LayerRange, LayeredModel, Name, Path};
-use heathpitch_policy::{Assignment, Link, Search, Worker, find_chain, plan_layout, primaries};
+use heathpitch_policy::{
+    Assignment, ChainEngine, ChainQuery, Worker, find_chain, plan_layout, primaries,
+};
 
 const LAYERS: u32 = 80;
 /// Streams that a domain is asked for each second: its third of 255.
@@ -117,7 +119,7 @@
 }
 
 impl Load<'_> {
-    fn links(&self, tokens: f64) -> Vec<Link> {
+    fn links(&self, tokens: f64) -> Vec<ChainEngine> {
         let model = model();
         let link = |w: &Worker| {
             let held = self.held.get(&w.engine).copied().unwrap_or(0.0);
@@ -134,14 +136,14 @@
                 born: None,
             };
             let full = share > FULL;
-            Link {
+            ChainEngine {
                 entry: Arc::new(entry),
                 card: w.card.clone(),
                 penalty: if full { 16.0 } else { 0.4 * share * share },
-                start: 0.0,
-                share,
+                start_cost: 0.0,
+                utilization: share,
                 full,
-                crowded: false,
+                deprioritized: false,
             }
         };
         self.workers.iter().filter(|w| w.layers.count() > 0).map(link).collect()
@@ -153,7 +155,7 @@
         let tokens = model.usual_prompt + model.usual_answer / 2.0;
         self.end(now, tokens);
         let (home, service) = (name("home"), name("llm"));
-        let search = Search { model: &model, name: &service, home: &home, current: None };
+        let search = ChainQuery { model: &model, name: &service, home: &home, current: None };
         let links = self.links(tokens);
         let Some((path, _)) = find_chain(&search, &links) else { return false };
         let of = |engine: &Name| links.iter().find(|l| &l.entry.id == engine).unwrap();
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -6,7 +6,10 @@
 
 use common::name;
 use heathpitch_core::{LayerRange, Model};
-use heathpitch_policy::{Capable, Holding, Move, MoveReason, Placeable, Wanted, gaps, plan, split};
+use heathpitch_policy::{
+    Capable, LoadedLayers, ModelDemand, Move, MoveReason, PlacementEngine, model_gaps,
+    plan_placement, split,
+};
 use proptest::prelude::*;
 
 fn capable(i: usize, room: u32, layer: u64, link: u64) -> Capable {
@@ -17,21 +20,21 @@
     Model { layer_mb: 100, ..Model::new(name(text), name("v1"), layers) }
 }
 
-fn wanted(text: &str, layers: u32, demand: f64) -> Wanted {
-    Wanted { model: model(text, layers), demand, allowed: None }
+fn wanted(text: &str, layers: u32, demand: f64) -> ModelDemand {
+    ModelDemand { model: model(text, layers), demand, allowed: None }
 }
 
-fn engine(i: usize, memory: u64, holding: Option<(&str, u32, u32)>) -> Placeable {
-    let hold = |(m, first, end)| Holding {
+fn engine(i: usize, memory: u64, holding: Option<(&str, u32, u32)>) -> PlacementEngine {
+    let hold = |(m, first, end)| LoadedLayers {
         model: name(m),
         version: name("v1"),
         layers: LayerRange::new(first, end),
     };
     let engine = name(&format!("e{i}"));
-    Placeable { engine, memory, layer: 100, link: 10, holding: holding.map(hold) }
+    PlacementEngine { engine, memory, layer: 100, link: 10, holding: holding.map(hold) }
 }
 
-fn after(engines: &[Placeable], moves: &[Move]) -> Vec<Placeable> {
+fn after(engines: &[PlacementEngine], moves: &[Move]) -> Vec<PlacementEngine> {
     let mut engines = engines.to_vec();
     for m in moves {
         let e = engines.iter_mut().find(|e| e.engine == m.engine).unwrap();
@@ -71,7 +74,7 @@
 fn a_lost_stage_is_given_to_the_idle_engine_and_nothing_else_moves() {
     let engines =
         [engine(0, 1_000, Some(("m", 0, 4))), engine(2, 1_000, None), engine(3, 1_000, None)];
-    let moves = plan(&[wanted("m", 8, 1.0)], &engines);
+    let moves = plan_placement(&[wanted("m", 8, 1.0)], &engines);
     assert_eq!(moves[0].holding.layers, LayerRange::new(4, 8));
     assert_eq!(moves[0].reason, MoveReason::Uncovered);
     assert_eq!(moves[0].megabytes, 400);
@@ -85,17 +88,17 @@
         engine(1, 1_000, Some(("rich", 0, 4))),
         engine(2, 1_000, Some(("rich", 0, 4))),
     ];
-    let moves = plan(&[wanted("rich", 4, 1.0), wanted("poor", 4, 1.0)], &engines);
+    let moves = plan_placement(&[wanted("rich", 4, 1.0), wanted("poor", 4, 1.0)], &engines);
     assert_eq!(moves.len(), 1);
     assert_eq!(moves[0].holding.model, name("poor"));
     let rich = model("rich", 4);
-    assert!(gaps(&after(&engines, &moves), &rich).is_empty());
+    assert!(model_gaps(&after(&engines, &moves), &rich).is_empty());
 }
 
 #[test]
 fn the_last_holder_of_a_layer_is_never_taken_away() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4)))];
-    assert_eq!(plan(&[wanted("m", 4, 0.1), wanted("other", 4, 100.0)], &engines), vec![]);
+    assert_eq!(plan_placement(&[wanted("m", 4, 0.1), wanted("other", 4, 100.0)], &engines), vec![]);
 }
 
 #[test]
@@ -105,7 +108,7 @@
         engine(1, 1_000, Some(("busy", 0, 4))),
         engine(2, 1_000, None),
     ];
-    let moves = plan(&[wanted("quiet", 4, 1.0), wanted("busy", 4, 9.0)], &engines);
+    let moves = plan_placement(&[wanted("quiet", 4, 1.0), wanted("busy", 4, 9.0)], &engines);
     assert_eq!((moves.len(), &moves[0].holding.model), (1, &name("busy")));
 }
 
@@ -114,7 +117,7 @@
     let engines = [engine(0, 1_000, None), engine(1, 1_000, None)];
     let mut w = wanted("m", 4, 1.0);
     w.allowed = Some([name("e1")].into());
-    let moves = plan(&[w], &engines);
+    let moves = plan_placement(&[w], &engines);
     assert!(!moves.is_empty());
     assert!(moves.iter().all(|m| m.engine == name("e1")));
 }
@@ -122,7 +125,7 @@
 #[test]
 fn a_settled_fleet_is_left_as_it_is() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4))), engine(1, 1_000, Some(("m", 4, 8)))];
-    assert_eq!(plan(&[wanted("m", 8, 5.0)], &engines), vec![]);
+    assert_eq!(plan_placement(&[wanted("m", 8, 5.0)], &engines), vec![]);
 }
 
 proptest! {
@@ -161,15 +164,15 @@
         memories in proptest::collection::vec(100_u64..1_500, 1..8),
         layers in 1_u32..20,
     ) {
-        let mut engines: Vec<Placeable> =
+        let mut engines: Vec<PlacementEngine> =
             memories.iter().enumerate().map(|(i, m)| engine(i, *m, None)).collect();
         engines.push(engine(99, 2_000, Some(("held", 0, 4))));
         let both = [wanted("held", 4, 1.0), wanted("new", layers, 1.0)];
-        let moves = plan(&both, &engines);
+        let moves = plan_placement(&both, &engines);
         let then = after(&engines, &moves);
-        prop_assert!(gaps(&then, &both[0].model).is_empty());
+        prop_assert!(model_gaps(&then, &both[0].model).is_empty());
         let room: u64 = memories.iter().map(|m| m / 100).sum();
-        prop_assert_eq!(gaps(&then, &both[1].model).is_empty(), room >= u64::from(layers));
+        prop_assert_eq!(model_gaps(&then, &both[1].model).is_empty(), room >= u64::from(layers));
         let twice: std::collections::BTreeSet<_> = moves.iter().map(|m| &m.engine).collect();
         prop_assert_eq!(twice.len(), moves.len());
     }
@@ -179,7 +182,7 @@
 #[test]
 fn a_spare_replica_closes_a_gap_of_its_own_model() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4))), engine(1, 1_000, Some(("m", 0, 4)))];
-    let moves = plan(&[wanted("m", 8, 1.0)], &engines);
+    let moves = plan_placement(&[wanted("m", 8, 1.0)], &engines);
     assert_eq!(moves.len(), 1);
     assert_eq!(moves[0].holding.layers, LayerRange::new(4, 8));
 }
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -15,8 +15,8 @@
 };
 use heathpitch_policy::{
     Ask, ClaimEntry, ClaimPage, Demand, EngineReport, EngineRole, Gate, Gauge, Health, HealthEvent,
-    Holding, Ledger, Member, MemberState, Members, Meter, Placeable, PrefixIndex, Record, Upstream,
-    Wanted, choose, plan,
+    Ledger, LoadedLayers, Member, MemberState, Members, Meter, ModelDemand, PlacementEngine,
+    PrefixIndex, Record, Upstream, choose, plan_placement,
 };
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -331,27 +331,27 @@
 
 fn placement() {
     for engines in [10, 40, 70, 100] {
-        let wanted: Vec<Wanted> = (0..MODELS)
-            .map(|i| Wanted {
+        let wanted: Vec<ModelDemand> = (0..MODELS)
+            .map(|i| ModelDemand {
                 model: Model::new(name(&format!("m{i}")), name("v1"), LAYERS),
                 demand: 1.0 + i as f64,
                 allowed: None::<BTreeSet<Name>>,
             })
             .collect();
-        let all: Vec<Placeable> = (0..engines)
-            .map(|i| Placeable {
+        let all: Vec<PlacementEngine> = (0..engines)
+            .map(|i| PlacementEngine {
                 engine: name(&format!("engine-{i}")),
                 memory: 12_000,
                 layer: 500 + 100 * (i % 3) as u64,
                 link: [50, 500, 5_000][i % 3],
-                holding: (i % 10 != 0).then(|| Holding {
+                holding: (i % 10 != 0).then(|| LoadedLayers {
                     model: name(&format!("m{}", i % MODELS)),
                     version: name("v1"),
                     layers: stage(i / MODELS),
                 }),
             })
             .collect();
-        let ns = time(1, || drop(black_box(plan(&wanted, &all))));
+        let ns = time(1, || drop(black_box(plan_placement(&wanted, &all))));
         row("plan of a failure domain, engines", engines, ns, 0);
     }
 }
