--- a/crates/heathpitch/examples/share_a_limit.rs
+++ b/crates/heathpitch/examples/share_a_limit.rs
@@ -5,10 +5,10 @@
 fn main() {
     let mut nodes: Vec<Demand> = [60, 20, 0].into_iter().map(node).collect();
     for (a, b) in [(0, 1), (1, 2), (2, 0), (0, 1), (1, 2)] {
-        let (round, sent) = nodes[a].tell();
-        let (_, answer) = nodes[b].tell();
-        nodes[b].hear(round, &sent);
-        nodes[a].hear(round, &answer);
+        let (round, sent) = nodes[a].values();
+        let (_, answer) = nodes[b].values();
+        nodes[b].merge(round, &sent);
+        nodes[a].merge(round, &answer);
     }
     for (i, node) in nodes.iter().enumerate() {
         println!("node {i} admits {:.0} % of the limit", node.share(7, 3) * 100.0);
--- a/crates/heathpitchd/src/clock.rs
+++ b/crates/heathpitchd/src/clock.rs
@@ -36,7 +36,7 @@
     pub(crate) fn clocks(&self) -> Clocks {
         let boot = since_boot().saturating_sub(self.boot);
         let millis = |time: Duration| time.as_millis() as Millis + START;
-        Clocks { boot: millis(boot) + seam::shifted(), steady: millis(self.steady.elapsed()) }
+        Clocks { boot: millis(boot) + seam::shifted(), monotonic: millis(self.steady.elapsed()) }
     }
 
     /// The instant of a time of this clock, if the VM is not suspended before.
--- a/crates/heathpitchd/src/control/exchange.rs
+++ b/crates/heathpitchd/src/control/exchange.rs
@@ -40,7 +40,7 @@
 pub(super) fn answer(control: &Control, update: Update) -> Update {
     let (config, vms) = (update.config.revision, update.vms.revision);
     // Told before it is heard, so that both sides take the same mean.
-    let demand = control.demand.borrow().tell();
+    let demand = control.demand.borrow().values();
     take(control, update);
     Update { epoch: demand.0, demand: told(demand.1), ..own(control, config, vms) }
 }
@@ -75,7 +75,7 @@
         false => Packed { revision: mine.revision, bytes: [].into() },
     };
     let reports = control.health.borrow().newest(REPORTS);
-    let (epoch, values) = control.demand.borrow().tell();
+    let (epoch, values) = control.demand.borrow().values();
     Update {
         members: control.members.borrow().freshest(MEMBERS, now),
         reports: reports.iter().map(|r| (**r).clone()).collect(),
@@ -95,9 +95,9 @@
     control.members.borrow_mut().merge(update.members, now);
     config::from_peer(control, &update.config, &update.vms);
     let told: Vec<(u64, f32)> = update.demand.iter().map(|d| (d.account, d.rate)).collect();
-    control.demand.borrow_mut().hear(update.epoch, &told);
+    control.demand.borrow_mut().merge(update.epoch, &told);
     for report in update.reports {
-        let changed = control.health.borrow_mut().on(HealthEvent::Passed(report), now);
+        let changed = control.health.borrow_mut().on(HealthEvent::Relayed(report), now);
         if changed {
             control.fleet_dirty.set(true);
         }
--- a/crates/heathpitchd/src/control/health.rs
+++ b/crates/heathpitchd/src/control/health.rs
@@ -37,7 +37,7 @@
 /// Forgets timers and cache contents of upstreams that are no longer listed.
 pub(super) fn forget_unlisted(control: &Control) {
     let (health, now) = (control.health.borrow(), control.now());
-    let listed = |name: &str| health.standing(name, now).is_some();
+    let listed = |name: &str| health.status(name, now).is_some();
     control.due.borrow_mut().retain(|name, _| listed(name.as_str()));
     control.prefixes.borrow_mut().retain(listed);
 }
--- a/crates/heathpitchd/src/control/state.rs
+++ b/crates/heathpitchd/src/control/state.rs
@@ -8,8 +8,8 @@
 use heathpitch_core::{Millis, Name, Revision, VmRole, VmState};
 use heathpitch_net::Packed;
 use heathpitch_policy::{
-    Bucket, Claims, Demand, Duty, Health, Member, MemberState, Members, PrefixIndex, Replica,
-    Verdict,
+    Bucket, Claims, Demand, Health, Member, MemberState, Members, PrefixIndex, Replica,
+    SharedPolling, Verdict,
 };
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -110,7 +110,7 @@
     /// Time until this node's next poll of something that its failure domain polls together.
     pub(super) fn wait(&self, period: Millis) -> Millis {
         let nodes = self.members.borrow().beside(self.now());
-        Duty::new(period).wait(nodes, &mut *self.rng.borrow_mut())
+        SharedPolling::new(period).next_wait(nodes, &mut *self.rng.borrow_mut())
     }
 
     /// Nodes of the fleet that can be reached: those of this failure domain, and those listed of
@@ -154,7 +154,7 @@
     fn view(&self, now: Millis) -> View {
         let health = self.health.borrow();
         let standing = |vm: &Arc<heathpitch_core::Vm>| {
-            Some((vm.name.clone(), health.standing(vm.name.as_str(), now)?))
+            Some((vm.name.clone(), health.status(vm.name.as_str(), now)?))
         };
         let mut upstreams: Vec<_> = health.targets().filter_map(standing).collect();
         upstreams.sort_by(|a, b| a.0.cmp(&b.0));
--- a/crates/heathpitchd/src/filters/guard.rs
+++ b/crates/heathpitchd/src/filters/guard.rs
@@ -16,7 +16,7 @@
 }
 
 impl Permit {
-    /// Takes over counts already made: in the meter and in the gate of this name.
+    /// Takes over counts already made: in the limiter and in the gate of this name.
     pub(crate) fn new(traffic: Arc<Traffic>, account: Name, gate: Name) -> Self {
         traffic.shared.open.fetch_add(1, Relaxed);
         traffic.shared.metrics.open.inc();
@@ -29,7 +29,7 @@
         self.traffic.shared.open.fetch_sub(1, Relaxed);
         self.traffic.shared.metrics.open.dec();
         let mut limits = self.traffic.limits.lock();
-        limits.meter.close(&self.account);
+        limits.limiter.release(&self.account);
         if let Some(gate) = limits.gates.get_mut(&self.gate) {
             gate.leave(&self.account);
         }
--- a/crates/heathpitchd/src/filters/keyed.rs
+++ b/crates/heathpitchd/src/filters/keyed.rs
@@ -5,7 +5,7 @@
 
 use heathpitch_core::{Incarnation, Name, NotRun, Outcome};
 use heathpitch_net::{Body, EdgeError, full};
-use heathpitch_policy::Record;
+use heathpitch_policy::StoredAnswer;
 use http_body_util::BodyExt;
 use hyper::header::{CONTENT_LENGTH, CONTENT_TYPE, HeaderValue, TRANSFER_ENCODING};
 use hyper::{Request, Response, StatusCode};
@@ -84,12 +84,12 @@
     /// The request did not run after all.
     pub(crate) fn not_run(mut self, proof: NotRun) {
         if let Some(key) = self.key.take() {
-            self.traffic.ledger.lock().not_run(&key, proof);
+            self.traffic.ledger.lock().mark_not_run(&key, proof);
         }
     }
 
     /// The request is over; the record is kept for repeats.
-    pub(crate) fn finish(mut self, record: Record) {
+    pub(crate) fn finish(mut self, record: StoredAnswer) {
         let now = self.traffic.shared.now();
         if let Some(key) = self.key.take() {
             self.traffic.ledger.lock().finish(&key, record, now);
@@ -110,18 +110,18 @@
 
 impl Refusal {
     /// The refusal as it is kept for repeats.
-    pub(crate) fn record(&self) -> Record {
+    pub(crate) fn record(&self) -> StoredAnswer {
         record(self.code(), self.outcome, self.body("").to_string().into_bytes())
     }
 }
 
 /// A JSON answer as it is kept for repeats.
-pub(crate) fn record(status: u16, outcome: Outcome, body: Vec<u8>) -> Record {
-    Record { status, media: "application/json".to_owned(), body: body.into(), outcome }
+pub(crate) fn record(status: u16, outcome: Outcome, body: Vec<u8>) -> StoredAnswer {
+    StoredAnswer { status, media: "application/json".to_owned(), body: body.into(), outcome }
 }
 
 /// The answer that was given before.
-pub(crate) fn replay(cx: &Context, record: &Record, shape: &Shape) -> Response<Body> {
+pub(crate) fn replay(cx: &Context, record: &StoredAnswer, shape: &Shape) -> Response<Body> {
     let streamed = match shape {
         Shape::Stream(kind) if record.outcome == Outcome::Done => {
             render::replayed(*kind, &record.body)
--- a/crates/heathpitchd/src/filters/limit.rs
+++ b/crates/heathpitchd/src/filters/limit.rs
@@ -1,7 +1,7 @@
 //! Filter: limits of the account, and room on the node.
 
 use heathpitch_core::{Account, Name, Priority};
-use heathpitch_policy::{Demand, Fleet, Over, Shed};
+use heathpitch_policy::{Demand, Fleet, LimitExceeded, Shed};
 
 use super::guard::Permit;
 use super::route::Matched;
@@ -28,7 +28,7 @@
     enter(cx, account, matched.model.name.clone(), ask.priority, room)
 }
 
-/// Counts a request into the account's meter and the gate of this name.
+/// Counts a request into the account's limiter and the gate of this name.
 pub(crate) fn enter(
     cx: &Context,
     account: &Account,
@@ -46,12 +46,12 @@
     let equal = 1.0 / f64::from(view.nodes.max(1));
     let share = view.shares.get(&key).copied().unwrap_or(equal);
     let mut limits = cx.traffic.limits.lock();
-    limits.meter.open(account, share, shared.now()).map_err(over)?;
+    limits.limiter.admit(account, share, shared.now()).map_err(over)?;
     let entered = limits.gates.entry(gate.clone()).or_default().enter(account, at, room);
     match entered {
         Ok(()) => Ok(Permit::new(cx.traffic.clone(), account.name.clone(), gate)),
         Err(shed) => {
-            limits.meter.close(&account.name);
+            limits.limiter.release(&account.name);
             Err(shed_off(shed))
         }
     }
@@ -68,9 +68,9 @@
     mine.clamp(MIN_ROOM, matched.route.settings.max_open.max(MIN_ROOM))
 }
 
-fn over(over: Over) -> Refusal {
-    let (Over::Rate { back } | Over::Streams { back }) = over;
-    Refusal::not_run(RefusalKind::RateLimited, over.to_string()).back(back)
+fn over(over: LimitExceeded) -> Refusal {
+    let (LimitExceeded::Rate { retry_after } | LimitExceeded::Streams { retry_after }) = over;
+    Refusal::not_run(RefusalKind::RateLimited, over.to_string()).back(retry_after)
 }
 
 fn shed_off(shed: Shed) -> Refusal {
--- a/crates/heathpitchd/src/filters/output.rs
+++ b/crates/heathpitchd/src/filters/output.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use heathpitch_core::Outcome;
 use heathpitch_net::{Body, BodyError, channel, full};
-use heathpitch_policy::{EndReason, Record};
+use heathpitch_policy::{EndReason, StoredAnswer};
 use hyper::Response;
 use hyper::header::{CACHE_CONTROL, CONTENT_TYPE, HeaderValue};
 use tokio::sync::{mpsc, oneshot};
@@ -66,7 +66,12 @@
     }
 
     /// Ends a whole answer and gives its record.
-    pub(crate) async fn finish(&mut self, cx: &Context, reason: EndReason, tokens: u32) -> Record {
+    pub(crate) async fn finish(
+        &mut self,
+        cx: &Context,
+        reason: EndReason,
+        tokens: u32,
+    ) -> StoredAnswer {
         if self.stream {
             if self.pieces.is_none() {
                 self.begin(cx);
--- a/crates/heathpitchd/src/filters/repeat.rs
+++ b/crates/heathpitchd/src/filters/repeat.rs
@@ -7,7 +7,9 @@
 
 use heathpitch_core::{Account, Incarnation, Millis, Name, Outcome, digest};
 use heathpitch_net::Body;
-use heathpitch_policy::{Settlement, Start, Ticket, TicketError, Verdict, settle as policy_settle};
+use heathpitch_policy::{
+    KeyState, Settlement, Ticket, TicketError, Verdict, settle as policy_settle,
+};
 use hyper::Response;
 use tokio::sync::oneshot;
 
@@ -146,14 +148,14 @@
     loop {
         let found = cx.traffic.ledger.lock().start(key, body);
         match found {
-            Start::New => return Ok(Begun::New),
-            Start::Idle => return Ok(Begun::Idle),
-            Start::Finished(record) => {
+            KeyState::New => return Ok(Begun::New),
+            KeyState::NotDispatched => return Ok(Begun::Idle),
+            KeyState::Finished(record) => {
                 return Ok(Begun::Answer(keyed::replay(cx, &record, shape)));
             }
-            Start::Spent(outcome) => return Err(spent(outcome)),
-            Start::Mismatch => return Err(mismatch()),
-            Start::Running => tokio::time::sleep(LOOK).await,
+            KeyState::AnswerDropped(outcome) => return Err(spent(outcome)),
+            KeyState::Mismatch => return Err(mismatch()),
+            KeyState::Running => tokio::time::sleep(LOOK).await,
         }
     }
 }
--- a/crates/heathpitchd/src/filters/service_run.rs
+++ b/crates/heathpitchd/src/filters/service_run.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use heathpitch_core::{Account, Attempt, Evidence, Index, Millis, Name, Outcome, Route};
 use heathpitch_net::{Body, EdgeError, Refusal as Said, full, read};
-use heathpitch_policy::{Broken, Record, Repeat, ServiceView};
+use heathpitch_policy::{Broken, Repeat, ServiceView, StoredAnswer};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, HOST, HeaderMap, TRANSFER_ENCODING};
 use hyper::{Request, Response, StatusCode};
 use rand::Rng;
@@ -211,9 +211,9 @@
     response
 }
 
-fn record(whole: &Whole) -> Record {
+fn record(whole: &Whole) -> StoredAnswer {
     let media = whole.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
-    Record {
+    StoredAnswer {
         status: whole.status.as_u16(),
         media: media.unwrap_or("application/octet-stream").to_owned(),
         body: whole.content.to_vec().into(),
--- a/crates/heathpitchd/src/gateway/control/suspended.rs
+++ b/crates/heathpitchd/src/gateway/control/suspended.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use heathpitch_policy::Suspensions;
+use heathpitch_policy::SuspensionDetector;
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
@@ -17,10 +17,10 @@
 /// Looks at the clocks again and again.
 pub(super) async fn watch(control: Rc<Control>) {
     let shared = &control.shared;
-    let mut suspensions = Suspensions::new(shared.clock.clocks());
+    let mut detector = SuspensionDetector::new(shared.clock.clocks());
     loop {
         tokio::time::sleep(LOOK).await;
-        let Some(ms) = suspensions.look(shared.clock.clocks()) else { continue };
+        let Some(ms) = detector.poll(shared.clock.clocks()) else { continue };
         let now = control.now();
         let (proof_ms, list_ms) = (shared.fresh.load().age(now), shared.listed.load().age(now));
         GatewayEvent::VmSuspended { ms, proof_ms, list_ms }.log();
--- a/crates/heathpitchd/src/snapshot.rs
+++ b/crates/heathpitchd/src/snapshot.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use heathpitch_core::{Name, Revision};
-use heathpitch_policy::{Member, MemberState, Standing};
+use heathpitch_policy::{HealthStatus, Member, MemberState};
 use serde::Serialize;
 
 /// Nodes and upstreams as the control thread sees them.
@@ -15,8 +15,8 @@
     pub(crate) nodes: u32,
     /// Share of its limits that each account with demand has on this node.
     pub(crate) shares: HashMap<u64, f64>,
-    /// Standing of each listed upstream.
-    pub(crate) upstreams: Vec<(Name, Standing)>,
+    /// HealthStatus of each listed upstream.
+    pub(crate) upstreams: Vec<(Name, HealthStatus)>,
     /// Number of the list of VMs.
     pub(crate) list: Revision,
 }
@@ -65,13 +65,13 @@
     }
 }
 
-impl From<&(Name, Standing)> for UpstreamStatus {
-    fn from((name, standing): &(Name, Standing)) -> Self {
+impl From<&(Name, HealthStatus)> for UpstreamStatus {
+    fn from((name, standing): &(Name, HealthStatus)) -> Self {
         let standing = match standing {
-            Standing::Up => "up",
-            Standing::New => "new",
-            Standing::Down => "down",
-            Standing::Leaving => "leaving",
+            HealthStatus::Up => "up",
+            HealthStatus::New => "new",
+            HealthStatus::Down => "down",
+            HealthStatus::Leaving => "leaving",
         };
         Self { name: name.clone(), standing }
     }
--- a/crates/heathpitchd/src/traffic.rs
+++ b/crates/heathpitchd/src/traffic.rs
@@ -5,7 +5,7 @@
 
 use heathpitch_core::Name;
 use heathpitch_net::{Body, Client, EngineEdge, json};
-use heathpitch_policy::{Gate, Ledger, Meter, RetryBudget, Ticket};
+use heathpitch_policy::{AccountLimiter, Gate, IdempotencyTable, RetryBudget, Ticket};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 use parking_lot::Mutex;
@@ -17,7 +17,7 @@
 /// Limits of accounts and of this node.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
-    pub(crate) meter: Meter,
+    pub(crate) limiter: AccountLimiter,
     pub(crate) gates: HashMap<Name, Gate>,
     pub(crate) budget: RetryBudget,
 }
@@ -28,7 +28,7 @@
     pub(crate) engine: Arc<dyn EngineEdge>,
     pub(crate) client: Client,
     pub(crate) limits: Mutex<Limits>,
-    pub(crate) ledger: Mutex<Ledger>,
+    pub(crate) ledger: Mutex<IdempotencyTable>,
 }
 
 impl Traffic {
@@ -74,7 +74,7 @@
     let node = traffic.shared.settings.node.clone();
     let ticket = Ticket { node, life: id.node, serial: id.serial }.to_string();
     if let Ok(key) = ticket.parse() {
-        traffic.ledger.lock().mint(key);
+        traffic.ledger.lock().add_unused(key);
     }
     json!({ "ticket": ticket })
 }
--- a/crates/policy/src/meter.rs
+++ b/crates/policy/src/account_limiter.rs
@@ -15,18 +15,18 @@
 
 /// The account is over a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Over {
+pub enum LimitExceeded {
     /// Too many requests a second.
     #[error("the account's request rate is used up")]
     Rate {
         /// When one more is due, milliseconds.
-        back: Millis,
+        retry_after: Millis,
     },
     /// Too many requests at once.
     #[error("the account has too many requests open")]
     Streams {
         /// When to come back, milliseconds.
-        back: Millis,
+        retry_after: Millis,
     },
 }
 
@@ -43,24 +43,24 @@
 ///
 /// ```
 /// use heathpitch_core::Account;
-/// use heathpitch_policy::{Meter, Over};
+/// use heathpitch_policy::{AccountLimiter, LimitExceeded};
 ///
 /// let mut account = Account::new("desk".parse()?);
 /// account.streams = Some(2);
-/// let mut meter = Meter::new();
-/// assert!(meter.open(&account, 0.5, 0).is_ok());
-/// assert_eq!(meter.open(&account, 0.5, 0), Err(Over::Streams { back: 1_000 }));
-/// meter.close(&account.name);
-/// assert!(meter.open(&account, 0.5, 0).is_ok());
+/// let mut limiter = AccountLimiter::new();
+/// assert!(limiter.admit(&account, 0.5, 0).is_ok());
+/// assert_eq!(limiter.admit(&account, 0.5, 0), Err(LimitExceeded::Streams { retry_after: 1_000 }));
+/// limiter.release(&account.name);
+/// assert!(limiter.admit(&account, 0.5, 0).is_ok());
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Meter {
+pub struct AccountLimiter {
     uses: HashMap<Name, Use>,
 }
 
-impl Meter {
-    /// A meter that has counted nothing.
+impl AccountLimiter {
+    /// A limiter that has counted nothing.
     pub fn new() -> Self {
         Self::default()
     }
@@ -69,8 +69,13 @@
     ///
     /// # Errors
     ///
-    /// [`Over`] with the time to come back.
-    pub fn open(&mut self, account: &Account, share: f64, now: Millis) -> Result<(), Over> {
+    /// [`LimitExceeded`] with the time to come back.
+    pub fn admit(
+        &mut self,
+        account: &Account,
+        share: f64,
+        now: Millis,
+    ) -> Result<(), LimitExceeded> {
         self.trim(now);
         let used = self.uses.entry(account.name.clone()).or_insert(Use {
             bucket: None,
@@ -80,21 +85,23 @@
         used.used = now;
         let streams = account.streams.map(|s| (f64::from(s) * share).ceil().max(1.0) as u32);
         match streams {
-            Some(s) if used.open >= s => return Err(Over::Streams { back: STREAM_BACK }),
+            Some(s) if used.open >= s => {
+                return Err(LimitExceeded::Streams { retry_after: STREAM_BACK });
+            }
             _ => {}
         }
         if let Some(rate) = account.rate.map(|r| r * share) {
             let burst = (rate * BURST).max(1.0);
             let bucket = used.bucket.get_or_insert_with(|| Bucket::new(rate, burst, now));
             bucket.set(rate, burst, now);
-            bucket.take(now).map_err(|back| Over::Rate { back })?;
+            bucket.take(now).map_err(|retry_after| LimitExceeded::Rate { retry_after })?;
         }
         used.open += 1;
         Ok(())
     }
 
     /// Counts a request out.
-    pub fn close(&mut self, account: &Name) {
+    pub fn release(&mut self, account: &Name) {
         if let Some(used) = self.uses.get_mut(account) {
             used.open = used.open.saturating_sub(1);
         }
--- a/crates/policy/src/clocks.rs
+++ b/crates/policy/src/clocks.rs
@@ -18,18 +18,18 @@
     /// The one that goes on while the VM is suspended.
     pub boot: Millis,
     /// The steady one, which timers go by.
-    pub steady: Millis,
+    pub monotonic: Millis,
 }
 
 impl Clocks {
     /// Now, for anything that decides on authority, freshness or time left.
     pub fn now(self) -> Millis {
-        if on(Mechanism::SuspendedTime) { self.boot } else { self.steady }
+        if on(Mechanism::SuspendedTime) { self.boot } else { self.monotonic }
     }
 
     /// By how much the first is ahead.
     fn ahead(self) -> Millis {
-        self.boot.saturating_sub(self.steady)
+        self.boot.saturating_sub(self.monotonic)
     }
 }
 
@@ -38,26 +38,26 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_policy::{Clocks, Suspensions};
+/// use heathpitch_policy::{Clocks, SuspensionDetector};
 ///
-/// let mut suspensions = Suspensions::new(Clocks { boot: 50, steady: 10 });
-/// assert_eq!(suspensions.look(Clocks { boot: 150, steady: 110 }), None);
-/// assert_eq!(suspensions.look(Clocks { boot: 10_250, steady: 210 }), Some(10_000));
-/// assert_eq!(suspensions.look(Clocks { boot: 10_350, steady: 310 }), None);
+/// let mut detector = SuspensionDetector::new(Clocks { boot: 50, monotonic: 10 });
+/// assert_eq!(detector.poll(Clocks { boot: 150, monotonic: 110 }), None);
+/// assert_eq!(detector.poll(Clocks { boot: 10_250, monotonic: 210 }), Some(10_000));
+/// assert_eq!(detector.poll(Clocks { boot: 10_350, monotonic: 310 }), None);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Suspensions {
+pub struct SuspensionDetector {
     ahead: Millis,
 }
 
-impl Suspensions {
-    /// Looks for suspensions from this moment on.
+impl SuspensionDetector {
+    /// Looks for detector from this moment on.
     pub fn new(clocks: Clocks) -> Self {
         Self { ahead: clocks.ahead() }
     }
 
     /// For how long the VM was suspended since the last look, if it was.
-    pub fn look(&mut self, clocks: Clocks) -> Option<Millis> {
+    pub fn poll(&mut self, clocks: Clocks) -> Option<Millis> {
         let ahead = std::mem::replace(&mut self.ahead, clocks.ahead());
         let suspended = clocks.ahead().saturating_sub(ahead);
         (suspended >= SUSPENDED).then_some(suspended)
--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -36,10 +36,10 @@
 /// (0..10).for_each(|_| b.count(7));
 /// a.tick(1_000, 8_000);
 /// b.tick(1_000, 8_000);
-/// let (round, told) = a.tell();
-/// let (_, answer) = b.tell();
-/// b.hear(round, &told);
-/// a.hear(round, &answer);
+/// let (round, told) = a.values();
+/// let (_, answer) = b.values();
+/// b.merge(round, &told);
+/// a.merge(round, &answer);
 /// assert!((a.share(7, 2) - 0.75).abs() < 0.01);
 /// assert!((b.share(7, 2) - 0.25).abs() < 0.01);
 /// ```
@@ -105,7 +105,7 @@
 /// # Exchanges
 impl Demand {
     /// Round and values to tell a peer: the largest, a bounded number.
-    pub fn tell(&self) -> (u64, Vec<(u64, f32)>) {
+    pub fn values(&self) -> (u64, Vec<(u64, f32)>) {
         let mut told: Vec<(u64, f32)> = self.means.iter().map(|(a, v)| (*a, *v as f32)).collect();
         told.sort_unstable_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         told.truncate(MAX_TOLD);
@@ -113,7 +113,7 @@
     }
 
     /// Takes the mean with what a peer told of the same round.
-    pub fn hear(&mut self, round: u64, told: &[(u64, f32)]) {
+    pub fn merge(&mut self, round: u64, told: &[(u64, f32)]) {
         if round != self.round {
             return;
         }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -60,7 +60,7 @@
 
 impl EngineReport {
     /// Whether this report is newer than `other` of the same engine.
-    pub fn newer(&self, other: &EngineReport) -> bool {
+    pub fn is_newer_than(&self, other: &EngineReport) -> bool {
         (self.life, self.serial) > (other.life, other.serial)
     }
 }
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -17,7 +17,7 @@
     /// When the report was received.
     pub seen: Millis,
     /// Own open requests at that time.
-    pub then: u32,
+    pub open_at_report: u32,
     /// Own counts now.
     pub gauge: Arc<Gauge>,
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -26,7 +26,7 @@
     /// A report that the engine itself gave to this node.
     Polled(EngineReport),
     /// A report that a peer passed on: the engine lives, but may not be reached from here.
-    Passed(EngineReport),
+    Relayed(EngineReport),
     /// A poll that failed.
     PollFailed(Name),
     /// A request that failed there.
@@ -35,7 +35,7 @@
 
 /// Whether an upstream may take new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum HealthStatus {
     /// It may.
     Up,
     /// It has not been heard yet.
@@ -51,12 +51,12 @@
     vm: Arc<Vm>,
     report: Option<Arc<EngineReport>>,
     seen: Millis,
-    then: u32,
+    open_at_report: u32,
     fails: u32,
     gauge: Arc<Gauge>,
 }
 
-/// The standing of every listed upstream.
+/// The status of every listed upstream.
 ///
 /// # Examples
 ///
@@ -85,9 +85,9 @@
         self.list
     }
 
-    /// Standing of an upstream, if it is listed.
-    pub fn standing(&self, name: &str, now: Millis) -> Option<Standing> {
-        self.entries.get(name).map(|e| e.standing(now))
+    /// HealthStatus of an upstream, if it is listed.
+    pub fn status(&self, name: &str, now: Millis) -> Option<HealthStatus> {
+        self.entries.get(name).map(|e| e.status(now))
     }
 
     /// Upstreams to poll.
@@ -97,7 +97,7 @@
 
     /// Upstreams that may take new work, with their reports.
     pub fn up(&self, now: Millis) -> impl Iterator<Item = (&Arc<Vm>, &Arc<EngineReport>)> {
-        let up = self.entries.values().filter(move |e| e.standing(now) == Standing::Up);
+        let up = self.entries.values().filter(move |e| e.status(now) == HealthStatus::Up);
         up.filter_map(|e| Some((&e.vm, e.report.as_ref()?)))
     }
 
@@ -112,7 +112,7 @@
     /// The upstreams that may take new work at `now`.
     pub fn fleet(&self, now: Millis) -> Fleet {
         let mut fleet = Fleet::default();
-        for e in self.entries.values().filter(|e| e.standing(now) == Standing::Up) {
+        for e in self.entries.values().filter(|e| e.status(now) == HealthStatus::Up) {
             check(Violation::LeavingEngine, e.vm.state == VmState::Live);
             let Some(report) = &e.report else { continue };
             match &report.model {
@@ -143,7 +143,7 @@
                 true
             }
             HealthEvent::Polled(report) => self.reported(report, now, true),
-            HealthEvent::Passed(report) => self.reported(report, now, false),
+            HealthEvent::Relayed(report) => self.reported(report, now, false),
             HealthEvent::PollFailed(name) => match self.entries.get_mut(&name) {
                 Some(e) => {
                     e.fails = e.fails.saturating_add(1);
@@ -181,7 +181,7 @@
     fn reported(&mut self, report: EngineReport, now: Millis, reached: bool) -> bool {
         let Some(e) = self.entries.get_mut(&report.engine) else {
             let known = self.early.get(&report.engine);
-            let newer = known.is_none_or(|old| report.newer(old));
+            let newer = known.is_none_or(|old| report.is_newer_than(old));
             if newer && self.entries.is_empty() && self.early.len() < 1_024 {
                 self.early.insert(report.engine.clone(), report);
             }
@@ -192,11 +192,11 @@
             e.fails = 0;
         }
         match &e.report {
-            Some(old) if !report.newer(old) => back,
+            Some(old) if !report.is_newer_than(old) => back,
             _ => {
                 e.report = Some(Arc::new(report));
                 e.seen = now;
-                e.then = e.gauge.count();
+                e.open_at_report = e.gauge.count();
                 true
             }
         }
@@ -206,17 +206,17 @@
 impl Entry {
     fn new(vm: Vm, now: Millis) -> Self {
         let gauge = Arc::new(Gauge::default());
-        Self { vm: Arc::new(vm), report: None, seen: now, then: 0, fails: 0, gauge }
+        Self { vm: Arc::new(vm), report: None, seen: now, open_at_report: 0, fails: 0, gauge }
     }
 
-    fn standing(&self, now: Millis) -> Standing {
+    fn status(&self, now: Millis) -> HealthStatus {
         match &self.report {
-            _ if self.vm.state == VmState::Leaving => Standing::Leaving,
-            Some(r) if r.leaving && on(Mechanism::LeavingWord) => Standing::Leaving,
-            None => Standing::New,
-            _ if self.fails >= MAX_FAILS => Standing::Down,
-            _ if now.saturating_sub(self.seen) > SILENCE => Standing::Down,
-            Some(_) => Standing::Up,
+            _ if self.vm.state == VmState::Leaving => HealthStatus::Leaving,
+            Some(r) if r.leaving && on(Mechanism::LeavingWord) => HealthStatus::Leaving,
+            None => HealthStatus::New,
+            _ if self.fails >= MAX_FAILS => HealthStatus::Down,
+            _ if now.saturating_sub(self.seen) > SILENCE => HealthStatus::Down,
+            Some(_) => HealthStatus::Up,
         }
     }
 
@@ -225,7 +225,7 @@
             vm: self.vm.clone(),
             report: report.clone(),
             seen: self.seen,
-            then: self.then,
+            open_at_report: self.open_at_report,
             gauge: self.gauge.clone(),
         }
     }
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/idempotency.rs
@@ -19,7 +19,7 @@
 
 /// An answer kept for repeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct StoredAnswer {
     /// HTTP status it was given with.
     pub status: u16,
     /// Media type of the body.
@@ -32,31 +32,31 @@
 
 /// What a request with a key finds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum KeyState {
     /// The ledger does not know the key.
     New,
     /// This life knows the key and certainly never dispatched it.
-    Idle,
+    NotDispatched,
     /// The first request with this key is still open.
     Running,
     /// It is over; this was its answer.
-    Finished(Record),
+    Finished(StoredAnswer),
     /// It is over; the answer is no longer kept.
-    Spent(Outcome),
+    AnswerDropped(Outcome),
     /// The key was used with another body.
     Mismatch,
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    Idle,
+    NotDispatched,
     /// Its claim is asked for; `idle` if this life knew before that it never dispatched it.
     Claiming {
         idle: bool,
     },
     Dispatched,
-    Finished(Record),
-    Spent(Outcome),
+    Finished(StoredAnswer),
+    AnswerDropped(Outcome),
 }
 
 #[derive(Clone, Debug)]
@@ -70,19 +70,19 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_policy::{Ledger, Start};
+/// use heathpitch_policy::{IdempotencyTable, KeyState};
 ///
 /// let key: heathpitch_core::Name = "k".parse()?;
-/// let mut ledger = Ledger::new();
-/// assert_eq!(ledger.start(&key, 1), Start::New);
+/// let mut ledger = IdempotencyTable::new();
+/// assert_eq!(ledger.start(&key, 1), KeyState::New);
 /// assert!(ledger.dispatch(&key));
 /// assert!(!ledger.dispatch(&key));
-/// assert_eq!(ledger.start(&key, 1), Start::Running);
-/// assert_eq!(ledger.start(&key, 2), Start::Mismatch);
+/// assert_eq!(ledger.start(&key, 1), KeyState::Running);
+/// assert_eq!(ledger.start(&key, 2), KeyState::Mismatch);
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Debug)]
-pub struct Ledger {
+pub struct IdempotencyTable {
     keys: usize,
     entries: HashMap<Name, Entry>,
     order: VecDeque<Name>,
@@ -92,21 +92,21 @@
     forgot: bool,
 }
 
-impl Default for Ledger {
+impl Default for IdempotencyTable {
     fn default() -> Self {
         Self::new()
     }
 }
 
 /// # Before the dispatch
-impl Ledger {
+impl IdempotencyTable {
     /// A ledger of nothing, with room for 10 000 keys.
     pub fn new() -> Self {
-        Self::with_room(MAX_KEYS)
+        Self::with_capacity(MAX_KEYS)
     }
 
     /// A ledger of nothing, with room for `keys` keys.
-    pub fn with_room(keys: usize) -> Self {
+    pub fn with_capacity(keys: usize) -> Self {
         let (entries, order, ended) = Default::default();
         Self { keys, entries, order, ended, bytes: 0, forgot: false }
     }
@@ -122,30 +122,30 @@
     }
 
     /// Remembers a key that this life minted and has not dispatched.
-    pub fn mint(&mut self, key: Name) {
-        self.insert(key, Entry { body: None, state: State::Idle });
+    pub fn add_unused(&mut self, key: Name) {
+        self.insert(key, Entry { body: None, state: State::NotDispatched });
     }
 
     /// A request with this key and body digest arrived.
-    pub fn start(&mut self, key: &Name, body: u64) -> Start {
+    pub fn start(&mut self, key: &Name, body: u64) -> KeyState {
         match self.entries.get_mut(key) {
-            Some(e) if e.body.is_some_and(|b| b != body) => Start::Mismatch,
+            Some(e) if e.body.is_some_and(|b| b != body) => KeyState::Mismatch,
             Some(Entry { state: State::Claiming { .. } | State::Dispatched, .. })
                 if on(Mechanism::LedgerOnce) =>
             {
-                Start::Running
+                KeyState::Running
             }
-            Some(Entry { state: State::Finished(r), .. }) => Start::Finished(r.clone()),
-            Some(Entry { state: State::Spent(o), .. }) => Start::Spent(*o),
+            Some(Entry { state: State::Finished(r), .. }) => KeyState::Finished(r.clone()),
+            Some(Entry { state: State::AnswerDropped(o), .. }) => KeyState::AnswerDropped(*o),
             Some(e) => {
                 *e = Entry { body: Some(body), state: State::Claiming { idle: true } };
-                Start::Idle
+                KeyState::NotDispatched
             }
             None => {
                 // Until a key was forgotten, one that is not known was never here.
                 let state = State::Claiming { idle: !self.forgot };
                 self.insert(key.clone(), Entry { body: Some(body), state });
-                Start::New
+                KeyState::New
             }
         }
     }
@@ -168,8 +168,10 @@
     /// one that was used.
     pub fn release(&mut self, key: &Name) {
         match self.entries.get_mut(key) {
-            Some(e) if matches!(e.state, State::Claiming { idle: true }) => e.state = State::Idle,
-            Some(e) if !on(Mechanism::ForgottenIsRun) => e.state = State::Idle,
+            Some(e) if matches!(e.state, State::Claiming { idle: true }) => {
+                e.state = State::NotDispatched
+            }
+            Some(e) if !on(Mechanism::ForgottenIsRun) => e.state = State::NotDispatched,
             _ => self.forget(key),
         }
     }
@@ -184,17 +186,17 @@
 }
 
 /// # After the dispatch
-impl Ledger {
+impl IdempotencyTable {
     /// The dispatched request ended with proof that it did not run.
-    pub fn not_run(&mut self, key: &Name, _proof: NotRun) {
+    pub fn mark_not_run(&mut self, key: &Name, _proof: NotRun) {
         match self.entries.get_mut(key) {
-            Some(e) if matches!(e.state, State::Dispatched) => e.state = State::Idle,
+            Some(e) if matches!(e.state, State::Dispatched) => e.state = State::NotDispatched,
             _ => {}
         }
     }
 
     /// The dispatched request is over.
-    pub fn finish(&mut self, key: &Name, record: Record, now: Millis) {
+    pub fn finish(&mut self, key: &Name, record: StoredAnswer, now: Millis) {
         let Some(e) = self.entries.get_mut(key) else {
             return;
         };
@@ -223,7 +225,7 @@
         };
         if let State::Finished(record) = state {
             self.bytes = self.bytes.saturating_sub(record.body.len());
-            *state = State::Spent(record.outcome);
+            *state = State::AnswerDropped(record.outcome);
         }
     }
 
--- a/crates/policy/src/predict.rs
+++ b/crates/policy/src/predict.rs
@@ -28,7 +28,7 @@
 pub fn predict(stage: &Upstream, need: &Need<'_>) -> f64 {
     let r = &stage.report;
     let age = need.now.saturating_sub(stage.seen) as f64;
-    let others = (r.running + r.queued).saturating_sub(stage.then);
+    let others = (r.running + r.queued).saturating_sub(stage.open_at_report);
     let open = f64::from(others) * (-age / HALF_LIFE).exp2() + f64::from(stage.gauge.count());
     let slots = f64::from(r.slots.max(1));
     let service = if r.service == 0 { SERVICE } else { r.service as f64 };
--- a/crates/policy/src/duty.rs
+++ b/crates/policy/src/shared_polling.rs
@@ -17,26 +17,26 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_policy::Duty;
+/// use heathpitch_policy::SharedPolling;
 /// use rand::{SeedableRng, rngs::SmallRng};
 ///
 /// let mut rng = SmallRng::seed_from_u64(1);
-/// let wait = Duty::new(1_000).wait(70, &mut rng);
+/// let wait = SharedPolling::new(1_000).next_wait(70, &mut rng);
 /// assert!((17_500..=52_500).contains(&wait));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Duty {
+pub struct SharedPolling {
     period: Millis,
 }
 
-impl Duty {
-    /// A duty of two polls per `period` over all nodes.
+impl SharedPolling {
+    /// A shared_polling of two polls per `period` over all nodes.
     pub fn new(period: Millis) -> Self {
         Self { period }
     }
 
     /// Time until this node's next poll, with `nodes` alive, itself among them.
-    pub fn wait(self, nodes: usize, rng: &mut impl Rng) -> Millis {
+    pub fn next_wait(self, nodes: usize, rng: &mut impl Rng) -> Millis {
         let mean = self.period * (nodes.max(1) as u64) / POLLS;
         let mean = mean.clamp(1, self.period * MAX_PERIODS);
         rng.random_range(mean / 2..=mean + mean / 2)
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -56,7 +56,7 @@
         vm: Arc::new(vm(report.engine.as_str())),
         report: Arc::new(report),
         seen: 1_000,
-        then: 0,
+        open_at_report: 0,
         gauge: Arc::new(Gauge::default()),
     }
 }
--- a/crates/policy/tests/demand.rs
+++ b/crates/policy/tests/demand.rs
@@ -25,10 +25,10 @@
             if a == b || !reachable(a, b) {
                 continue;
             }
-            let (round, sent) = nodes[a].tell();
-            let (_, answer) = nodes[b].tell();
-            nodes[b].hear(round, &sent);
-            nodes[a].hear(round, &answer);
+            let (round, sent) = nodes[a].values();
+            let (_, answer) = nodes[b].values();
+            nodes[b].merge(round, &sent);
+            nodes[a].merge(round, &answer);
         }
     }
     nodes
@@ -72,8 +72,8 @@
 fn other_rounds_and_wrong_numbers_are_passed_over() {
     let mut nodes = fleet(&[10, 10], 0, |_, _| true);
     let before = nodes[0].share(1, 2);
-    nodes[0].hear(3, &[(1, 1e9)]);
-    nodes[0].hear(10, &[(1, f32::NAN), (2, -5.0)]);
+    nodes[0].merge(3, &[(1, 1e9)]);
+    nodes[0].merge(10, &[(1, f32::NAN), (2, -5.0)]);
     assert!(nodes[0].share(1, 2) >= before);
 }
 
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -1,4 +1,4 @@
-//! Standing of upstreams by disagreeing, lagging words.
+//! HealthStatus of upstreams by disagreeing, lagging words.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -6,7 +6,7 @@
 
 use common::{name, report, vm};
 use heathpitch_core::{Revision, VmState};
-use heathpitch_policy::{Health, HealthEvent, Standing};
+use heathpitch_policy::{Health, HealthEvent, HealthStatus};
 
 fn listed() -> Health {
     let mut health = Health::new();
@@ -17,20 +17,20 @@
 #[test]
 fn an_engine_is_new_until_it_is_heard() {
     let mut health = listed();
-    assert_eq!(health.standing("e", 0), Some(Standing::New));
+    assert_eq!(health.status("e", 0), Some(HealthStatus::New));
     health.on(HealthEvent::Polled(report("e", 0, 4)), 10);
-    assert_eq!(health.standing("e", 10), Some(Standing::Up));
+    assert_eq!(health.status("e", 10), Some(HealthStatus::Up));
 }
 
 #[test]
 fn silence_and_failed_polls_take_it_down() {
     let mut health = listed();
     health.on(HealthEvent::Polled(report("e", 0, 4)), 10);
-    assert_eq!(health.standing("e", 400_000), Some(Standing::Down));
+    assert_eq!(health.status("e", 400_000), Some(HealthStatus::Down));
     health.on(HealthEvent::PollFailed(name("e")), 20);
-    assert_eq!(health.standing("e", 20), Some(Standing::Up));
+    assert_eq!(health.status("e", 20), Some(HealthStatus::Up));
     health.on(HealthEvent::PollFailed(name("e")), 30);
-    assert_eq!(health.standing("e", 30), Some(Standing::Down));
+    assert_eq!(health.status("e", 30), Some(HealthStatus::Down));
 }
 
 /// An engine that only others can reach stays down here, however much they tell of it.
@@ -42,10 +42,10 @@
     health.on(HealthEvent::PollFailed(name("e")), 30);
     let mut newer = report("e", 0, 4);
     newer.serial = 2;
-    health.on(HealthEvent::Passed(newer.clone()), 40);
-    assert_eq!(health.standing("e", 40), Some(Standing::Down));
+    health.on(HealthEvent::Relayed(newer.clone()), 40);
+    assert_eq!(health.status("e", 40), Some(HealthStatus::Down));
     health.on(HealthEvent::Polled(newer), 50);
-    assert_eq!(health.standing("e", 50), Some(Standing::Up));
+    assert_eq!(health.status("e", 50), Some(HealthStatus::Up));
 }
 
 #[test]
@@ -54,14 +54,14 @@
     let mut leaving = report("e", 0, 4);
     leaving.leaving = true;
     health.on(HealthEvent::Polled(leaving), 10);
-    assert_eq!(health.standing("e", 10), Some(Standing::Leaving));
+    assert_eq!(health.status("e", 10), Some(HealthStatus::Leaving));
 
     let mut health = listed();
     health.on(HealthEvent::Polled(report("e", 0, 4)), 10);
     let mut gone = vm("e");
     gone.state = VmState::Leaving;
     health.on(HealthEvent::Listed(Revision(2), vec![gone]), 20);
-    assert_eq!(health.standing("e", 20), Some(Standing::Leaving));
+    assert_eq!(health.status("e", 20), Some(HealthStatus::Leaving));
     assert!(health.fleet(20).is_empty());
 }
 
@@ -75,9 +75,9 @@
     let mut again = report("e", 0, 4);
     again.life.0 = 2;
     health.on(HealthEvent::Polled(again), 20);
-    assert_eq!(health.standing("e", 20), Some(Standing::Up));
-    health.on(HealthEvent::Passed(leaving), 30);
-    assert_eq!(health.standing("e", 30), Some(Standing::Up));
+    assert_eq!(health.status("e", 20), Some(HealthStatus::Up));
+    health.on(HealthEvent::Relayed(leaving), 30);
+    assert_eq!(health.status("e", 30), Some(HealthStatus::Up));
 }
 
 #[test]
@@ -85,7 +85,7 @@
     let mut health = listed();
     health.on(HealthEvent::Polled(report("e", 0, 4)), 10);
     health.on(HealthEvent::Listed(Revision(2), vec![]), 20);
-    assert_eq!(health.standing("e", 20), None);
+    assert_eq!(health.status("e", 20), None);
 }
 
 /// A node that is too busy to hear anybody must not leave every engine at once.
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -8,7 +8,7 @@
 
 use common::name;
 use heathpitch_core::{Account, Priority};
-use heathpitch_policy::{Gate, Meter, Over, RetryBudget, Shed, come_back};
+use heathpitch_policy::{AccountLimiter, Gate, LimitExceeded, RetryBudget, Shed, come_back};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -57,11 +57,11 @@
 fn rates_are_held_and_say_when_to_come_back() {
     let mut desk = account("desk", 1);
     desk.rate = Some(10.0);
-    let mut meter = Meter::new();
-    let taken = (0..100).filter(|i| meter.open(&desk, 0.5, i * 10).is_ok()).count();
+    let mut limiter = AccountLimiter::new();
+    let taken = (0..100).filter(|i| limiter.admit(&desk, 0.5, i * 10).is_ok()).count();
     assert_eq!(taken, 10 + 4);
-    assert_eq!(meter.open(&desk, 0.5, 1_000), Ok(()));
-    assert_eq!(meter.open(&desk, 0.5, 1_000), Err(Over::Rate { back: 200 }));
+    assert_eq!(limiter.admit(&desk, 0.5, 1_000), Ok(()));
+    assert_eq!(limiter.admit(&desk, 0.5, 1_000), Err(LimitExceeded::Rate { retry_after: 200 }));
 }
 
 #[test]
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -14,9 +14,9 @@
     Strategy, Vm, VmRole, VmState, digest,
 };
 use heathpitch_policy::{
-    Ask, ClaimEntry, ClaimPage, Demand, EngineReport, EngineRole, Gate, Gauge, Health, HealthEvent,
-    Ledger, LoadedLayers, Member, MemberState, Members, Meter, ModelDemand, PlacementEngine,
-    PrefixIndex, Record, Upstream, choose, plan_placement,
+    AccountLimiter, Ask, ClaimEntry, ClaimPage, Demand, EngineReport, EngineRole, Gate, Gauge,
+    Health, HealthEvent, IdempotencyTable, LoadedLayers, Member, MemberState, Members, ModelDemand,
+    PlacementEngine, PrefixIndex, StoredAnswer, Upstream, choose, plan_placement,
 };
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -126,7 +126,7 @@
                 vm: Arc::new(vm(i)),
                 report: Arc::new(report(i, &model.name, stage(i))),
                 seen: 900,
-                then: 0,
+                open_at_report: 0,
                 gauge: Arc::new(Gauge::default()),
             })
             .collect();
@@ -236,10 +236,10 @@
 fn demand() {
     for accounts in [10, 500, 2_000, 5_500] {
         let mut of = demanded(accounts);
-        let (round, told) = of.tell();
+        let (round, told) = of.values();
         let ns = time(50, || {
-            of.hear(round, &told);
-            black_box(of.tell());
+            of.merge(round, &told);
+            black_box(of.values());
         });
         row("exchange of demand, accounts", accounts, ns, memory(100, || demanded(accounts)));
     }
@@ -273,18 +273,19 @@
             })
             .collect();
         let make = || {
-            let (mut meter, mut gate) = (Meter::new(), Gate::new());
+            let (mut limiter, mut gate) = (AccountLimiter::new(), Gate::new());
             for a in &all {
-                let _ = (meter.open(a, 1.0, 0), gate.enter(a, Default::default(), 1 << 20));
+                let _ = (limiter.admit(a, 1.0, 0), gate.enter(a, Default::default(), 1 << 20));
             }
-            (meter, gate)
+            (limiter, gate)
         };
-        let (mut meter, mut gate) = make();
+        let (mut limiter, mut gate) = make();
         let mut i = 0;
         let ns = time(2_000, || {
             i = (i + 1) % all.len();
-            let _ = (meter.open(&all[i], 1.0, 1), gate.enter(&all[i], Default::default(), 1 << 20));
-            meter.close(&all[i].name);
+            let _ =
+                (limiter.admit(&all[i], 1.0, 1), gate.enter(&all[i], Default::default(), 1 << 20));
+            limiter.release(&all[i].name);
             gate.leave(&all[i].name);
         });
         row("limit and gate, accounts", accounts, ns, memory(10, make));
@@ -294,14 +295,14 @@
 fn ledger() {
     for keys in [1_000, 2_500, 5_000, 10_000] {
         let make = || {
-            let mut ledger = Ledger::new();
+            let mut ledger = IdempotencyTable::new();
             for i in 0..keys {
                 let key = digest(&[&(i as u64).to_le_bytes()]);
                 ledger.start(&key, 1);
                 ledger.dispatch(&key);
                 let body: Arc<[u8]> = vec![0; 200].into();
                 let (media, outcome) = (String::new(), heathpitch_core::Outcome::Done);
-                ledger.finish(&key, Record { status: 200, media, body, outcome }, 1);
+                ledger.finish(&key, StoredAnswer { status: 200, media, body, outcome }, 1);
             }
             ledger
         };
--- a/crates/proof/src/keys.rs
+++ b/crates/proof/src/keys.rs
@@ -4,7 +4,8 @@
 
 use heathpitch_core::{Evidence, Incarnation, Millis, Name, Outcome, Revision, digest};
 use heathpitch_policy::{
-    ClaimAction, ClaimEvent, ClaimPage, Claims, Ledger, Record, Settlement, Start, settle,
+    ClaimAction, ClaimEvent, ClaimPage, Claims, IdempotencyTable, KeyState, Settlement,
+    StoredAnswer, settle,
 };
 
 use crate::breach::{Breach, Promise};
@@ -19,7 +20,7 @@
 struct Node {
     life: Incarnation,
     claims: Claims,
-    ledger: Ledger,
+    ledger: IdempotencyTable,
     asks: HashMap<u64, (usize, bool, u64)>,
     paused: bool,
 }
@@ -83,7 +84,7 @@
     Node {
         life,
         claims: Claims::new(name(i), life),
-        ledger: Ledger::with_room(ROOM),
+        ledger: IdempotencyTable::with_capacity(ROOM),
         asks: HashMap::new(),
         paused: false,
     }
@@ -144,8 +145,8 @@
         let body = body(number) + u64::from(other_body);
         let digest = key(number);
         let idle = match self.nodes[at].ledger.start(&digest, body) {
-            Start::New => false,
-            Start::Idle => true,
+            KeyState::New => false,
+            KeyState::NotDispatched => true,
             _ => {
                 tally.event("found in the ledger");
                 return Ok(());
@@ -284,14 +285,14 @@
         match Evidence::new().not_run() {
             Some(proof) if draw.below(3) == 0 => {
                 tally.event("proved not run");
-                node.ledger.not_run(&key(number), proof);
+                node.ledger.mark_not_run(&key(number), proof);
                 self.ran.entry(number).and_modify(|n| *n -= 1);
             }
             _ => {
                 tally.event("ended");
                 let body = vec![0; 8].into();
                 let outcome = Outcome::Done;
-                let record = Record { status: 200, media: String::new(), body, outcome };
+                let record = StoredAnswer { status: 200, media: String::new(), body, outcome };
                 node.ledger.finish(&key(number), record, self.now);
             }
         }
--- a/crates/proof/src/telling/node.rs
+++ b/crates/proof/src/telling/node.rs
@@ -29,7 +29,7 @@
     /// A moment of the world on the node's own clock.
     pub(super) fn clock(&self, at: Millis) -> Millis {
         // The world begins late enough for it never to be negative.
-        Clocks { boot: at, steady: at - self.suspended }.now()
+        Clocks { boot: at, monotonic: at - self.suspended }.now()
     }
 
     /// The list that it knows, and how old its proof seems to it.
--- a/crates/proof/src/upstreams.rs
+++ b/crates/proof/src/upstreams.rs
@@ -97,7 +97,7 @@
                 self.hear(at, &report, tally);
                 let event = match draw.below(2) {
                     0 => HealthEvent::Polled(report),
-                    _ => HealthEvent::Passed(report),
+                    _ => HealthEvent::Relayed(report),
                 };
                 self.health.on(event, self.now);
             }
