--- a/crates/policy/src/account_limiter.rs
+++ b/crates/policy/src/account_limiter.rs
@@ -1,4 +1,4 @@
-//! Limits per client account on one node: its share of the fleet's.
+//! Limits per client account on one node, as its share of the fleet-wide limits.
 
 use std::collections::HashMap;
 
@@ -6,26 +6,26 @@
 
 use crate::Bucket;
 
-/// Seconds of the rate that may come at once.
-const BURST: f64 = 2.0;
-/// Accounts remembered; idle ones are dropped beyond it.
+/// Seconds of the rate that may arrive in a burst.
+const BURST_S: f64 = 2.0;
+/// Accounts tracked before idle ones are evicted.
 const MAX_ACCOUNTS: usize = 20_000;
-/// Time told to an account that has too many streams open, milliseconds.
-const STREAM_BACK: Millis = 1_000;
+/// Retry time given to an account with too many open streams.
+const STREAMS_RETRY_MS: Millis = 1_000;
 
-/// The account is over a limit.
+/// An account exceeds a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LimitExceeded {
-    /// Too many requests a second.
-    #[error("the account's request rate is used up")]
+    /// Too many requests per second.
+    #[error("the account exceeds its request rate")]
     Rate {
-        /// When one more is due, milliseconds.
+        /// Time until one more request is allowed, milliseconds.
         retry_after: Millis,
     },
-    /// Too many requests at once.
-    #[error("the account has too many requests open")]
+    /// Too many concurrent requests.
+    #[error("the account has too many open requests")]
     Streams {
-        /// When to come back, milliseconds.
+        /// Time after which to retry, milliseconds.
         retry_after: Millis,
     },
 }
@@ -37,7 +37,7 @@
     used: Millis,
 }
 
-/// Requests of each account, by rate and by number open.
+/// Limits the request rate and the open requests of each account.
 ///
 /// # Examples
 ///
@@ -60,23 +60,23 @@
 }
 
 impl AccountLimiter {
-    /// A limiter that has counted nothing.
+    /// Without requests.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts a request in, holding the account to `share` (0 to 1) of its fleet-wide limits.
+    /// Admits a request within `share` (0 to 1) of the account's fleet-wide limits.
     ///
     /// # Errors
     ///
-    /// [`LimitExceeded`] with the time to come back.
+    /// [`LimitExceeded`] with the time after which to retry.
     pub fn admit(
         &mut self,
         account: &Account,
         share: f64,
         now: Millis,
     ) -> Result<(), LimitExceeded> {
-        self.trim(now);
+        self.evict_idle(now);
         let used = self.uses.entry(account.name.clone()).or_insert(Use {
             bucket: None,
             open: 0,
@@ -86,12 +86,12 @@
         let streams = account.streams.map(|s| (f64::from(s) * share).ceil().max(1.0) as u32);
         match streams {
             Some(s) if used.open >= s => {
-                return Err(LimitExceeded::Streams { retry_after: STREAM_BACK });
+                return Err(LimitExceeded::Streams { retry_after: STREAMS_RETRY_MS });
             }
             _ => {}
         }
         if let Some(rate) = account.rate.map(|r| r * share) {
-            let burst = (rate * BURST).max(1.0);
+            let burst = (rate * BURST_S).max(1.0);
             let bucket = used.bucket.get_or_insert_with(|| Bucket::new(rate, burst, now));
             bucket.set(rate, burst, now);
             bucket.take(now).map_err(|retry_after| LimitExceeded::Rate { retry_after })?;
@@ -100,14 +100,14 @@
         Ok(())
     }
 
-    /// Counts a request out.
+    /// Releases an admitted request.
     pub fn release(&mut self, account: &Name) {
         if let Some(used) = self.uses.get_mut(account) {
             used.open = used.open.saturating_sub(1);
         }
     }
 
-    fn trim(&mut self, now: Millis) {
+    fn evict_idle(&mut self, now: Millis) {
         if self.uses.len() >= MAX_ACCOUNTS {
             self.uses.retain(|_, u| u.open > 0 || now.saturating_sub(u.used) < 60_000);
         }
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -1,7 +1,7 @@
-//! Chains: the cheapest way through engines that together hold every layer of a model.
+//! Chains: the cheapest path through engines that together hold every layer of a model.
 //!
-//! A chain may run part of what an engine holds. The search goes over layer boundaries and the
-//! failure domain that the last part stands in, so that changes of domain are paid for.
+//! A chain may use a part of an engine's layers. The search is a dynamic program over layer
+//! boundaries and the failure domain of the last stage, so that it accounts for changes of domain.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,42 +10,45 @@
     Card, EngineEntry, Epoch, LayerRange, LayeredModel, Model, Name, Path, Stage,
 };
 
-/// Cost of one more part: the delay inside a domain, milliseconds a token.
-pub(crate) const HOP: f64 = 0.2;
-/// Cost of starting in another domain, and of answers that come from there, beside the delay:
-/// text only, milliseconds a token.
-const AWAY: f64 = 1.5;
-/// Cost of going on in another domain beside the delay: a prompt's activations take 20 to 35 ms of
-/// the pipe that all requests share, one after the other. A whole domain that crosses fills it, so
-/// this is more than a detour through a domain's slowest engines; milliseconds a token.
-const CROSSING: f64 = 6.0;
-/// Most parts that a chain may have.
-const PARTS_MOST: usize = 32;
-/// Times that a search is parted because an engine stands twice.
-const SPLITS: u32 = 3;
-/// What a part that a running request already uses is worth: nothing has to be read again.
-const KEPT: f64 = 3.0;
+/// Cost of one more stage: the delay inside a domain, milliseconds per token.
+pub(crate) const HOP_COST: f64 = 0.2;
+/// Cost beside the delay of starting in another domain and of returning answers from there, which
+/// carries text only; milliseconds per token.
+const REMOTE_COST: f64 = 1.5;
+/// Cost beside the delay of continuing in another domain, milliseconds per token.
+///
+/// A prompt's activations occupy the link between domains, which requests use one at a time, for
+/// 20 to 35 ms. If all requests of a domain cross, the link saturates, so crossing costs more than
+/// a detour through the domain's slowest engines.
+const CROSSING_COST: f64 = 6.0;
+/// Most stages that a chain may have.
+const MAX_STAGES: usize = 32;
+/// Nested searches made because an engine occurs twice.
+const MAX_SPLITS: u32 = 3;
+/// Discount for a stage that a running request already uses: no prompt has to be prefilled again;
+/// milliseconds per token.
+const REUSE_BONUS: f64 = 3.0;
 
 /// An engine that a chain may run through.
 #[derive(Clone, Debug)]
 pub struct ChainEngine {
-    /// The engine.
+    /// Entry in the engine list.
     pub entry: Arc<EngineEntry>,
     /// Its card.
     pub card: Card,
-    /// Cost beside that of its layers: load, doubt; milliseconds a token.
+    /// Cost beside that of its layers, such as load or suspected failure; milliseconds per token.
     pub penalty: f64,
-    /// Cost of starting here: requests that wait for their prompt to be read; milliseconds a token.
+    /// Cost of starting here: requests waiting for prefill; milliseconds per token.
     pub start_cost: f64,
-    /// Share of its room that requests would hold, as far as is known.
+    /// Known share of its token capacity that requests would hold.
     pub utilization: f64,
-    /// Whether it has no room, as far as is known.
+    /// Whether it is known to have no capacity left.
     pub full: bool,
-    /// Whether others are preferred to it for a moment: it refused its part.
+    /// Whether other engines are preferred for a moment because it refused a stage.
     pub deprioritized: bool,
 }
 
-/// What a chain is looked for.
+/// What a chain is searched for.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainQuery<'a> {
     /// The model.
@@ -54,7 +57,7 @@
     pub name: &'a Name,
     /// Domain of the node.
     pub home: &'a Name,
-    /// Chain of a running request that is to be changed: its first part stays.
+    /// Path of a running request that is to be changed; its first stage stays.
     pub current: Option<&'a Path>,
 }
 
@@ -65,58 +68,62 @@
     link: usize,
 }
 
-/// The cheapest chain inside the home domain if that has one with room, else through any domain.
+/// Finds the cheapest chain inside the home domain if that has one with capacity, else through any
+/// domain.
 ///
-/// None if the links do not hold every layer, or the first part of the current chain is not among
-/// them.
-pub fn find_local_chain(search: &ChainQuery<'_>, links: &[ChainEngine]) -> Option<(Path, f64)> {
-    let near: Vec<ChainEngine> =
-        links.iter().filter(|l| &l.entry.domain == search.home).cloned().collect();
+/// None if the engines do not hold every layer, or the first engine of the current path is not
+/// among them.
+pub fn find_local_chain(search: &ChainQuery<'_>, engines: &[ChainEngine]) -> Option<(Path, f64)> {
+    let local: Vec<ChainEngine> =
+        engines.iter().filter(|l| &l.entry.domain == search.home).cloned().collect();
     let full = |path: &Path| {
         let used = |l: &&ChainEngine| path.stages().iter().any(|s| s.engine == l.entry.id);
-        near.iter().filter(used).any(|l| l.full || l.deprioritized)
+        local.iter().filter(used).any(|l| l.full || l.deprioritized)
     };
-    match find_chain(search, &near) {
+    match find_chain(search, &local) {
         Some((path, cost)) if !full(&path) => Some((path, cost)),
-        near => find_chain(search, links).or(near),
+        local => find_chain(search, engines).or(local),
     }
 }
 
-/// The cheapest chain, with its cost in milliseconds a token.
+/// Finds the cheapest chain, with its cost in milliseconds per token.
 ///
-/// None if the links do not hold every layer, or the first part of the current chain is not among
-/// them.
-pub fn find_chain(search: &ChainQuery<'_>, links: &[ChainEngine]) -> Option<(Path, f64)> {
-    let (stages, cost) = cheapest(search, links, SPLITS)?;
+/// None if the engines do not hold every layer, or the first engine of the current path is not
+/// among them.
+pub fn find_chain(search: &ChainQuery<'_>, engines: &[ChainEngine]) -> Option<(Path, f64)> {
+    let (stages, cost) = cheapest(search, engines, MAX_SPLITS)?;
     let model = Model::new(search.name.clone(), search.name.clone(), search.model.layers);
     match Path::new(&model, stages) {
-        Ok(path) if path.stages().len() <= PARTS_MOST => Some((path, cost)),
+        Ok(path) if path.stages().len() <= MAX_STAGES => Some((path, cost)),
         _ => None,
     }
 }
 
-/// The cheapest stages. Where an engine stands twice they are sought anew with the one and with the other part of
-/// its layers alone, at most `splits` times one in the other: all that lies between may cost far more there.
+/// Finds the cheapest stages.
+///
+/// If an engine occurs twice, merging its stages has it run all layers in between as well, which
+/// may cost far more there. The search is then repeated with either part of its layers alone,
+/// nested at most `splits` times.
 fn cheapest(
     search: &ChainQuery<'_>,
-    links: &[ChainEngine],
+    engines: &[ChainEngine],
     splits: u32,
 ) -> Option<(Vec<Stage>, f64)> {
-    let mut table = Table::new(search, links)?;
+    let mut table = Table::new(search, engines)?;
     table.fill();
     let stages = table.best()?;
-    let again = twice(&stages).filter(|_| splits > 0);
+    let repeated = find_repeated(&stages).filter(|_| splits > 0);
     let stages = merge(stages);
     let cost = table.price(&stages);
-    let Some((engine, between)) = again else { return Some((stages, cost)) };
-    let Some(at) = links.iter().position(|l| l.entry.id == engine) else {
+    let Some((engine, between)) = repeated else { return Some((stages, cost)) };
+    let Some(at) = engines.iter().position(|l| l.entry.id == engine) else {
         return Some((stages, cost));
     };
-    let held = links[at].entry.layers;
+    let held = engines[at].entry.layers;
     let with = |layers| {
-        let mut links = links.to_vec();
-        links[at].entry = Arc::new(EngineEntry { layers, ..(*links[at].entry).clone() });
-        cheapest(search, &links, splits - 1)
+        let mut engines = engines.to_vec();
+        engines[at].entry = Arc::new(EngineEntry { layers, ..(*engines[at].entry).clone() });
+        cheapest(search, &engines, splits - 1)
     };
     let before = with(LayerRange::new(held.first, between.end));
     let after = with(LayerRange::new(between.first, held.end));
@@ -124,8 +131,8 @@
     found.min_by(|a, b| a.1.total_cmp(&b.1))
 }
 
-/// An engine that stands twice, and the layers between its parts.
-fn twice(stages: &[Stage]) -> Option<(Name, LayerRange)> {
+/// Finds an engine that occurs twice, and the layers between its stages.
+fn find_repeated(stages: &[Stage]) -> Option<(Name, LayerRange)> {
     stages.iter().enumerate().find_map(|(i, first)| {
         let second = stages[i + 1..].iter().find(|s| s.engine == first.engine)?;
         let between = LayerRange::new(first.layers.end, second.layers.first);
@@ -133,7 +140,7 @@
     })
 }
 
-/// Has an engine that stands twice run all that lies between, which it holds as well.
+/// Merges the stages of an engine that occurs twice; it holds the layers in between as well.
 fn merge(stages: Vec<Stage>) -> Vec<Stage> {
     let mut merged: Vec<Stage> = Vec::new();
     for stage in stages {
@@ -150,38 +157,38 @@
 
 struct Table<'a> {
     search: &'a ChainQuery<'a>,
-    links: &'a [ChainEngine],
+    engines: &'a [ChainEngine],
     cuts: Vec<u32>,
     domains: Vec<&'a Name>,
     start: (usize, usize),
-    head: Option<Stage>,
+    first_stage: Option<Stage>,
     best: Vec<Vec<Option<Step>>>,
 }
 
 /// # Construction
 impl<'a> Table<'a> {
-    fn new(search: &'a ChainQuery<'a>, links: &'a [ChainEngine]) -> Option<Self> {
-        let head = search.current.map(|path| path.head().clone());
-        let first = head.as_ref().map_or(0, |h| h.layers.end);
+    fn new(search: &'a ChainQuery<'a>, engines: &'a [ChainEngine]) -> Option<Self> {
+        let first_stage = search.current.map(|path| path.head().clone());
+        let first = first_stage.as_ref().map_or(0, |h| h.layers.end);
         let layers = search.model.layers;
-        let ends = links.iter().flat_map(|l| [l.entry.layers.first, l.entry.layers.end]);
+        let ends = engines.iter().flat_map(|l| [l.entry.layers.first, l.entry.layers.end]);
         let mut cuts: Vec<u32> = ends.chain([first, layers]).collect();
         cuts.retain(|c| (first..=layers).contains(c));
         cuts.sort_unstable();
         cuts.dedup();
-        let mut domains: Vec<&Name> = links.iter().map(|l| &l.entry.domain).collect();
+        let mut domains: Vec<&Name> = engines.iter().map(|l| &l.entry.domain).collect();
         domains.push(search.home);
         domains.sort();
         domains.dedup();
-        let holds = |l: &&ChainEngine| head.as_ref().is_some_and(|h| h.engine == l.entry.id);
-        let at = match (&head, links.iter().find(holds)) {
+        let holds = |l: &&ChainEngine| first_stage.as_ref().is_some_and(|h| h.engine == l.entry.id);
+        let at = match (&first_stage, engines.iter().find(holds)) {
             (Some(_), None) => return None,
             (Some(_), Some(link)) => &link.entry.domain,
             (None, _) => search.home,
         };
         let start = (0, domains.binary_search(&at).ok()?);
         let best = vec![vec![None; domains.len()]; cuts.len()];
-        Some(Self { search, links, cuts, domains, start, head, best })
+        Some(Self { search, engines, cuts, domains, start, first_stage, best })
     }
 }
 
@@ -195,7 +202,7 @@
                     Some(step) => step.cost,
                     None => continue,
                 };
-                for link in 0..self.links.len() {
+                for link in 0..self.engines.len() {
                     self.extend((cut, domain), so_far, link);
                 }
             }
@@ -203,16 +210,16 @@
     }
 
     fn extend(&mut self, from: (usize, usize), so_far: f64, link: usize) {
-        let l = &self.links[link];
+        let l = &self.engines[link];
         let at = self.cuts[from.0];
-        let is_head = self.head.as_ref().is_some_and(|h| h.engine == l.entry.id);
-        if is_head || l.entry.layers.first > at || l.entry.layers.end <= at {
+        let is_first_stage = self.first_stage.as_ref().is_some_and(|h| h.engine == l.entry.id);
+        if is_first_stage || l.entry.layers.first > at || l.entry.layers.end <= at {
             return;
         }
         let Ok(domain) = self.domains.binary_search(&&l.entry.domain) else { return };
-        let begins = from == self.start && self.head.is_none();
-        let start = if begins { l.start_cost } else { 0.0 };
-        let entry = so_far + l.penalty + start + self.hop(from.1, domain, !begins);
+        let is_first = from == self.start && self.first_stage.is_none();
+        let start = if is_first { l.start_cost } else { 0.0 };
+        let entry = so_far + l.penalty + start + self.hop(from.1, domain, !is_first);
         for to in from.0 + 1..self.cuts.len() {
             if self.cuts[to] > l.entry.layers.end {
                 break;
@@ -226,13 +233,13 @@
         }
     }
 
-    /// Cost of a step from one domain to another; `on` if a running request goes on there.
-    fn hop(&self, from: usize, to: usize, on: bool) -> f64 {
+    /// Cost of a step between domains; `resumes` if it carries activations rather than text.
+    fn hop(&self, from: usize, to: usize, resumes: bool) -> f64 {
         match from == to {
-            true => HOP,
+            true => HOP_COST,
             false => {
                 let delay = self.search.model.delay(self.domains[from], self.domains[to]);
-                HOP + delay + if on { CROSSING } else { AWAY }
+                HOP_COST + delay + if resumes { CROSSING_COST } else { REMOTE_COST }
             }
         }
     }
@@ -243,7 +250,7 @@
         let kept = self.search.current.is_some_and(|path| {
             path.stages().iter().any(|s| s.engine == link.entry.id && s.layers == part)
         });
-        let bonus = if kept { KEPT } else { 0.0 };
+        let bonus = if kept { REUSE_BONUS } else { 0.0 };
         model.step_ms * link.card.pace * share - bonus
     }
 
@@ -258,18 +265,18 @@
         self.trace((last, domain))
     }
 
-    /// Cost of a whole chain, its unchanged first part left out.
+    /// Cost of a chain without its fixed first stage.
     fn price(&self, stages: &[Stage]) -> f64 {
         let mut at = self.start.1;
         let mut cost = 0.0;
-        for stage in stages.iter().skip(usize::from(self.head.is_some())) {
-            let Some(link) = self.links.iter().find(|l| l.entry.id == stage.engine) else {
+        for stage in stages.iter().skip(usize::from(self.first_stage.is_some())) {
+            let Some(link) = self.engines.iter().find(|l| l.entry.id == stage.engine) else {
                 continue;
             };
             let domain = self.domains.binary_search(&&link.entry.domain).unwrap_or(at);
-            let begins = stage.layers.first == 0;
-            let start = if begins { link.start_cost } else { 0.0 };
-            let hop = self.hop(at, domain, !begins);
+            let is_first = stage.layers.first == 0;
+            let start = if is_first { link.start_cost } else { 0.0 };
+            let hop = self.hop(at, domain, !is_first);
             cost += link.penalty + start + hop + self.work(link, stage.layers);
             at = domain;
         }
@@ -285,7 +292,7 @@
             if !seen.insert(at) {
                 return None;
             }
-            let entry = &self.links[step.link].entry;
+            let entry = &self.engines[step.link].entry;
             stages.push(Stage {
                 engine: entry.id.clone(),
                 address: entry.address.into(),
@@ -294,7 +301,7 @@
             });
             at = step.from;
         }
-        stages.extend(self.head.clone());
+        stages.extend(self.first_stage.clone());
         stages.reverse();
         Some(stages)
     }
--- a/crates/policy/src/clocks.rs
+++ b/crates/policy/src/clocks.rs
@@ -1,39 +1,39 @@
-//! Time as decisions count it, though the VM may be suspended.
+//! Time for decisions, including time in which the VM was suspended.
 //!
-//! A VM's steady clock stands still while the VM is suspended; the one that counts from its boot goes on, as
-//! do the store, the engines and all other VMs. Whoever measures by the steady one takes what it knew before for
-//! young, and acts on keys that were taken away, leases that ran out and engines that left.
+//! A VM's monotonic clock stops while the VM is suspended, but its boot-time clock goes on, as do
+//! the store, the engines and other VMs. A node that went by the monotonic clock would treat old
+//! information as fresh, and act on revoked keys, expired leases and engines that have left.
 
 use heathpitch_core::Millis;
 
 use crate::switch::{Mechanism, on};
 
-/// Difference from which the VM counts as suspended, milliseconds: above the grain of both clocks and the
-/// time between two readings of them.
-const SUSPENDED: Millis = 100;
+/// Shortest suspension detected; larger than the resolution of both clocks and the time between
+/// reading them.
+const MIN_SUSPENSION_MS: Millis = 100;
 
-/// What a VM's clocks show at one moment, milliseconds since starts of their own.
+/// Readings of a VM's clocks at one moment, milliseconds since their own origins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Clocks {
-    /// The one that goes on while the VM is suspended.
+    /// Boot-time clock, which goes on while the VM is suspended.
     pub boot: Millis,
-    /// The steady one, which timers go by.
+    /// Monotonic clock, which timers use.
     pub monotonic: Millis,
 }
 
 impl Clocks {
-    /// Now, for anything that decides on authority, freshness or time left.
+    /// Current time for decisions on authority, freshness and remaining time.
     pub fn now(self) -> Millis {
         if on(Mechanism::SuspendedTime) { self.boot } else { self.monotonic }
     }
 
-    /// By how much the first is ahead.
-    fn ahead(self) -> Millis {
+    /// Lead of the boot-time clock over the monotonic one.
+    fn boot_lead(self) -> Millis {
         self.boot.saturating_sub(self.monotonic)
     }
 }
 
-/// Finds out that the VM was suspended.
+/// Detects suspensions of the VM.
 ///
 /// # Examples
 ///
@@ -47,19 +47,19 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionDetector {
-    ahead: Millis,
+    boot_lead: Millis,
 }
 
 impl SuspensionDetector {
     /// Looks for detector from this moment on.
     pub fn new(clocks: Clocks) -> Self {
-        Self { ahead: clocks.ahead() }
+        Self { boot_lead: clocks.boot_lead() }
     }
 
-    /// For how long the VM was suspended since the last look, if it was.
+    /// Duration of a suspension since the last call, if there was one.
     pub fn poll(&mut self, clocks: Clocks) -> Option<Millis> {
-        let ahead = std::mem::replace(&mut self.ahead, clocks.ahead());
-        let suspended = clocks.ahead().saturating_sub(ahead);
-        (suspended >= SUSPENDED).then_some(suspended)
+        let boot_lead = std::mem::replace(&mut self.boot_lead, clocks.boot_lead());
+        let suspended = clocks.boot_lead().saturating_sub(boot_lead);
+        (suspended >= MIN_SUSPENSION_MS).then_some(suspended)
     }
 }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,4 +1,4 @@
-//! What engines say of themselves.
+//! Status reports of engines.
 
 use heathpitch_core::{Epoch, Incarnation, LayerRange, Millis, Name};
 use serde::{Deserialize, Serialize};
@@ -10,20 +10,20 @@
     /// Prefill and decode.
     #[default]
     Both,
-    /// Prefill only; its KV cache is handed on.
+    /// Prefill only; the KV cache is transferred to another engine.
     Prefill,
     /// Decode only.
     Decode,
 }
 
-/// An engine's report of what it holds and how loaded it is; it lags.
+/// An engine's report of its layers and load; may be out of date.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineReport {
     /// Name of the engine.
     pub engine: Name,
-    /// Its life; grows with each start.
+    /// Incarnation; grows with each start.
     pub life: Incarnation,
-    /// Number of the report within that life.
+    /// Sequence number of the report within the incarnation.
     pub serial: u64,
     /// Model held, if any.
     pub model: Option<Name>,
@@ -36,19 +36,19 @@
     /// Phase it takes.
     #[serde(default)]
     pub role: EngineRole,
-    /// Whether it will stop.
+    /// Whether it is about to stop.
     pub leaving: bool,
-    /// Requests it batches at once.
+    /// Most requests in a batch.
     pub slots: u32,
     /// Requests in the batch.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests queued.
     pub queued: u32,
-    /// Prompt tokens it prefills per second.
+    /// Prompt tokens prefilled per second.
     pub prefill: f64,
     /// Time of one decode step, microseconds.
     pub step: u64,
-    /// Mean time of a finished request, milliseconds.
+    /// Mean duration of finished requests, milliseconds.
     pub service: Millis,
     /// Memory for weights, megabytes.
     pub memory: u64,
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The upstreams as the request path sees them.
+//! Snapshot of the upstreams for the request path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 pub struct Upstream {
     /// Its VM.
     pub vm: Arc<Vm>,
-    /// Newest report.
+    /// Latest report.
     pub report: Arc<EngineReport>,
     /// When the report was received.
     pub seen: Millis,
-    /// Own open requests at that time.
+    /// This node's open requests at that time.
     pub open_at_report: u32,
-    /// Own counts now.
+    /// This node's current counts.
     pub gauge: Arc<Gauge>,
 }
 
@@ -27,13 +27,13 @@
 pub struct ServiceView {
     /// Its VM.
     pub vm: Arc<Vm>,
-    /// Own counts now.
+    /// This node's current counts.
     pub gauge: Arc<Gauge>,
-    /// Load it reported: requests running and waiting.
+    /// Reported load: requests running and queued.
     pub load: u32,
 }
 
-/// One immutable view of the upstreams.
+/// An immutable snapshot of the upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     /// Engines by the model they hold.
@@ -60,7 +60,7 @@
 }
 
 impl Upstream {
-    /// Labels of the VM, which pools look at.
+    /// Labels of the VM, by which pools select.
     pub fn labels(&self) -> &Labels {
         &self.vm.labels
     }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,7 +1,8 @@
 //! Which upstreams may take new work.
 //!
-//! The platform's list, the engine's own reports and failures seen here disagree and lag. Any one
-//! of them is enough to keep new work away; coming back needs a newer word from the same source.
+//! The platform's list, the engines' reports and failures seen by this node lag and may disagree.
+//! Any one of them suffices to exclude an upstream; including it again needs newer information from
+//! the same source.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,37 +13,36 @@
 use crate::{EngineReport, Fleet, Gauge, ServiceView, Upstream};
 
 /// Failed polls in a row after which an upstream is down.
-const MAX_FAILS: u32 = 2;
-/// Time without any report after which an upstream is down, milliseconds. Long, since at the design's
-/// size a node hears of a far engine only every other minute; failures are noticed by polls and
-/// requests.
-const SILENCE: Millis = 300_000;
+const MAX_FAILED_POLLS: u32 = 2;
+/// Time without any report after which an upstream is down. In large fleets a node receives reports
+/// of remote engines only every two minutes; failures are detected by polls and requests.
+const SILENCE_MS: Millis = 300_000;
 
-/// Something heard about an upstream.
+/// Information about an upstream.
 #[derive(Clone, Debug)]
 pub enum HealthEvent {
-    /// The platform's list of VMs, with its number.
+    /// The platform's list of VMs, with its revision.
     Listed(Revision, Vec<Vm>),
-    /// A report that the engine itself gave to this node.
+    /// A report that this node got from the engine itself.
     Polled(EngineReport),
-    /// A report that a peer passed on: the engine lives, but may not be reached from here.
+    /// A report relayed by a peer: the engine is alive, but may be unreachable from this node.
     Relayed(EngineReport),
-    /// A poll that failed.
+    /// A failed poll.
     PollFailed(Name),
-    /// A request that failed there.
+    /// A failed request.
     RequestFailed(Name),
 }
 
 /// Whether an upstream may take new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthStatus {
-    /// It may.
+    /// It may take new work.
     Up,
-    /// It has not been heard yet.
+    /// It has not reported yet.
     New,
-    /// It is silent or fails.
+    /// It does not report, or polls fail.
     Down,
-    /// It will stop.
+    /// It is about to stop.
     Leaving,
 }
 
@@ -75,17 +75,17 @@
 
 /// # Construction and reading
 impl Health {
-    /// Health of nothing.
+    /// Without upstreams.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Number of the newest list.
+    /// Revision of the newest list.
     pub fn list(&self) -> Revision {
         self.list
     }
 
-    /// HealthStatus of an upstream, if it is listed.
+    /// Status of an upstream, if it is listed.
     pub fn status(&self, name: &str, now: Millis) -> Option<HealthStatus> {
         self.entries.get(name).map(|e| e.status(now))
     }
@@ -95,13 +95,13 @@
         self.entries.values().map(|e| &e.vm)
     }
 
-    /// Upstreams that may take new work, with their reports.
+    /// Upstreams that may take new work, with their latest reports.
     pub fn up(&self, now: Millis) -> impl Iterator<Item = (&Arc<Vm>, &Arc<EngineReport>)> {
         let up = self.entries.values().filter(move |e| e.status(now) == HealthStatus::Up);
         up.filter_map(|e| Some((&e.vm, e.report.as_ref()?)))
     }
 
-    /// Reports newest first by time of arrival, to pass on to peers.
+    /// Up to `most` latest reports, newest arrival first, to relay to peers.
     pub fn newest(&self, most: usize) -> Vec<Arc<EngineReport>> {
         let mut known: Vec<_> =
             self.entries.values().filter_map(|e| Some((e.seen, e.report.clone()?))).collect();
@@ -131,7 +131,7 @@
 
 /// # Events
 impl Health {
-    /// Takes an event; true if the fleet may have changed.
+    /// Handles an event; true if the fleet may have changed.
     pub fn on(&mut self, event: HealthEvent, now: Millis) -> bool {
         match event {
             HealthEvent::Listed(number, _) if number <= self.list && on(Mechanism::ListOrder) => {
@@ -147,7 +147,7 @@
             HealthEvent::PollFailed(name) => match self.entries.get_mut(&name) {
                 Some(e) => {
                     e.fails = e.fails.saturating_add(1);
-                    e.fails == MAX_FAILS
+                    e.fails == MAX_FAILED_POLLS
                 }
                 None => false,
             },
@@ -187,7 +187,7 @@
             }
             return false;
         };
-        let back = reached && e.fails >= MAX_FAILS;
+        let back = reached && e.fails >= MAX_FAILED_POLLS;
         if reached {
             e.fails = 0;
         }
@@ -214,8 +214,8 @@
             _ if self.vm.state == VmState::Leaving => HealthStatus::Leaving,
             Some(r) if r.leaving && on(Mechanism::LeavingWord) => HealthStatus::Leaving,
             None => HealthStatus::New,
-            _ if self.fails >= MAX_FAILS => HealthStatus::Down,
-            _ if now.saturating_sub(self.seen) > SILENCE => HealthStatus::Down,
+            _ if self.fails >= MAX_FAILED_POLLS => HealthStatus::Down,
+            _ if now.saturating_sub(self.seen) > SILENCE_MS => HealthStatus::Down,
             Some(_) => HealthStatus::Up,
         }
     }
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -1,8 +1,8 @@
-//! What one node life has done with requests that may not be repeated.
+//! Idempotency keys of non-idempotent requests, within one incarnation of a node.
 //!
-//! The ledger is the only place that lets such a request be dispatched, and it does so once per
-//! key. Answers are kept for repeats within bounds of time and memory; beyond them only the fact
-//! that the request ran is kept, and beyond that an unknown key counts as run.
+//! Every dispatch of such a request goes through this table, which allows one per key. Answers are
+//! kept for repeats within bounds of time and memory. Beyond them only the outcome is kept, and
+//! once a key is evicted it counts as run.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -10,38 +10,38 @@
 use crate::switch::{Mechanism, on};
 use heathpitch_core::{Millis, Name, NotRun, Outcome, Violation, check};
 
-/// Time an answer is kept, milliseconds.
-const KEEP: Millis = 600_000;
-/// Bytes of answers kept.
-const MAX_BYTES: usize = 4 << 20;
-/// Keys remembered.
+/// Time for which an answer is kept.
+const ANSWER_TTL_MS: Millis = 600_000;
+/// Most bytes of answers kept.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Most keys kept.
 const MAX_KEYS: usize = 10_000;
 
 /// An answer kept for repeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredAnswer {
-    /// HTTP status it was given with.
+    /// HTTP status.
     pub status: u16,
     /// Media type of the body.
     pub media: String,
-    /// Body, whole.
+    /// Complete body.
     pub body: Arc<[u8]>,
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
-/// What a request with a key finds.
+/// State of a key when a request with it arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyState {
-    /// The ledger does not know the key.
+    /// The key is not in the table.
     New,
-    /// This life knows the key and certainly never dispatched it.
+    /// The key is known and was certainly not dispatched by this incarnation.
     NotDispatched,
     /// The first request with this key is still open.
     Running,
-    /// It is over; this was its answer.
+    /// The request has finished with this answer.
     Finished(StoredAnswer),
-    /// It is over; the answer is no longer kept.
+    /// The request has finished; the answer is no longer kept.
     AnswerDropped(Outcome),
     /// The key was used with another body.
     Mismatch,
@@ -50,9 +50,10 @@
 #[derive(Clone, Debug)]
 enum State {
     NotDispatched,
-    /// Its claim is asked for; `idle` if this life knew before that it never dispatched it.
+    /// Its claim is requested; `unused` if the key is known not to have been dispatched before by
+    /// this incarnation.
     Claiming {
-        idle: bool,
+        unused: bool,
     },
     Dispatched,
     Finished(StoredAnswer),
@@ -65,7 +66,7 @@
     state: State,
 }
 
-/// Keys seen by this node life.
+/// Idempotency keys seen by this incarnation of the node.
 ///
 /// # Examples
 ///
@@ -88,8 +89,8 @@
     order: VecDeque<Name>,
     ended: VecDeque<(Millis, Name)>,
     bytes: usize,
-    /// Whether any key was forgotten for want of room.
-    forgot: bool,
+    /// Whether any key was evicted for lack of capacity.
+    evicted: bool,
 }
 
 impl Default for IdempotencyTable {
@@ -100,33 +101,33 @@
 
 /// # Before the dispatch
 impl IdempotencyTable {
-    /// A ledger of nothing, with room for 10 000 keys.
+    /// An empty table with a capacity of 10 000 keys.
     pub fn new() -> Self {
         Self::with_capacity(MAX_KEYS)
     }
 
-    /// A ledger of nothing, with room for `keys` keys.
+    /// An empty table with a capacity of `keys` keys.
     pub fn with_capacity(keys: usize) -> Self {
         let (entries, order, ended) = Default::default();
-        Self { keys, entries, order, ended, bytes: 0, forgot: false }
+        Self { keys, entries, order, ended, bytes: 0, evicted: false }
     }
 
-    /// Number of keys remembered.
+    /// Number of keys kept.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is kept.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Remembers a key that this life minted and has not dispatched.
+    /// Adds a key that this incarnation generated and has not dispatched.
     pub fn add_unused(&mut self, key: Name) {
         self.insert(key, Entry { body: None, state: State::NotDispatched });
     }
 
-    /// A request with this key and body digest arrived.
+    /// Handles the arrival of a request with this key and body digest.
     pub fn start(&mut self, key: &Name, body: u64) -> KeyState {
         match self.entries.get_mut(key) {
             Some(e) if e.body.is_some_and(|b| b != body) => KeyState::Mismatch,
@@ -138,19 +139,19 @@
             Some(Entry { state: State::Finished(r), .. }) => KeyState::Finished(r.clone()),
             Some(Entry { state: State::AnswerDropped(o), .. }) => KeyState::AnswerDropped(*o),
             Some(e) => {
-                *e = Entry { body: Some(body), state: State::Claiming { idle: true } };
+                *e = Entry { body: Some(body), state: State::Claiming { unused: true } };
                 KeyState::NotDispatched
             }
             None => {
-                // Until a key was forgotten, one that is not known was never here.
-                let state = State::Claiming { idle: !self.forgot };
+                // While no key has been evicted, an unknown key was never dispatched here.
+                let state = State::Claiming { unused: !self.evicted };
                 self.insert(key.clone(), Entry { body: Some(body), state });
                 KeyState::New
             }
         }
     }
 
-    /// Whether the request may leave; true once per key.
+    /// Whether the request may be dispatched; true once per key.
     pub fn dispatch(&mut self, key: &Name) -> bool {
         match self.entries.get_mut(key) {
             Some(e) if matches!(e.state, State::Claiming { .. }) => {
@@ -161,14 +162,13 @@
         }
     }
 
-    /// The request ended before it was dispatched.
+    /// Handles the end of a request before its dispatch.
     ///
-    /// This life remembers that it was not, unless it may have dispatched the key before and
-    /// forgotten it: such a key stays unknown, so that a claim of this life that stands is taken for
-    /// one that was used.
+    /// The key is kept as not dispatched, unless it may have been dispatched before and evicted.
+    /// Such a key stays unknown, so that an existing claim of this incarnation counts as used.
     pub fn release(&mut self, key: &Name) {
         match self.entries.get_mut(key) {
-            Some(e) if matches!(e.state, State::Claiming { idle: true }) => {
+            Some(e) if matches!(e.state, State::Claiming { unused: true }) => {
                 e.state = State::NotDispatched
             }
             Some(e) if !on(Mechanism::ForgottenIsRun) => e.state = State::NotDispatched,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Forgets a key that turned out to be another's, or to have been forgotten before.
+    /// Removes a key that belongs to another owner, or had been evicted before.
     pub fn forget(&mut self, key: &Name) {
         let claiming = |e: &Entry| matches!(e.state, State::Claiming { .. });
         if self.entries.get(key).is_some_and(claiming) {
@@ -187,7 +187,7 @@
 
 /// # After the dispatch
 impl IdempotencyTable {
-    /// The dispatched request ended with proof that it did not run.
+    /// Handles the end of a dispatched request that provably did not run.
     pub fn mark_not_run(&mut self, key: &Name, _proof: NotRun) {
         match self.entries.get_mut(key) {
             Some(e) if matches!(e.state, State::Dispatched) => e.state = State::NotDispatched,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The dispatched request is over.
+    /// Handles the end of a dispatched request.
     pub fn finish(&mut self, key: &Name, record: StoredAnswer, now: Millis) {
         let Some(e) = self.entries.get_mut(key) else {
             return;
@@ -204,14 +204,14 @@
         self.bytes += record.body.len();
         e.state = State::Finished(record);
         self.ended.push_back((now, key.clone()));
-        self.trim(now);
+        self.evict_answers(now);
     }
 
-    /// Drops answers past their time, and the oldest beyond the bounds.
-    pub fn trim(&mut self, now: Millis) {
-        let late = |at: Millis| now.saturating_sub(at) > KEEP;
+    /// Drops expired answers, and the oldest ones beyond the memory bound.
+    pub fn evict_answers(&mut self, now: Millis) {
+        let is_expired = |at: Millis| now.saturating_sub(at) > ANSWER_TTL_MS;
         while let Some((at, key)) = self.ended.front().cloned() {
-            if !late(at) && self.bytes <= MAX_BYTES {
+            if !is_expired(at) && self.bytes <= MAX_ANSWER_BYTES {
                 return;
             }
             self.ended.pop_front();
@@ -233,12 +233,12 @@
         self.order.push_back(key.clone());
         self.entries.insert(key, entry);
         for _ in 0..self.order.len().saturating_sub(self.keys) {
-            self.forget_oldest();
+            self.evict_oldest();
         }
     }
 
-    /// Forgets the oldest key, unless its request is open.
-    fn forget_oldest(&mut self) {
+    /// Evicts the oldest key, unless its request is open.
+    fn evict_oldest(&mut self) {
         let Some(key) = self.order.pop_front() else {
             return;
         };
@@ -247,7 +247,7 @@
             Some(_) => {
                 self.drop_answer(&key);
                 self.entries.remove(&key);
-                self.forgot = true;
+                self.evicted = true;
             }
             None => {}
         }
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -1,17 +1,17 @@
 //! Layout: which worker of a failure domain holds which layers of a model too large for one card.
 //!
-//! Memory that layers leave free holds the requests that run, so a layout is made for a number of
-//! tokens: each card takes as many layers as leave room for them. The fastest cards take layers
-//! first; those left over hold second copies, as stand-ins. When a worker is lost, its layers go
-//! to workers that the domain can do without, then also to its neighbours; if that left too little
-//! room, all ranges are dealt out anew in the order in which they lie, so that little is loaded. A
-//! worker that came to hold too much is relieved once another one can be spared.
+//! Memory not used by weights holds the KV cache of running requests, so a layout is made for a
+//! number of tokens: each card takes as many layers as leave memory for them. The fastest cards
+//! are assigned first; the remaining ones hold further copies. When a worker is lost, its layers
+//! go to workers that are not needed elsewhere, then also to workers with adjacent layers. If that
+//! would leave too little memory, all layers are redistributed in their current order, so that
+//! few have to be loaded. An overloaded worker hands layers over once another one can be spared.
 
 use heathpitch_core::{Card, LayerRange, LayeredModel, Name};
 use serde::Serialize;
 
-use crate::layout_deal::{fresh, reorder};
-use crate::layout_repair::{Layout, ROOM_POOR};
+use crate::layout_deal::{initial, redistribute};
+use crate::layout_repair::{BUSY_MIN_TOKENS, Layout};
 
 /// A worker that a layout may use.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,42 +22,42 @@
     pub card: Card,
     /// Layers it holds or is loading.
     pub layers: LayerRange,
-    /// Whether it can be ordered now.
+    /// Whether it can be given an order now.
     pub assignable: bool,
-    /// Requests that run through it, as far as is known.
+    /// Known requests running through it.
     pub open_requests: u32,
-    /// Tokens that requests hold there, as far as is known.
+    /// Known tokens that requests hold in its memory.
     pub held_tokens: f64,
-    /// Whether it takes less than it is asked for, by a limit that it names.
+    /// Whether it currently limits its request rate below demand.
     pub limited: bool,
-    /// Whether it came a moment ago: where it replaces another one, that one leaves next.
+    /// Whether it joined a moment ago. If it replaces another engine, that one leaves next.
     pub is_new: bool,
 }
 
-/// Why a worker is to hold other layers.
+/// Why a worker is assigned other layers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LayoutReason {
-    /// The domain holds nothing yet.
+    /// The domain holds no layers yet.
     #[serde(rename = "fresh")]
     Initial,
     /// No worker holds these layers.
     Gap,
-    /// No worker holds these layers, and all are dealt out anew.
+    /// No worker holds these layers, and all layers are redistributed.
     Reorder,
-    /// Another worker holds too much.
+    /// Takes layers over from an overloaded worker.
     Relief,
-    /// Others hold the rest of what it held.
+    /// The worker drops layers that others hold as well.
     Trim,
-    /// A further copy.
+    /// A further copy of layers that are already held.
     #[serde(rename = "stand_in")]
     ExtraCopy,
-    /// A copy of layers that have fewer than those it held.
+    /// A copy of layers that have fewer copies than those it held.
     #[serde(rename = "even")]
     Rebalance,
 }
 
-/// Layers that a worker is to hold.
+/// Layers assigned to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
     /// Engine.
@@ -68,7 +68,7 @@
     pub reason: LayoutReason,
 }
 
-/// The next assignments of a domain; empty if nothing needs to change.
+/// Returns the next assignments of a domain; empty if nothing needs to change.
 ///
 /// # Examples
 ///
@@ -94,51 +94,54 @@
 /// ```
 pub fn plan_layout(model: &LayeredModel, workers: &[Worker]) -> Vec<Assignment> {
     let short = workers.iter().any(|w| w.limited);
-    if let Some(plan) = short.then(|| beside(model, workers)).flatten() {
+    if let Some(plan) = short.then(|| avoid_limited(model, workers)).flatten() {
         return plan;
     }
     match workers.iter().any(|w| w.layers.count() > 0) {
-        false => fresh(model, workers),
+        false => initial(model, workers),
         true => {
             let mut layout = Layout::new(model, workers);
             let gaps = layer_gaps(model.layers, workers.iter().map(|w| w.layers));
-            let closed = gaps.iter().all(|gap| layout.close(*gap));
+            let closed = gaps.iter().all(|gap| layout.close_gap(*gap));
             match closed {
-                false if workers.iter().all(|w| w.assignable) => reorder(model, workers),
-                // What can be spared is kept for the gap until the others are done.
+                false if workers.iter().all(|w| w.assignable) => redistribute(model, workers),
+                // Spare workers are reserved for the gap until the busy ones are done.
                 false => layout.into_plan(),
-                true => settle(layout, &gaps),
+                true => finish(layout, &gaps),
             }
         }
     }
 }
 
-/// Assignments beside workers that take less than they are asked for: what these hold is held by others too, if those
-/// hold it already or workers that can be spared are enough. Nobody else is moved for a limit, which may be over
-/// before a domain's layers are dealt out anew.
-fn beside(model: &LayeredModel, workers: &[Worker]) -> Option<Vec<Assignment>> {
+/// Assigns the layers of rate-limited workers to others as well, if spare workers suffice.
+///
+/// None if they don't. No other worker is moved because of a limit, which may end before a
+/// redistribution of the domain's layers is complete.
+fn avoid_limited(model: &LayeredModel, workers: &[Worker]) -> Option<Vec<Assignment>> {
     let others: Vec<Worker> = workers.iter().filter(|w| !w.limited).cloned().collect();
     let gaps = layer_gaps(model.layers, others.iter().map(|w| w.layers));
     let mut layout = Layout::new(model, &others);
-    gaps.iter().all(|gap| layout.spare(*gap, ROOM_POOR)).then(|| settle(layout, &gaps))
+    gaps.iter()
+        .all(|gap| layout.close_with_spares(*gap, BUSY_MIN_TOKENS))
+        .then(|| finish(layout, &gaps))
 }
 
-/// The rest of a layout whose gaps are closed.
-fn settle(mut layout: Layout<'_>, gaps: &[LayerRange]) -> Vec<Assignment> {
+/// Completes a layout whose gaps are closed.
+fn finish(mut layout: Layout<'_>, gaps: &[LayerRange]) -> Vec<Assignment> {
     if gaps.is_empty() {
         layout.relieve();
     }
-    layout.stand_in();
+    layout.add_copies();
     if gaps.is_empty() {
-        layout.even_out();
+        layout.rebalance();
     }
     layout.into_plan()
 }
 
-/// Workers that requests run through by rule; the others are stand-ins.
+/// Workers that requests normally run through; the others are standbys.
 ///
-/// Every node comes to the same ones from the same list: those of one chain, and where the others hold
-/// further whole chains, of all these.
+/// Deterministic, so that all nodes with the same list agree: the workers of one chain, and of
+/// every further complete chain among the remaining workers.
 pub fn primaries<'a>(
     layers: u32,
     workers: impl Iterator<Item = (&'a Name, f64, LayerRange)>,
@@ -159,8 +162,8 @@
     }
 }
 
-/// From the first layer on, the fastest worker that holds the next layer, of these the one that holds
-/// most beyond it.
+/// Picks for each next layer the fastest worker that holds it; among equals the one that reaches
+/// furthest.
 fn primary_chain<'a>(layers: u32, workers: &[(&'a Name, f64, LayerRange)]) -> Vec<&'a Name> {
     let mut chain = Vec::new();
     let mut at = 0;
@@ -184,7 +187,7 @@
     chain
 }
 
-/// How many of these ranges hold each layer.
+/// Number of ranges that hold each layer.
 pub fn copy_counts(layers: u32, held: impl Iterator<Item = LayerRange>) -> Vec<usize> {
     let mut copies = vec![0; layers as usize];
     for range in held {
@@ -195,7 +198,7 @@
     copies
 }
 
-/// Layers that none of these ranges holds.
+/// Layers held by none of the ranges.
 pub fn layer_gaps(layers: u32, held: impl Iterator<Item = LayerRange>) -> Vec<LayerRange> {
     let mut held: Vec<LayerRange> = held.filter(|r| r.count() > 0).collect();
     held.sort_by_key(|r| r.first);
--- a/crates/policy/src/layout_deal.rs
+++ b/crates/policy/src/layout_deal.rs
@@ -1,41 +1,42 @@
-//! Layouts that deal out all layers: of workers that hold nothing, or in the order they hold now.
+//! Layouts of all layers: on empty workers, or in the order in which workers hold them now.
 
 use heathpitch_core::{LayerRange, LayeredModel};
 
-use crate::chain::HOP;
+use crate::chain::HOP_COST;
 use crate::layout_copies::copies_wanted;
 use crate::layout_repair::Layout;
 use crate::{Assignment, LayoutReason, Worker};
 
-/// Tokens of requests that a layout leaves room for if it can; twice what a domain of the users'
-/// sizes holds on average (measured: 88 000 give no preemption, 58 000 some).
-pub(crate) const ROOM_MOST: u32 = 150_000;
-/// Room below which spare workers are given up for more room.
-const ROOM_ENOUGH: u32 = 85_000;
-/// Room that is given up last, so that a domain with few workers still holds the model.
-const ROOM_LEAST: u32 = 5_000;
-/// Step between rooms tried.
-pub(crate) const ROOM_STEP: u32 = 5_000;
-/// Share of a domain's workers that are kept as stand-ins if there is room enough.
+/// Tokens that a layout reserves memory for if it can; twice the mean of typical domains. With
+/// 88 000 no request is preempted, with 58 000 some are.
+pub(crate) const MAX_TOKENS: u32 = 150_000;
+/// Token capacity below which spare workers are used to gain more.
+const ENOUGH_TOKENS: u32 = 85_000;
+/// Least token capacity planned for, so that a domain with few workers still holds the model.
+const MIN_TOKENS: u32 = 5_000;
+/// Step between token capacities tried.
+pub(crate) const TOKENS_STEP: u32 = 5_000;
+/// Share of a domain's workers kept as standbys if memory suffices.
 const SPARE_SHARE: f64 = 0.15;
-/// The same where every layer has two copies or more, and the loss of an engine opens no gap: 0.792 of a day's
-/// worth where 0.15 gave 0.779, by 15 days with losses of a fleet of 86 engines.
-const SPARE_SHARE_AMPLE: f64 = 0.05;
+/// The same where every layer has two copies or more, so that the loss of an engine opens no gap.
+/// A fleet of 86 engines reached 0.792 of a day's full score over 15 days with losses, and 0.779
+/// with a share of 0.15.
+const COPIED_SPARE_SHARE: f64 = 0.05;
 
-/// Workers that stay empty where every layer has two copies or more.
-pub(crate) fn spares_ample(workers: usize) -> usize {
-    (workers as f64 * SPARE_SHARE_AMPLE).ceil() as usize
+/// Number of workers that stay empty where every layer has two copies or more.
+pub(crate) fn copied_spares(workers: usize) -> usize {
+    (workers as f64 * COPIED_SPARE_SHARE).ceil() as usize
 }
 
-/// Deals all layers out anew in the order in which workers hold them now.
-pub(crate) fn reorder(model: &LayeredModel, workers: &[Worker]) -> Vec<Assignment> {
+/// Redistributes all layers in the order in which workers hold them now.
+pub(crate) fn redistribute(model: &LayeredModel, workers: &[Worker]) -> Vec<Assignment> {
     let mut order: Vec<&Worker> = workers.iter().collect();
     let place = |w: &Worker| (w.layers.count() == 0, w.layers.first, w.layers.end);
     order.sort_by(|a, b| place(a).cmp(&place(b)).then(a.engine.cmp(&b.engine)));
     let counts = |room: u32| -> Vec<u32> {
         order.iter().map(|w| model.fits(&w.card, f64::from(room))).collect()
     };
-    let mut rooms = (ROOM_LEAST..=ROOM_MOST).rev().step_by(ROOM_STEP as usize).map(counts);
+    let mut rooms = (MIN_TOKENS..=MAX_TOKENS).rev().step_by(TOKENS_STEP as usize).map(counts);
     let Some(mut counts) = rooms.find(|c| c.iter().sum::<u32>() >= model.layers) else {
         return Vec::new();
     };
@@ -61,28 +62,28 @@
     plan
 }
 
-/// A layout of workers that hold nothing.
-pub(crate) fn fresh(model: &LayeredModel, workers: &[Worker]) -> Vec<Assignment> {
+/// Layout of a domain whose workers hold no layers.
+pub(crate) fn initial(model: &LayeredModel, workers: &[Worker]) -> Vec<Assignment> {
     let mut order: Vec<&Worker> = workers.iter().filter(|w| w.assignable).collect();
     let speed = |w: &Worker| w.card.speed();
     order.sort_by(|a, b| speed(a).total_cmp(&speed(b)).then(a.engine.cmp(&b.engine)));
     let spares = (order.len() as f64 * SPARE_SHARE).ceil() as usize;
-    let rooms = |least: u32| (least..=ROOM_MOST).rev().step_by(ROOM_STEP as usize);
-    let ample = Layout::new(model, workers).is_ample();
+    let rooms = |least: u32| (least..=MAX_TOKENS).rev().step_by(TOKENS_STEP as usize);
+    let copied = Layout::new(model, workers).fits_copies();
     let best = |least: u32, spares: usize| {
         let mut covers = rooms(least).filter_map(|r| Some((r, cover(model, &order, r, spares)?)));
-        // Where there is memory for second copies, those need the fast cards' layers too.
-        if ample {
+        // If there is memory for second copies, those need the fast cards as well.
+        if copied {
             return covers.next();
         }
-        covers.max_by(|a, b| rate(model, &order, a).total_cmp(&rate(model, &order, b)))
+        covers.max_by(|a, b| throughput(model, &order, a).total_cmp(&throughput(model, &order, b)))
     };
-    let chosen = best(ROOM_ENOUGH, spares).or_else(|| best(ROOM_LEAST, 0));
+    let chosen = best(ENOUGH_TOKENS, spares).or_else(|| best(MIN_TOKENS, 0));
     let Some((_, mut plan)) = chosen else { return Vec::new() };
-    if ample {
-        fill_last(model, &order, &mut plan);
+    if copied {
+        extend_last(model, &order, &mut plan);
         let further_chains = copies_wanted(model, workers) - 1;
-        further(model, &order, spares_ample(order.len()), further_chains, &mut plan);
+        add_chains(model, &order, copied_spares(order.len()), further_chains, &mut plan);
     }
     let mut held: Vec<Worker> = workers.to_vec();
     for w in &mut held {
@@ -91,17 +92,19 @@
         }
     }
     let mut layout = Layout::new(model, &held);
-    layout.stand_in();
+    layout.add_copies();
     plan.extend(layout.into_plan());
     plan
 }
 
-/// Adds up to so many whole `chains` of workers that `plan` leaves, fastest first, while `spares` of them stay.
+/// Adds up to `chains` complete chains of workers not used by `plan`, fastest first, while
+/// `spares` workers remain.
 ///
-/// Memory for requests is what a fleet lacks first. A fleet of 86 engines laid out once in each of three failure
-/// domains, with second copies that stood by, was full with its usual traffic; with further chains it serves
-/// twice that (0.569 to 0.779 of a day's worth, by 15 days with losses).
-fn further(
+/// Memory for requests is the first bottleneck of a fleet. A fleet of 86 engines with one chain in
+/// each of three failure domains and idle second copies was full at its usual traffic. With
+/// further chains it serves twice that (0.569 to 0.779 of a day's full score over 15 days with
+/// losses).
+fn add_chains(
     model: &LayeredModel,
     order: &[&Worker],
     spares: usize,
@@ -111,38 +114,42 @@
     let within = |chain: &[Assignment], w: &Worker| chain.iter().any(|a| a.engine == w.engine);
     let mut left: Vec<&Worker> = order.iter().copied().filter(|w| !within(plan, w)).collect();
     for _ in 0..chains {
-        let Some(mut chain) = cover(model, &left, ROOM_MOST, spares) else { return };
-        fill_last(model, &left, &mut chain);
+        let Some(mut chain) = cover(model, &left, MAX_TOKENS, spares) else { return };
+        extend_last(model, &left, &mut chain);
         left.retain(|w| !within(&chain, w));
         plan.extend(chain);
     }
 }
 
-/// Has the last worker of a chain hold as many layers as leave room, where the chain needs only a few of it:
-/// further copies of the chain's last layers for nothing.
-fn fill_last(model: &LayeredModel, workers: &[&Worker], chain: &mut [Assignment]) {
+/// Extends the range of a chain's last worker towards the front as far as memory allows, which
+/// adds copies of the preceding layers at no cost.
+fn extend_last(model: &LayeredModel, workers: &[&Worker], chain: &mut [Assignment]) {
     let Some(last) = chain.last_mut() else { return };
     let Some(w) = workers.iter().find(|w| w.engine == last.engine) else { return };
-    let most = model.fits(&w.card, f64::from(ROOM_MOST)).max(last.layers.count());
+    let most = model.fits(&w.card, f64::from(MAX_TOKENS)).max(last.layers.count());
     last.layers.first = last.layers.end.saturating_sub(most);
 }
 
-/// Tokens that a layout with so much room makes a millisecond, all its room taken.
+/// Tokens that a full layout generates per millisecond.
 ///
-/// Room alone is worth little: requests share it for as long as their steps take, which are longer the
-/// more of them share it and the slower the cards that hold layers. With 150 000 tokens of room and a
-/// third of the layers on the slowest cards, requests stayed 4.6 s in place of 2.6 s with 85 000.
-fn rate(model: &LayeredModel, workers: &[&Worker], (room, plan): &(u32, Vec<Assignment>)) -> f64 {
+/// Token capacity alone is a poor measure: steps take longer the more requests share the memory and
+/// the slower the cards are. With a capacity of 150 000 tokens and a third of the layers on the
+/// slowest cards, requests took 4.6 s instead of 2.6 s with 85 000.
+fn throughput(
+    model: &LayeredModel,
+    workers: &[&Worker],
+    (room, plan): &(u32, Vec<Assignment>),
+) -> f64 {
     let room = f64::from(*room);
     let step = model.step_with(room);
     let part = |a: &Assignment| {
         let pace = workers.iter().find(|w| w.engine == a.engine).map_or(1.0, |w| w.card.pace);
-        HOP + step * pace * f64::from(a.layers.count()) / f64::from(model.layers.max(1))
+        HOP_COST + step * pace * f64::from(a.layers.count()) / f64::from(model.layers.max(1))
     };
     room / model.usual_tokens().max(1.0) / plan.iter().map(part).sum::<f64>()
 }
 
-/// Covers the model with the first workers of `order`, leaving `spares` of them.
+/// Covers the model with the first workers of `order`, leaving out the last `spares`.
 fn cover(
     model: &LayeredModel,
     order: &[&Worker],
--- a/crates/policy/src/layout_repair.rs
+++ b/crates/policy/src/layout_repair.rs
@@ -1,43 +1,43 @@
-//! Repairs of a layout: gaps closed with few moves, workers relieved.
+//! Repairs of a layout: closes gaps with few moves and takes layers off overloaded workers.
 
 use heathpitch_core::{LayerRange, LayeredModel};
 
-use crate::layout_deal::{ROOM_MOST, ROOM_STEP};
+use crate::layout_deal::{MAX_TOKENS, TOKENS_STEP};
 use crate::{Assignment, LayoutReason, Worker, layer_gaps, primaries};
 
-/// Room left by workers that take over layers of others, if possible, in a domain without memory
-/// for two copies.
-const ROOM_REPAIR: u32 = 70_000;
-/// Copies of the model for which a domain has to have memory beside more room than that: two, and
-/// a few workers that stay empty.
-const COPIES: f64 = 2.2;
-/// Room that is put up with while other workers are still busy.
-pub(crate) const ROOM_POOR: u32 = 20_000;
-/// Layers that one worker loads if others can share: about a second's load at the users' sizes.
-const LOAD_MOST: u32 = 7;
-/// Share of the room wanted below which a worker is relieved by one that can be spared.
-const TIGHT: f64 = 0.9;
-/// Room below which taking over layers is worse than dealing all out anew; about what a domain of
-/// the users' sizes holds on average.
-const ROOM_FLOOR: u32 = 50_000;
-
-/// A layout under repair.
+/// Token capacity that repairs leave, if possible, in a domain without memory for two copies.
+const REPAIR_TOKENS: u32 = 70_000;
+/// Copies of the model that must fit into a domain's memory for repairs to leave more than that:
+/// two, and a few workers that stay empty.
+const COPIES_FIT: f64 = 2.2;
+/// Least token capacity that repairs leave while other workers are busy.
+pub(crate) const BUSY_MIN_TOKENS: u32 = 20_000;
+/// Layers that one worker loads if others can share the work: about a second of loading at typical
+/// sizes.
+const MAX_LOAD_LAYERS: u32 = 7;
+/// Share of the target token capacity below which a worker counts as overloaded.
+const OVERLOADED_SHARE: f64 = 0.9;
+/// Token capacity below which redistributing all layers is better than a repair; about the mean
+/// number of tokens held in a typical domain.
+const REPAIR_MIN_TOKENS: u32 = 50_000;
+
+/// A layout while it is repaired.
 pub(crate) struct Layout<'a> {
     pub(crate) model: &'a LayeredModel,
     pub(crate) workers: Vec<Worker>,
-    /// Room that takers and stand-ins leave, if possible.
-    wanted: u32,
+    /// Token capacity that assignments leave, if possible.
+    token_target: u32,
     plan: Vec<Assignment>,
 }
 
-/// A worker that can be spared, and how many layers it may take.
+/// A worker whose layers are not needed, and how many layers it can take.
 #[derive(Clone, Copy)]
-struct Taker {
+struct Spare {
     index: usize,
-    most: u32,
+    max_layers: u32,
 }
 
-/// A worker and the part of the model that it holds for its domain.
+/// A worker and the part of its layers that a shift relies on.
 #[derive(Clone, Copy)]
 struct Holder {
     index: usize,
@@ -51,23 +51,23 @@
     After,
 }
 
-/// How a gap is closed: holders on both sides, nearest first, with the layers that each takes
-/// more, and workers that can be spared.
+/// How a gap is closed: holders on both sides, nearest first, with the number of layers that each
+/// adds, and spare workers.
 struct Shift {
     before: Vec<(Holder, u32)>,
-    takers: Vec<Taker>,
+    spares: Vec<Spare>,
     after: Vec<(Holder, u32)>,
 }
 
 /// # Construction
 impl<'a> Layout<'a> {
-    /// A layout as workers hold it.
+    /// The layout that workers currently hold.
     pub(crate) fn new(model: &'a LayeredModel, workers: &[Worker]) -> Self {
-        let wanted = wanted(model, workers);
-        Self { model, workers: workers.to_vec(), wanted, plan: Vec::new() }
+        let token_target = token_target(model, workers);
+        Self { model, workers: workers.to_vec(), token_target, plan: Vec::new() }
     }
 
-    /// Assignments made.
+    /// Returns the assignments made.
     pub(crate) fn into_plan(self) -> Vec<Assignment> {
         self.plan
     }
@@ -75,20 +75,21 @@
 
 /// # Steps
 impl Layout<'_> {
-    /// Closes a gap with as much room left as possible; false if that left too little.
+    /// Closes a gap with as much token capacity left as possible; false if that would leave too
+    /// little.
     ///
-    /// Workers that can be spared come first; then those that hold the layers next to the gap take
-    /// more, nearest first, each handing layers on to the next one if that is not enough.
-    pub(crate) fn close(&mut self, gap: LayerRange) -> bool {
+    /// Spare workers are used first. Then workers with layers next to the gap take more, nearest
+    /// first, each passing layers on to its neighbor if that is not enough.
+    pub(crate) fn close_gap(&mut self, gap: LayerRange) -> bool {
         let busy = self.workers.iter().any(|w| !w.assignable);
-        let least = if busy { ROOM_POOR } else { ROOM_FLOOR };
-        if self.spare(gap, least) {
+        let least = if busy { BUSY_MIN_TOKENS } else { REPAIR_MIN_TOKENS };
+        if self.close_with_spares(gap, least) {
             return true;
         }
         for room in self.rooms(least) {
             for reach in 1..=self.workers.len() {
                 if let Some(shift) = self.shift(gap, reach, room) {
-                    self.carry_out(gap, &shift);
+                    self.apply_shift(gap, &shift);
                     return true;
                 }
             }
@@ -96,28 +97,28 @@
         false
     }
 
-    /// Closes a gap by workers that can be spared alone; false if they are not enough, though they leave no more room
-    /// than `least`.
-    pub(crate) fn spare(&mut self, gap: LayerRange, least: u32) -> bool {
-        let takers = self.rooms(least).map(|r| self.dispensable(r)).find(|t| enough(t, gap));
-        let Some(takers) = takers else { return false };
-        self.share_out(gap, &few(takers, gap));
+    /// Closes a gap with spare workers alone; false if they are not enough even at a token capacity
+    /// of `least`.
+    pub(crate) fn close_with_spares(&mut self, gap: LayerRange, least: u32) -> bool {
+        let spares = self.rooms(least).map(|r| self.spare_workers(r)).find(|t| enough(t, gap));
+        let Some(spares) = spares else { return false };
+        self.fill_gap(gap, &fewest_spares(spares, gap));
         true
     }
 
-    /// Rooms to be tried, down to `least`.
+    /// Token capacities to try, down to `least`.
     fn rooms(&self, least: u32) -> impl Iterator<Item = u32> + use<> {
-        (least..=self.wanted).rev().step_by(ROOM_STEP as usize)
+        (least..=self.token_target).rev().step_by(TOKENS_STEP as usize)
     }
 
-    /// How workers within `reach` of a gap close it, if they can.
+    /// How spare workers and up to `reach` holders on each side close a gap, if they can.
     fn shift(&self, gap: LayerRange, reach: usize, room: u32) -> Option<Shift> {
-        let takers = self.dispensable(room);
-        let before = self.holders(gap.first, Side::Before, &takers);
-        let after = self.holders(gap.end, Side::After, &takers);
+        let spares = self.spare_workers(room);
+        let before = self.holders(gap.first, Side::Before, &spares);
+        let after = self.holders(gap.end, Side::After, &spares);
         let (before, after) =
             (&before[..reach.min(before.len())], &after[..reach.min(after.len())]);
-        let mut missing = gap.count().saturating_sub(takers.iter().map(|t| t.most).sum());
+        let mut missing = gap.count().saturating_sub(spares.iter().map(|t| t.max_layers).sum());
         let mut more = |holders: &[Holder]| -> Vec<(Holder, u32)> {
             let take = |h: &Holder| {
                 let w = &self.workers[h.index];
@@ -130,16 +131,16 @@
             holders.iter().map(take).collect()
         };
         let (before, after) = (more(before), more(after));
-        (missing == 0).then_some(Shift { before, takers, after })
+        (missing == 0).then_some(Shift { before, spares, after })
     }
 
-    /// Workers that hold the layers on one side of a gap, nearest first, each with its own part.
-    fn holders(&self, edge: u32, side: Side, spared: &[Taker]) -> Vec<Holder> {
+    /// Workers that hold the layers on one side of a gap, nearest first, without overlap.
+    fn holders(&self, edge: u32, side: Side, excluded: &[Spare]) -> Vec<Holder> {
         let mut holders = Vec::new();
         let mut edge = edge;
         loop {
             let next = self.workers.iter().enumerate().filter_map(|(index, w)| {
-                let spared = spared.iter().any(|t| t.index == index);
+                let excluded = excluded.iter().any(|t| t.index == index);
                 let l = w.layers;
                 let part = match side {
                     Side::Before if l.first < edge && edge <= l.end => {
@@ -148,7 +149,7 @@
                     Side::After if l.first <= edge && edge < l.end => LayerRange::new(edge, l.end),
                     _ => return None,
                 };
-                (!spared).then_some(Holder { index, part })
+                (!excluded).then_some(Holder { index, part })
             });
             let Some(holder) = next.max_by_key(|h| h.part.count()) else { return holders };
             edge = if side == Side::Before { holder.part.first } else { holder.part.end };
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Assigns the ranges of a shift, from its outer ends to the gap.
-    fn carry_out(&mut self, gap: LayerRange, shift: &Shift) {
+    /// Assigns the ranges of a shift, from the outer ends towards the gap.
+    fn apply_shift(&mut self, gap: LayerRange, shift: &Shift) {
         let (mut first, mut end) = (gap.first, gap.end);
         let mut pushed = 0;
         for (holder, extra) in shift.before.iter().rev() {
@@ -165,7 +166,7 @@
                 LayerRange::new(holder.part.first + pushed, holder.part.end + pushed + extra);
             pushed += extra;
             first = layers.end;
-            self.move_to(holder.index, layers, pushed);
+            self.assign_shifted(holder.index, layers, pushed);
         }
         pushed = 0;
         for (holder, extra) in shift.after.iter().rev() {
@@ -173,49 +174,53 @@
                 LayerRange::new(holder.part.first - pushed - extra, holder.part.end - pushed);
             pushed += extra;
             end = layers.first;
-            self.move_to(holder.index, layers, pushed);
+            self.assign_shifted(holder.index, layers, pushed);
         }
         if end > first {
-            self.share_out(LayerRange::new(first, end), &shift.takers);
+            self.fill_gap(LayerRange::new(first, end), &shift.spares);
         }
     }
 
-    /// Assigns a shifted range, unless nothing is shifted.
-    fn move_to(&mut self, index: usize, layers: LayerRange, pushed: u32) {
+    /// Assigns a shifted range, unless the shift is empty.
+    fn assign_shifted(&mut self, index: usize, layers: LayerRange, pushed: u32) {
         if pushed > 0 {
             self.assign(index, layers, LayoutReason::Gap);
         }
     }
 
-    /// Takes layers off workers that hold too much.
+    /// Takes layers off overloaded workers.
     pub(crate) fn relieve(&mut self) {
-        let tight = |w: &&Worker| {
-            w.assignable && w.layers.count() > 0 && self.room(w, w.layers) < self.tight()
+        let overloaded = |w: &&Worker| {
+            w.assignable
+                && w.layers.count() > 0
+                && self.room(w, w.layers) < self.overloaded_tokens()
         };
-        let tight: Vec<usize> =
-            (0..self.workers.len()).filter(|i| tight(&&self.workers[*i])).collect();
-        for index in tight {
+        let overloaded: Vec<usize> =
+            (0..self.workers.len()).filter(|i| overloaded(&&self.workers[*i])).collect();
+        for index in overloaded {
             if !self.trim(index) {
-                self.relief(index);
+                self.hand_over(index);
             }
         }
     }
 
-    /// Gives up what others hold as well; false if that is nothing.
+    /// Drops layers that others hold as well; false if there are none.
     fn trim(&mut self, index: usize) -> bool {
         let held = self.workers[index].layers;
-        let others =
-            self.workers.iter().enumerate().filter(|(i, w)| {
-                *i != index && w.assignable && self.room(w, w.layers) >= self.tight()
-            });
+        let others = self.workers.iter().enumerate().filter(|(i, w)| {
+            *i != index && w.assignable && self.room(w, w.layers) >= self.overloaded_tokens()
+        });
         let others: Vec<LayerRange> = others.map(|(_, w)| w.layers).collect();
         let alone = |l: &u32| !others.iter().any(|o| (o.first..o.end).contains(l));
         let first = (held.first..held.end).find(alone);
         let last = (held.first..held.end).rev().find(alone);
         let layers = match (first, last) {
             (Some(first), Some(last)) => LayerRange::new(first, last + 1),
-            // A stand-in for layers that others hold: it keeps as many as leave room.
-            _ => LayerRange::new(held.first, held.first + self.most(index).clamp(1, held.count())),
+            // All its layers are held by others: it keeps as many as leave enough token capacity.
+            _ => LayerRange::new(
+                held.first,
+                held.first + self.max_layers(index).clamp(1, held.count()),
+            ),
         };
         if layers == held {
             return false;
@@ -224,42 +229,42 @@
         true
     }
 
-    /// Has a worker that can be spared hold the last layers of one that holds too much.
-    fn relief(&mut self, index: usize) {
+    /// Hands the last layers of an overloaded worker over to a spare one.
+    fn hand_over(&mut self, index: usize) {
         let held = self.workers[index].layers;
-        let over = held.count().saturating_sub(self.most(index).max(1));
-        let spared = self.dispensable(self.wanted).into_iter().filter(|t| t.index != index);
-        let Some(taker) = spared.max_by_key(|t| t.most.min(over)) else { return };
-        let count = taker.most.min(over);
+        let over = held.count().saturating_sub(self.max_layers(index).max(1));
+        let spares = self.spare_workers(self.token_target).into_iter().filter(|t| t.index != index);
+        let Some(spare) = spares.max_by_key(|t| t.max_layers.min(over)) else { return };
+        let count = spare.max_layers.min(over);
         if count > 0 {
             let layers = LayerRange::new(held.end - count, held.end);
-            self.assign(taker.index, layers, LayoutReason::Relief);
+            self.assign(spare.index, layers, LayoutReason::Relief);
         }
     }
 
-    /// Most layers that a worker holds beside the room wanted.
-    pub(crate) fn most(&self, index: usize) -> u32 {
-        self.model.fits(&self.workers[index].card, f64::from(self.wanted))
+    /// Most layers that a worker can hold with the target token capacity.
+    pub(crate) fn max_layers(&self, index: usize) -> u32 {
+        self.model.fits(&self.workers[index].card, f64::from(self.token_target))
     }
 
-    /// Whether the domain has memory for two copies beside more room than repairs leave.
-    pub(crate) fn is_ample(&self) -> bool {
-        self.wanted > ROOM_REPAIR
+    /// Whether the domain has memory for two copies with more token capacity than repairs leave.
+    pub(crate) fn fits_copies(&self) -> bool {
+        self.token_target > REPAIR_TOKENS
     }
 
-    /// Room below which a worker holds too much.
-    fn tight(&self) -> f64 {
-        f64::from(self.wanted) * TIGHT
+    /// Token capacity below which a worker is overloaded.
+    fn overloaded_tokens(&self) -> f64 {
+        f64::from(self.token_target) * OVERLOADED_SHARE
     }
 
     fn room(&self, w: &Worker, layers: LayerRange) -> f64 {
         self.model.room(&w.card, layers.count())
     }
 
-    /// Workers that hold nothing, or only what the others hold as well.
-    fn dispensable(&self, room: u32) -> Vec<Taker> {
+    /// Workers that hold no layers, or only layers that others hold as well.
+    fn spare_workers(&self, room: u32) -> Vec<Spare> {
         let mut left = self.workers.clone();
-        let mut takers = Vec::new();
+        let mut spares = Vec::new();
         let held = self.workers.iter().map(|w| (&w.engine, w.card.pace, w.layers));
         let primaries = primaries(self.model.layers, held);
         let main = |w: &Worker| primaries.contains(&&w.engine);
@@ -268,22 +273,22 @@
         order.sort_by_key(|i| (rank(&self.workers[*i]), *i));
         for index in order {
             let w = &self.workers[index];
-            let most = self.model.fits(&w.card, f64::from(room));
-            if w.assignable && most > 0 && redundant(&left, index) {
+            let max_layers = self.model.fits(&w.card, f64::from(room));
+            if w.assignable && max_layers > 0 && is_redundant(&left, index) {
                 left[index].layers = LayerRange::new(0, 0);
-                takers.push(Taker { index, most });
+                spares.push(Spare { index, max_layers });
             }
         }
-        takers
+        spares
     }
 
-    /// Splits a gap so that the longest load is as short as possible.
-    fn share_out(&mut self, gap: LayerRange, takers: &[Taker]) {
-        let parts = split_evenly(takers, gap.count());
+    /// Splits a gap between spare workers so that the longest load is as short as possible.
+    fn fill_gap(&mut self, gap: LayerRange, spares: &[Spare]) {
+        let parts = split_evenly(spares, gap.count());
         let mut at = gap.first;
-        for (taker, count) in takers.iter().zip(parts) {
+        for (spare, count) in spares.iter().zip(parts) {
             if count > 0 {
-                self.assign(taker.index, LayerRange::new(at, at + count), LayoutReason::Gap);
+                self.assign(spare.index, LayerRange::new(at, at + count), LayoutReason::Gap);
                 at += count;
             }
         }
@@ -297,49 +302,49 @@
     }
 }
 
-/// Room that a domain's workers should leave: the most with which all of them together have memory
-/// for two copies and more.
-fn wanted(model: &LayeredModel, workers: &[Worker]) -> u32 {
+/// Target token capacity: the largest with which the domain's workers together have memory for two
+/// copies and a few empty workers.
+fn token_target(model: &LayeredModel, workers: &[Worker]) -> u32 {
     let copies = |room: u32| -> f64 {
         let fits = workers.iter().map(|w| model.fits(&w.card, f64::from(room)));
         f64::from(fits.sum::<u32>()) / f64::from(model.layers.max(1))
     };
-    let mut rooms = (ROOM_REPAIR..=ROOM_MOST).rev().step_by(ROOM_STEP as usize);
-    rooms.find(|r| copies(*r) >= COPIES).unwrap_or(ROOM_REPAIR)
+    let mut rooms = (REPAIR_TOKENS..=MAX_TOKENS).rev().step_by(TOKENS_STEP as usize);
+    rooms.find(|r| copies(*r) >= COPIES_FIT).unwrap_or(REPAIR_TOKENS)
 }
 
-/// As few workers as close a gap with loads that are not long.
-fn few(takers: Vec<Taker>, gap: LayerRange) -> Vec<Taker> {
+/// The fewest spare workers that close a gap with short loads.
+fn fewest_spares(spares: Vec<Spare>, gap: LayerRange) -> Vec<Spare> {
     let mut held = 0;
-    let wanted = |t: &Taker| {
+    let wanted = |t: &Spare| {
         let open = held < gap.count();
-        held += t.most.min(LOAD_MOST);
+        held += t.max_layers.min(MAX_LOAD_LAYERS);
         open
     };
-    let mut takers = takers;
-    let few: Vec<Taker> = takers.iter().copied().take_while(wanted).collect();
-    if enough(&few, gap) { few } else { std::mem::take(&mut takers) }
+    let mut spares = spares;
+    let few: Vec<Spare> = spares.iter().copied().take_while(wanted).collect();
+    if enough(&few, gap) { few } else { std::mem::take(&mut spares) }
 }
 
-fn enough(takers: &[Taker], gap: LayerRange) -> bool {
-    takers.iter().map(|t| t.most).sum::<u32>() >= gap.count()
+fn enough(spares: &[Spare], gap: LayerRange) -> bool {
+    spares.iter().map(|t| t.max_layers).sum::<u32>() >= gap.count()
 }
 
-/// Whether the others hold all that a worker holds.
-fn redundant(workers: &[Worker], index: usize) -> bool {
+/// Whether other workers hold all layers of a worker.
+fn is_redundant(workers: &[Worker], index: usize) -> bool {
     let held = workers[index].layers;
     let others = workers.iter().enumerate().filter(|(i, _)| *i != index).map(|(_, w)| w.layers);
     let gaps = layer_gaps(held.end, others);
     gaps.iter().all(|g| g.end <= held.first)
 }
 
-/// Shares of `total` for each taker, the largest as small as their bounds allow.
-fn split_evenly(takers: &[Taker], total: u32) -> Vec<u32> {
-    let mut parts = vec![0; takers.len()];
+/// Splits `total` between spare workers as evenly as their bounds allow.
+fn split_evenly(spares: &[Spare], total: u32) -> Vec<u32> {
+    let mut parts = vec![0; spares.len()];
     let mut left = total;
     while left > 0 {
-        let open = |i: &usize| parts[*i] < takers[*i].most;
-        let Some(next) = (0..takers.len()).filter(open).min_by_key(|i| parts[*i]) else { break };
+        let open = |i: &usize| parts[*i] < spares[*i].max_layers;
+        let Some(next) = (0..spares.len()).filter(open).min_by_key(|i| parts[*i]) else { break };
         parts[next] += 1;
         left -= 1;
     }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,8 +1,8 @@
 //! Placement: which engine of a failure domain holds which layers of which model.
 //!
-//! A plan changes as little as it can. Models that no path runs through come first, then idle
-//! engines are given to whatever is most in need, then at most one engine is moved from plenty to
-//! need.
+//! A plan changes as little as possible. It first covers models that lack layers, then assigns
+//! idle engines to the models with the least capacity per demand, then moves at most one engine
+//! from the model with the most to the one with the least.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +10,8 @@
 
 use crate::{Capable, split};
 
-/// How many times better off a model must be to give an engine to another.
-const PLENTY: f64 = 3.0;
+/// Ratio of headroom between two models from which an engine is moved.
+const BALANCE_RATIO: f64 = 3.0;
 
 /// Layers of a model on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,27 +35,27 @@
     pub layer: u64,
     /// Time an activation takes to the next stage, microseconds.
     pub link: u64,
-    /// What it holds, or is loading.
+    /// Layers that it holds or is loading.
     pub holding: Option<LoadedLayers>,
 }
 
-/// A model and how much it is asked for, in any unit that all models share.
+/// A model and its demand, in any unit that all models share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelDemand {
     /// Model.
     pub model: Model,
     /// Demand, above 0.
     pub demand: f64,
-    /// Engines that routes admit for it; none means all.
+    /// Engines that routes allow for it; none means all.
     pub allowed: Option<BTreeSet<Name>>,
 }
 
-/// One engine that is to hold other layers.
+/// An engine that is to load other layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// Engine.
     pub engine: Name,
-    /// What it is to hold.
+    /// Layers to hold.
     pub holding: LoadedLayers,
     /// Weights to load, megabytes.
     pub megabytes: u64,
@@ -63,15 +63,15 @@
     pub reason: MoveReason,
 }
 
-/// Why an engine is to hold other layers.
+/// Why an engine is to load other layers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MoveReason {
-    /// No path ran through the model.
+    /// Some layers of the model were held by no engine.
     Uncovered,
-    /// The engine was idle and the model most in need.
+    /// The engine was idle and the model had the least capacity for its demand.
     Idle,
-    /// Another model had plenty.
+    /// Another model had much more capacity for its demand.
     Balance,
 }
 
@@ -111,19 +111,19 @@
 
 /// # Steps
 impl Planner<'_> {
-    /// Closes the gaps of models that no path runs through, the most wanted first.
+    /// Closes the gaps of models that lack layers, in order of demand.
     fn cover(&mut self) {
         let mut order: Vec<&ModelDemand> = self.wanted.iter().collect();
         order.sort_by(|a, b| b.demand.total_cmp(&a.demand).then(a.model.name.cmp(&b.model.name)));
         for w in order {
             for gap in model_gaps(&self.engines, &w.model) {
-                self.close(w, gap);
+                self.close_gap(w, gap);
             }
         }
     }
 
-    /// Closes a gap with idle engines; if they do not hold it, with spare ones as well.
-    fn close(&mut self, w: &ModelDemand, gap: LayerRange) {
+    /// Closes a gap with idle engines; if they are not enough, with spare ones as well.
+    fn close_gap(&mut self, w: &ModelDemand, gap: LayerRange) {
         let mut usable: Vec<usize> = self.idle().collect();
         loop {
             let capable: Vec<Capable> =
@@ -137,14 +137,14 @@
                 }
                 return;
             }
-            match self.spare(&usable, w) {
+            match self.next_spare(&usable, w) {
                 Some(next) => usable.push(next),
                 None => return,
             }
         }
     }
 
-    /// Gives idle engines to the weakest layers of whatever model is most in need.
+    /// Assigns idle engines to the layers with the least capacity of the model with the least headroom.
     fn use_idle(&mut self) {
         loop {
             let idle: Vec<usize> = self.idle().collect();
@@ -156,7 +156,7 @@
                 .wanted
                 .iter()
                 .filter(served)
-                .min_by(|a, b| self.plenty(a).total_cmp(&self.plenty(b)))
+                .min_by(|a, b| self.headroom(a).total_cmp(&self.headroom(b)))
             else {
                 return;
             };
@@ -165,22 +165,22 @@
             let fastest = idle.into_iter().filter(fits).min_by_key(|i| self.engines[*i].layer);
             let Some(at) = fastest else { return };
             let room = capable(&self.engines[at], w).room;
-            let layers = self.weakest(model, room);
+            let layers = self.least_served(model, room);
             let engine = self.engines[at].engine.clone();
             self.place(&engine, model, layers, MoveReason::Idle);
         }
     }
 
-    /// Moves one engine from a model with plenty to the one most in need.
+    /// Moves one engine from the model with the most headroom to the one with the least.
     fn balance(&mut self) {
-        let by_plenty =
-            |a: &&ModelDemand, b: &&ModelDemand| self.plenty(a).total_cmp(&self.plenty(b));
+        let by_headroom =
+            |a: &&ModelDemand, b: &&ModelDemand| self.headroom(a).total_cmp(&self.headroom(b));
         let (Some(poor), Some(rich)) =
-            (self.wanted.iter().min_by(by_plenty), self.wanted.iter().max_by(by_plenty))
+            (self.wanted.iter().min_by(by_headroom), self.wanted.iter().max_by(by_headroom))
         else {
             return;
         };
-        if self.plenty(rich) < self.plenty(poor) * PLENTY {
+        if self.headroom(rich) < self.headroom(poor) * BALANCE_RATIO {
             return;
         }
         let model = &poor.model;
@@ -191,13 +191,13 @@
         };
         let Some(at) = (0..self.engines.len()).find(gives) else { return };
         let room = capable(&self.engines[at], poor).room;
-        let layers = self.weakest(model, room);
+        let layers = self.least_served(model, room);
         let engine = self.engines[at].engine.clone();
         self.place(&engine, model, layers, MoveReason::Balance);
     }
 }
 
-/// # Looking
+/// # Queries
 impl Planner<'_> {
     fn idle(&self) -> impl Iterator<Item = usize> {
         (0..self.engines.len()).filter(|i| self.is_idle(&self.engines[*i]))
@@ -210,11 +210,11 @@
     }
 
     /// An engine whose model keeps a path without it, of the model with most plenty.
-    fn spare(&self, taken: &[usize], w: &ModelDemand) -> Option<usize> {
+    fn next_spare(&self, taken: &[usize], w: &ModelDemand) -> Option<usize> {
         let plenty = |i: &usize| {
             let name = self.engines[*i].holding.as_ref().map(|h| &h.model);
             let of = self.wanted.iter().find(|w| Some(&w.model.name) == name);
-            of.map_or(f64::INFINITY, |w| self.plenty(w))
+            of.map_or(f64::INFINITY, |w| self.headroom(w))
         };
         let free = |i: &usize| {
             !taken.contains(i) && capable(&self.engines[*i], w).room > 0 && self.can_spare(*i)
@@ -233,14 +233,14 @@
         model_gaps(&without, &w.model) == model_gaps(&self.engines, &w.model)
     }
 
-    /// Steps per second that the weakest layer of a model can run, by its demand.
-    fn plenty(&self, w: &ModelDemand) -> f64 {
+    /// Steps per second that the layer with the least capacity can run, divided by demand.
+    fn headroom(&self, w: &ModelDemand) -> f64 {
         let layers = 0..w.model.layers;
-        let least = layers.map(|l| self.strength(&w.model, l)).min_by(f64::total_cmp);
+        let least = layers.map(|l| self.capacity(&w.model, l)).min_by(f64::total_cmp);
         least.unwrap_or(0.0) / w.demand.max(f64::MIN_POSITIVE)
     }
 
-    fn strength(&self, model: &Model, layer: u32) -> f64 {
+    fn capacity(&self, model: &Model, layer: u32) -> f64 {
         let holds = |h: &&LoadedLayers| holds_layer(h, model, layer);
         let time = |e: &PlacementEngine, h: &LoadedLayers| {
             u64::from(h.layers.count()) * e.layer.max(1) + e.link
@@ -251,11 +251,11 @@
         self.engines.iter().filter_map(of).sum()
     }
 
-    /// The weakest layers of a model, at most `room` of them; the range of a stage if it fits.
-    fn weakest(&self, model: &Model, room: u32) -> LayerRange {
-        let strength = |l: &u32| self.strength(model, *l);
+    /// The layers with the least capacity, at most `room` of them; the range of a stage if it fits.
+    fn least_served(&self, model: &Model, room: u32) -> LayerRange {
+        let capacity = |l: &u32| self.capacity(model, *l);
         let layer =
-            (0..model.layers).min_by(|a, b| strength(a).total_cmp(&strength(b))).unwrap_or(0);
+            (0..model.layers).min_by(|a, b| capacity(a).total_cmp(&capacity(b))).unwrap_or(0);
         let stages = self.engines.iter().filter_map(|e| e.holding.as_ref());
         let around = stages.filter(|h| holds_layer(h, model, layer)).map(|h| h.layers);
         let smallest = around.min_by_key(|l| l.count());
--- a/crates/policy/src/shared_polling.rs
+++ b/crates/policy/src/shared_polling.rs
@@ -1,15 +1,15 @@
 //! Sharing of polls among the nodes of a failure domain.
 //!
-//! Each node waits in proportion to the number of nodes alive beside it, so that together they
-//! poll a target at a fixed rate whatever their number. Nothing is elected: a node that sees no
-//! peers polls as often as all of them would.
+//! Each node's interval is proportional to the number of live nodes, so that together they poll a
+//! target at a fixed rate. No leader is needed: a node that sees no peers polls as often as all
+//! nodes together would.
 
 use heathpitch_core::Millis;
 use rand::Rng;
 
-/// Polls of all nodes together per period.
-const POLLS: u64 = 2;
-/// Longest wait, in periods.
+/// Polls of all nodes together in a period.
+const POLLS_PER_PERIOD: u64 = 2;
+/// Longest interval, in periods.
 const MAX_PERIODS: u64 = 120;
 
 /// How often one node polls a target that all nodes of its failure domain share.
@@ -30,14 +30,14 @@
 }
 
 impl SharedPolling {
-    /// A shared_polling of two polls per `period` over all nodes.
+    /// Two polls per `period` over all nodes.
     pub fn new(period: Millis) -> Self {
         Self { period }
     }
 
-    /// Time until this node's next poll, with `nodes` alive, itself among them.
+    /// Randomized time until this node's next poll, with `nodes` alive including itself.
     pub fn next_wait(self, nodes: usize, rng: &mut impl Rng) -> Millis {
-        let mean = self.period * (nodes.max(1) as u64) / POLLS;
+        let mean = self.period * (nodes.max(1) as u64) / POLLS_PER_PERIOD;
         let mean = mean.clamp(1, self.period * MAX_PERIODS);
         rng.random_range(mean / 2..=mean + mean / 2)
     }
