--- a/crates/policy/src/account_limiter.rs
+++ b/crates/policy/src/account_limiter.rs
@@ -11,7 +11,7 @@
 /// Accounts tracked before idle ones are evicted.
 const MAX_ACCOUNTS: usize = 20_000;
 /// Retry time given to an account with too many open streams.
-const STREAMS_RETRY_MS: Millis = 1_000;
+const RETRY_MS: Millis = 1_000;
 
 /// An account exceeds a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -31,10 +31,10 @@
 }
 
 #[derive(Clone, Debug)]
-struct Use {
+struct Usage {
     bucket: Option<Bucket>,
     open: u32,
-    used: Millis,
+    last_used: Millis,
 }
 
 /// Limits the request rate and the open requests of each account.
@@ -56,7 +56,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct AccountLimiter {
-    uses: HashMap<Name, Use>,
+    usage: HashMap<Name, Usage>,
 }
 
 impl AccountLimiter {
@@ -77,39 +77,39 @@
         now: Millis,
     ) -> Result<(), LimitExceeded> {
         self.evict_idle(now);
-        let used = self.uses.entry(account.name.clone()).or_insert(Use {
+        let u = self.usage.entry(account.name.clone()).or_insert(Usage {
             bucket: None,
             open: 0,
-            used: now,
+            last_used: now,
         });
-        used.used = now;
+        u.last_used = now;
         let streams = account.streams.map(|s| (f64::from(s) * share).ceil().max(1.0) as u32);
         match streams {
-            Some(s) if used.open >= s => {
-                return Err(LimitExceeded::Streams { retry_after: STREAMS_RETRY_MS });
+            Some(s) if u.open >= s => {
+                return Err(LimitExceeded::Streams { retry_after: RETRY_MS });
             }
             _ => {}
         }
         if let Some(rate) = account.rate.map(|r| r * share) {
             let burst = (rate * BURST_S).max(1.0);
-            let bucket = used.bucket.get_or_insert_with(|| Bucket::new(rate, burst, now));
+            let bucket = u.bucket.get_or_insert_with(|| Bucket::new(rate, burst, now));
             bucket.set(rate, burst, now);
             bucket.take(now).map_err(|retry_after| LimitExceeded::Rate { retry_after })?;
         }
-        used.open += 1;
+        u.open += 1;
         Ok(())
     }
 
     /// Releases an admitted request.
     pub fn release(&mut self, account: &Name) {
-        if let Some(used) = self.uses.get_mut(account) {
-            used.open = used.open.saturating_sub(1);
+        if let Some(u) = self.usage.get_mut(account) {
+            u.open = u.open.saturating_sub(1);
         }
     }
 
     fn evict_idle(&mut self, now: Millis) {
-        if self.uses.len() >= MAX_ACCOUNTS {
-            self.uses.retain(|_, u| u.open > 0 || now.saturating_sub(u.used) < 60_000);
+        if self.usage.len() >= MAX_ACCOUNTS {
+            self.usage.retain(|_, u| u.open > 0 || now.saturating_sub(u.last_used) < 60_000);
         }
     }
 }
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -65,7 +65,7 @@
 struct Step {
     cost: f64,
     from: (usize, usize),
-    link: usize,
+    candidate: usize,
 }
 
 /// Finds the cheapest chain inside the home domain if that has one with capacity, else through any
@@ -161,15 +161,15 @@
     cuts: Vec<u32>,
     domains: Vec<&'a Name>,
     start: (usize, usize),
-    first_stage: Option<Stage>,
+    fixed_stage: Option<Stage>,
     best: Vec<Vec<Option<Step>>>,
 }
 
 /// # Construction
 impl<'a> Table<'a> {
     fn new(search: &'a ChainQuery<'a>, engines: &'a [ChainEngine]) -> Option<Self> {
-        let first_stage = search.current.map(|path| path.head().clone());
-        let first = first_stage.as_ref().map_or(0, |h| h.layers.end);
+        let fixed_stage = search.current.map(|path| path.head().clone());
+        let first = fixed_stage.as_ref().map_or(0, |h| h.layers.end);
         let layers = search.model.layers;
         let ends = engines.iter().flat_map(|l| [l.entry.layers.first, l.entry.layers.end]);
         let mut cuts: Vec<u32> = ends.chain([first, layers]).collect();
@@ -180,15 +180,15 @@
         domains.push(search.home);
         domains.sort();
         domains.dedup();
-        let holds = |l: &&ChainEngine| first_stage.as_ref().is_some_and(|h| h.engine == l.entry.id);
-        let at = match (&first_stage, engines.iter().find(holds)) {
+        let holds = |l: &&ChainEngine| fixed_stage.as_ref().is_some_and(|h| h.engine == l.entry.id);
+        let at = match (&fixed_stage, engines.iter().find(holds)) {
             (Some(_), None) => return None,
-            (Some(_), Some(link)) => &link.entry.domain,
+            (Some(_), Some(candidate)) => &candidate.entry.domain,
             (None, _) => search.home,
         };
         let start = (0, domains.binary_search(&at).ok()?);
         let best = vec![vec![None; domains.len()]; cuts.len()];
-        Some(Self { search, engines, cuts, domains, start, first_stage, best })
+        Some(Self { search, engines, cuts, domains, start, fixed_stage, best })
     }
 }
 
@@ -202,24 +202,24 @@
                     Some(step) => step.cost,
                     None => continue,
                 };
-                for link in 0..self.engines.len() {
-                    self.extend((cut, domain), so_far, link);
+                for candidate in 0..self.engines.len() {
+                    self.extend((cut, domain), so_far, candidate);
                 }
             }
         }
     }
 
-    fn extend(&mut self, from: (usize, usize), so_far: f64, link: usize) {
-        let l = &self.engines[link];
+    fn extend(&mut self, from: (usize, usize), so_far: f64, candidate: usize) {
+        let l = &self.engines[candidate];
         let at = self.cuts[from.0];
-        let is_first_stage = self.first_stage.as_ref().is_some_and(|h| h.engine == l.entry.id);
-        if is_first_stage || l.entry.layers.first > at || l.entry.layers.end <= at {
+        let is_fixed = self.fixed_stage.as_ref().is_some_and(|h| h.engine == l.entry.id);
+        if is_fixed || l.entry.layers.first > at || l.entry.layers.end <= at {
             return;
         }
         let Ok(domain) = self.domains.binary_search(&&l.entry.domain) else { return };
-        let is_first = from == self.start && self.first_stage.is_none();
-        let start = if is_first { l.start_cost } else { 0.0 };
-        let entry = so_far + l.penalty + start + self.hop(from.1, domain, !is_first);
+        let starts_path = from == self.start && self.fixed_stage.is_none();
+        let start = if starts_path { l.start_cost } else { 0.0 };
+        let entry = so_far + l.penalty + start + self.hop(from.1, domain, !starts_path);
         for to in from.0 + 1..self.cuts.len() {
             if self.cuts[to] > l.entry.layers.end {
                 break;
@@ -228,30 +228,30 @@
             let cost = entry + self.work(l, part);
             match self.best[to][domain] {
                 Some(old) if old.cost <= cost => {}
-                _ => self.best[to][domain] = Some(Step { cost, from, link }),
+                _ => self.best[to][domain] = Some(Step { cost, from, candidate }),
             }
         }
     }
 
-    /// Cost of a step between domains; `resumes` if it carries activations rather than text.
-    fn hop(&self, from: usize, to: usize, resumes: bool) -> f64 {
+    /// Cost of a step between domains; `carries_activations` if not only text crosses.
+    fn hop(&self, from: usize, to: usize, carries_activations: bool) -> f64 {
         match from == to {
             true => HOP_COST,
             false => {
                 let delay = self.search.model.delay(self.domains[from], self.domains[to]);
-                HOP_COST + delay + if resumes { CROSSING_COST } else { REMOTE_COST }
+                HOP_COST + delay + if carries_activations { CROSSING_COST } else { REMOTE_COST }
             }
         }
     }
 
-    fn work(&self, link: &ChainEngine, part: LayerRange) -> f64 {
+    fn work(&self, candidate: &ChainEngine, part: LayerRange) -> f64 {
         let model = self.search.model;
         let share = f64::from(part.count()) / f64::from(model.layers);
         let kept = self.search.current.is_some_and(|path| {
-            path.stages().iter().any(|s| s.engine == link.entry.id && s.layers == part)
+            path.stages().iter().any(|s| s.engine == candidate.entry.id && s.layers == part)
         });
         let bonus = if kept { REUSE_BONUS } else { 0.0 };
-        model.step_ms * link.card.pace * share - bonus
+        model.step_ms * candidate.card.pace * share - bonus
     }
 
     fn best(&self) -> Option<Vec<Stage>> {
@@ -269,15 +269,15 @@
     fn price(&self, stages: &[Stage]) -> f64 {
         let mut at = self.start.1;
         let mut cost = 0.0;
-        for stage in stages.iter().skip(usize::from(self.first_stage.is_some())) {
-            let Some(link) = self.engines.iter().find(|l| l.entry.id == stage.engine) else {
+        for stage in stages.iter().skip(usize::from(self.fixed_stage.is_some())) {
+            let Some(candidate) = self.engines.iter().find(|l| l.entry.id == stage.engine) else {
                 continue;
             };
-            let domain = self.domains.binary_search(&&link.entry.domain).unwrap_or(at);
-            let is_first = stage.layers.first == 0;
-            let start = if is_first { link.start_cost } else { 0.0 };
-            let hop = self.hop(at, domain, !is_first);
-            cost += link.penalty + start + hop + self.work(link, stage.layers);
+            let domain = self.domains.binary_search(&&candidate.entry.domain).unwrap_or(at);
+            let starts_path = stage.layers.first == 0;
+            let start = if starts_path { candidate.start_cost } else { 0.0 };
+            let hop = self.hop(at, domain, !starts_path);
+            cost += candidate.penalty + start + hop + self.work(candidate, stage.layers);
             at = domain;
         }
         cost + self.hop(at, self.start.1, false)
@@ -292,7 +292,7 @@
             if !seen.insert(at) {
                 return None;
             }
-            let entry = &self.engines[step.link].entry;
+            let entry = &self.engines[step.candidate].entry;
             stages.push(Stage {
                 engine: entry.id.clone(),
                 address: entry.address.into(),
@@ -301,7 +301,7 @@
             });
             at = step.from;
         }
-        stages.extend(self.first_stage.clone());
+        stages.extend(self.fixed_stage.clone());
         stages.reverse();
         Some(stages)
     }
--- a/crates/policy/src/clocks.rs
+++ b/crates/policy/src/clocks.rs
@@ -51,7 +51,7 @@
 }
 
 impl SuspensionDetector {
-    /// Looks for detector from this moment on.
+    /// Detects suspensions from this moment on.
     pub fn new(clocks: Clocks) -> Self {
         Self { boot_lead: clocks.boot_lead() }
     }
--- a/crates/policy/src/layout_deal.rs
+++ b/crates/policy/src/layout_deal.rs
@@ -33,11 +33,11 @@
     let mut order: Vec<&Worker> = workers.iter().collect();
     let place = |w: &Worker| (w.layers.count() == 0, w.layers.first, w.layers.end);
     order.sort_by(|a, b| place(a).cmp(&place(b)).then(a.engine.cmp(&b.engine)));
-    let counts = |room: u32| -> Vec<u32> {
-        order.iter().map(|w| model.fits(&w.card, f64::from(room))).collect()
+    let counts = |tokens: u32| -> Vec<u32> {
+        order.iter().map(|w| model.fits(&w.card, f64::from(tokens))).collect()
     };
-    let mut rooms = (MIN_TOKENS..=MAX_TOKENS).rev().step_by(TOKENS_STEP as usize).map(counts);
-    let Some(mut counts) = rooms.find(|c| c.iter().sum::<u32>() >= model.layers) else {
+    let mut capacities = (MIN_TOKENS..=MAX_TOKENS).rev().step_by(TOKENS_STEP as usize).map(counts);
+    let Some(mut counts) = capacities.find(|c| c.iter().sum::<u32>() >= model.layers) else {
         return Vec::new();
     };
     let mut excess = counts.iter().sum::<u32>() - model.layers;
@@ -68,10 +68,12 @@
     let speed = |w: &Worker| w.card.speed();
     order.sort_by(|a, b| speed(a).total_cmp(&speed(b)).then(a.engine.cmp(&b.engine)));
     let spares = (order.len() as f64 * SPARE_SHARE).ceil() as usize;
-    let rooms = |least: u32| (least..=MAX_TOKENS).rev().step_by(TOKENS_STEP as usize);
+    let capacities =
+        |min_tokens: u32| (min_tokens..=MAX_TOKENS).rev().step_by(TOKENS_STEP as usize);
     let copied = Layout::new(model, workers).fits_copies();
-    let best = |least: u32, spares: usize| {
-        let mut covers = rooms(least).filter_map(|r| Some((r, cover(model, &order, r, spares)?)));
+    let best = |min_tokens: u32, spares: usize| {
+        let mut covers =
+            capacities(min_tokens).filter_map(|r| Some((r, cover(model, &order, r, spares)?)));
         // If there is memory for second copies, those need the fast cards as well.
         if copied {
             return covers.next();
@@ -138,29 +140,29 @@
 fn throughput(
     model: &LayeredModel,
     workers: &[&Worker],
-    (room, plan): &(u32, Vec<Assignment>),
+    (tokens, plan): &(u32, Vec<Assignment>),
 ) -> f64 {
-    let room = f64::from(*room);
-    let step = model.step_with(room);
+    let tokens = f64::from(*tokens);
+    let step = model.step_with(tokens);
     let part = |a: &Assignment| {
         let pace = workers.iter().find(|w| w.engine == a.engine).map_or(1.0, |w| w.card.pace);
         HOP_COST + step * pace * f64::from(a.layers.count()) / f64::from(model.layers.max(1))
     };
-    room / model.usual_tokens().max(1.0) / plan.iter().map(part).sum::<f64>()
+    tokens / model.usual_tokens().max(1.0) / plan.iter().map(part).sum::<f64>()
 }
 
 /// Covers the model with the first workers of `order`, leaving out the last `spares`.
 fn cover(
     model: &LayeredModel,
     order: &[&Worker],
-    room: u32,
+    tokens: u32,
     spares: usize,
 ) -> Option<Vec<Assignment>> {
     let usable = order.len().saturating_sub(spares);
     let mut at = 0;
     let mut plan = Vec::new();
     for w in &order[..usable] {
-        let count = model.fits(&w.card, f64::from(room)).min(model.layers - at);
+        let count = model.fits(&w.card, f64::from(tokens)).min(model.layers - at);
         if count == 0 {
             continue;
         }
--- a/crates/policy/src/layout_repair.rs
+++ b/crates/policy/src/layout_repair.rs
@@ -82,13 +82,13 @@
     /// first, each passing layers on to its neighbor if that is not enough.
     pub(crate) fn close_gap(&mut self, gap: LayerRange) -> bool {
         let busy = self.workers.iter().any(|w| !w.assignable);
-        let least = if busy { BUSY_MIN_TOKENS } else { REPAIR_MIN_TOKENS };
-        if self.close_with_spares(gap, least) {
+        let min_tokens = if busy { BUSY_MIN_TOKENS } else { REPAIR_MIN_TOKENS };
+        if self.close_with_spares(gap, min_tokens) {
             return true;
         }
-        for room in self.rooms(least) {
+        for tokens in self.capacities(min_tokens) {
             for reach in 1..=self.workers.len() {
-                if let Some(shift) = self.shift(gap, reach, room) {
+                if let Some(shift) = self.shift(gap, reach, tokens) {
                     self.apply_shift(gap, &shift);
                     return true;
                 }
@@ -98,22 +98,23 @@
     }
 
     /// Closes a gap with spare workers alone; false if they are not enough even at a token capacity
-    /// of `least`.
-    pub(crate) fn close_with_spares(&mut self, gap: LayerRange, least: u32) -> bool {
-        let spares = self.rooms(least).map(|r| self.spare_workers(r)).find(|t| enough(t, gap));
+    /// of `min_tokens`.
+    pub(crate) fn close_with_spares(&mut self, gap: LayerRange, min_tokens: u32) -> bool {
+        let spares =
+            self.capacities(min_tokens).map(|r| self.spare_workers(r)).find(|t| enough(t, gap));
         let Some(spares) = spares else { return false };
         self.fill_gap(gap, &fewest_spares(spares, gap));
         true
     }
 
-    /// Token capacities to try, down to `least`.
-    fn rooms(&self, least: u32) -> impl Iterator<Item = u32> + use<> {
-        (least..=self.token_target).rev().step_by(TOKENS_STEP as usize)
+    /// Token capacities to try, down to `min_tokens`.
+    fn capacities(&self, min_tokens: u32) -> impl Iterator<Item = u32> + use<> {
+        (min_tokens..=self.token_target).rev().step_by(TOKENS_STEP as usize)
     }
 
     /// How spare workers and up to `reach` holders on each side close a gap, if they can.
-    fn shift(&self, gap: LayerRange, reach: usize, room: u32) -> Option<Shift> {
-        let spares = self.spare_workers(room);
+    fn shift(&self, gap: LayerRange, reach: usize, tokens: u32) -> Option<Shift> {
+        let spares = self.spare_workers(tokens);
         let before = self.holders(gap.first, Side::Before, &spares);
         let after = self.holders(gap.end, Side::After, &spares);
         let (before, after) =
@@ -123,7 +124,7 @@
             let take = |h: &Holder| {
                 let w = &self.workers[h.index];
                 let spare =
-                    self.model.fits(&w.card, f64::from(room)).saturating_sub(h.part.count());
+                    self.model.fits(&w.card, f64::from(tokens)).saturating_sub(h.part.count());
                 let extra = if w.assignable { spare.min(missing) } else { 0 };
                 missing -= extra;
                 (*h, extra)
@@ -193,7 +194,7 @@
         let overloaded = |w: &&Worker| {
             w.assignable
                 && w.layers.count() > 0
-                && self.room(w, w.layers) < self.overloaded_tokens()
+                && self.token_capacity(w, w.layers) < self.overloaded_tokens()
         };
         let overloaded: Vec<usize> =
             (0..self.workers.len()).filter(|i| overloaded(&&self.workers[*i])).collect();
@@ -208,7 +209,9 @@
     fn trim(&mut self, index: usize) -> bool {
         let held = self.workers[index].layers;
         let others = self.workers.iter().enumerate().filter(|(i, w)| {
-            *i != index && w.assignable && self.room(w, w.layers) >= self.overloaded_tokens()
+            *i != index
+                && w.assignable
+                && self.token_capacity(w, w.layers) >= self.overloaded_tokens()
         });
         let others: Vec<LayerRange> = others.map(|(_, w)| w.layers).collect();
         let alone = |l: &u32| !others.iter().any(|o| (o.first..o.end).contains(l));
@@ -257,12 +260,12 @@
         f64::from(self.token_target) * OVERLOADED_SHARE
     }
 
-    fn room(&self, w: &Worker, layers: LayerRange) -> f64 {
+    fn token_capacity(&self, w: &Worker, layers: LayerRange) -> f64 {
         self.model.room(&w.card, layers.count())
     }
 
     /// Workers that hold no layers, or only layers that others hold as well.
-    fn spare_workers(&self, room: u32) -> Vec<Spare> {
+    fn spare_workers(&self, tokens: u32) -> Vec<Spare> {
         let mut left = self.workers.clone();
         let mut spares = Vec::new();
         let held = self.workers.iter().map(|w| (&w.engine, w.card.pace, w.layers));
@@ -273,7 +276,7 @@
         order.sort_by_key(|i| (rank(&self.workers[*i]), *i));
         for index in order {
             let w = &self.workers[index];
-            let max_layers = self.model.fits(&w.card, f64::from(room));
+            let max_layers = self.model.fits(&w.card, f64::from(tokens));
             if w.assignable && max_layers > 0 && is_redundant(&left, index) {
                 left[index].layers = LayerRange::new(0, 0);
                 spares.push(Spare { index, max_layers });
@@ -305,12 +308,12 @@
 /// Target token capacity: the largest with which the domain's workers together have memory for two
 /// copies and a few empty workers.
 fn token_target(model: &LayeredModel, workers: &[Worker]) -> u32 {
-    let copies = |room: u32| -> f64 {
-        let fits = workers.iter().map(|w| model.fits(&w.card, f64::from(room)));
+    let copies = |tokens: u32| -> f64 {
+        let fits = workers.iter().map(|w| model.fits(&w.card, f64::from(tokens)));
         f64::from(fits.sum::<u32>()) / f64::from(model.layers.max(1))
     };
-    let mut rooms = (REPAIR_TOKENS..=MAX_TOKENS).rev().step_by(TOKENS_STEP as usize);
-    rooms.find(|r| copies(*r) >= COPIES_FIT).unwrap_or(REPAIR_TOKENS)
+    let mut capacities = (REPAIR_TOKENS..=MAX_TOKENS).rev().step_by(TOKENS_STEP as usize);
+    capacities.find(|r| copies(*r) >= COPIES_FIT).unwrap_or(REPAIR_TOKENS)
 }
 
 /// The fewest spare workers that close a gap with short loads.
--- a/crates/policy/tests/chain.rs
+++ b/crates/policy/tests/chain.rs
@@ -1,6 +1,6 @@
-//! Chains: whole, cheapest, inside a domain where that pays, kept where a request runs.
+//! Chains are complete and cheapest, prefer the home domain, and keep the stages of running requests.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failure here fails the test")]
 
 mod common;
 
@@ -31,7 +31,7 @@
     }
 }
 
-fn link(id: &str, domain: &str, layers: (u32, u32), pace: f64) -> ChainEngine {
+fn engine(id: &str, domain: &str, layers: (u32, u32), pace: f64) -> ChainEngine {
     let entry = EngineEntry {
         id: name(id),
         service: name("llm"),
@@ -71,60 +71,68 @@
 #[test]
 fn a_chain_stays_in_its_domain_while_that_holds_every_layer() {
     let (model, home) = (model(8), name("east"));
-    let near = [link("a", "east", (0, 4), 3.0), link("b", "east", (4, 8), 3.0)];
-    let far = [link("x", "west", (0, 4), 4.0), link("y", "west", (4, 8), 1.0)];
-    let links = [near.clone(), far.clone()].concat();
-    let (path, _) = find_chain(&search(&model, &home, None), &links).unwrap();
+    let local = [engine("a", "east", (0, 4), 3.0), engine("b", "east", (4, 8), 3.0)];
+    let remote = [engine("x", "west", (0, 4), 4.0), engine("y", "west", (4, 8), 1.0)];
+    let engines = [local.clone(), remote.clone()].concat();
+    let (path, _) = find_chain(&search(&model, &home, None), &engines).unwrap();
     assert_eq!(shown(&path), ["a=0..4", "b=4..8"]);
-    let links = [&near[..1], &far[..]].concat();
-    let (path, cost) = find_chain(&search(&model, &home, None), &links).unwrap();
-    assert_eq!(shown(&path), ["x=0..4", "y=4..8"], "only text goes to another domain and back");
-    assert!(cost > 3.0, "two changes of domain are paid for: {cost}");
-    let links = [&near[..1], &far[1..]].concat();
-    let (path, mixed) = find_chain(&search(&model, &home, None), &links).unwrap();
-    assert_eq!(shown(&path), ["a=0..4", "y=4..8"], "the pipe is taken where nothing else is left");
-    assert!(mixed > cost, "and costs more: {mixed} beside {cost}");
+    let engines = [&local[..1], &remote[..]].concat();
+    let (path, cost) = find_chain(&search(&model, &home, None), &engines).unwrap();
+    assert_eq!(shown(&path), ["x=0..4", "y=4..8"], "only text crosses between domains");
+    assert!(cost > 3.0, "the cost includes two changes of domain: {cost}");
+    let engines = [&local[..1], &remote[1..]].concat();
+    let (path, mixed) = find_chain(&search(&model, &home, None), &engines).unwrap();
+    assert_eq!(
+        shown(&path),
+        ["a=0..4", "y=4..8"],
+        "activations cross domains only as a last resort"
+    );
+    assert!(mixed > cost, "crossing costs more: {mixed}, not {cost}");
 }
 
 #[test]
-fn a_domain_s_slow_engines_go_before_the_pipe_to_another() {
+fn slow_local_engines_are_preferred_to_crossing_domains() {
     let (model, home) = (model(80), name("east"));
-    let slow = |i: u32| link(&format!("s{i}"), "east", (40 + i * 8, 48 + i * 8), 15.0);
-    let near = [vec![link("a", "east", (0, 40), 3.0)], (0..5).map(slow).collect()].concat();
-    let far = [link("x", "west", (0, 40), 3.0), link("y", "west", (40, 80), 3.0)];
-    let links = [&near[..], &far[..]].concat();
+    let slow = |i: u32| engine(&format!("s{i}"), "east", (40 + i * 8, 48 + i * 8), 15.0);
+    let local = [vec![engine("a", "east", (0, 40), 3.0)], (0..5).map(slow).collect()].concat();
+    let remote = [engine("x", "west", (0, 40), 3.0), engine("y", "west", (40, 80), 3.0)];
+    let engines = [&local[..], &remote[..]].concat();
     let (running, _) =
-        find_chain(&search(&model, &home, None), &[near[0].clone(), far[1].clone()]).unwrap();
-    let (path, _) = find_local_chain(&search(&model, &home, Some(&running)), &links).unwrap();
+        find_chain(&search(&model, &home, None), &[local[0].clone(), remote[1].clone()]).unwrap();
+    let (path, _) = find_local_chain(&search(&model, &home, Some(&running)), &engines).unwrap();
     assert!(path.stages().iter().all(|s| s.engine != name("y")), "{:?}", shown(&path));
-    let mut crowded = links.clone();
+    let mut crowded = engines.clone();
     crowded[1].full = true;
     crowded[1].penalty = 16.0;
     let (path, _) = find_local_chain(&search(&model, &home, None), &crowded).unwrap();
-    assert_eq!(shown(&path), ["x=0..40", "y=40..80"], "a whole domain with room, not half of one");
+    assert_eq!(
+        shown(&path),
+        ["x=0..40", "y=40..80"],
+        "a complete remote chain with capacity, not half of one"
+    );
 }
 
 #[test]
 fn a_chain_may_run_part_of_what_an_engine_holds() {
     let (model, home) = (model(8), name("east"));
-    let links = [
-        link("a", "east", (0, 5), 1.0),
-        link("b", "east", (3, 8), 4.0),
-        link("c", "east", (5, 8), 2.0),
+    let engines = [
+        engine("a", "east", (0, 5), 1.0),
+        engine("b", "east", (3, 8), 4.0),
+        engine("c", "east", (5, 8), 2.0),
     ];
-    let (path, _) = find_chain(&search(&model, &home, None), &links).unwrap();
+    let (path, _) = find_chain(&search(&model, &home, None), &engines).unwrap();
     assert_eq!(shown(&path), ["a=0..5", "c=5..8"]);
-    let (path, _) = find_chain(&search(&model, &home, None), &links[..2]).unwrap();
+    let (path, _) = find_chain(&search(&model, &home, None), &engines[..2]).unwrap();
     assert_eq!(shown(&path), ["a=0..5", "b=5..8"]);
-    assert!(find_chain(&search(&model, &home, None), &links[1..]).is_none());
+    assert!(find_chain(&search(&model, &home, None), &engines[1..]).is_none());
 }
 
 #[test]
-fn an_engine_without_room_is_passed_over_but_not_excluded() {
+fn an_engine_without_capacity_is_avoided_but_not_excluded() {
     let (model, home) = (model(8), name("east"));
-    let mut full = link("a", "east", (0, 8), 1.0);
+    let mut full = engine("a", "east", (0, 8), 1.0);
     full.penalty = 12.0;
-    let other = link("b", "east", (0, 8), 5.0);
+    let other = engine("b", "east", (0, 8), 5.0);
     let (path, _) = find_chain(&search(&model, &home, None), &[full.clone(), other]).unwrap();
     assert_eq!(shown(&path), ["b=0..8"]);
     let (path, _) = find_chain(&search(&model, &home, None), &[full]).unwrap();
@@ -132,49 +140,49 @@
 }
 
 #[test]
-fn a_request_starts_where_fewer_wait() {
+fn a_request_starts_where_fewer_requests_are_queued() {
     let (model, home) = (model(8), name("east"));
-    let mut busy = link("busy", "east", (0, 5), 1.0);
+    let mut busy = engine("busy", "east", (0, 5), 1.0);
     busy.start_cost = 2.0;
-    let links = [busy, link("idle", "east", (0, 2), 1.0), link("rest", "east", (5, 8), 1.0)];
-    let (path, _) = find_chain(&search(&model, &home, None), &links).unwrap();
+    let engines = [busy, engine("idle", "east", (0, 2), 1.0), engine("rest", "east", (5, 8), 1.0)];
+    let (path, _) = find_chain(&search(&model, &home, None), &engines).unwrap();
     assert_eq!(shown(&path), ["idle=0..2", "busy=2..5", "rest=5..8"]);
 }
 
 #[test]
-fn a_running_request_keeps_its_first_engine_and_what_still_works() {
+fn a_running_request_keeps_its_first_engine_and_working_stages() {
     let (model, home) = (model(12), name("east"));
-    let links = [
-        link("a", "east", (0, 4), 1.0),
-        link("b", "east", (4, 8), 1.0),
-        link("c", "east", (8, 12), 2.0),
-        link("fast", "east", (8, 12), 1.0),
-        link("stand-in", "east", (4, 8), 1.0),
+    let engines = [
+        engine("a", "east", (0, 4), 1.0),
+        engine("b", "east", (4, 8), 1.0),
+        engine("c", "east", (8, 12), 2.0),
+        engine("fast", "east", (8, 12), 1.0),
+        engine("standby", "east", (4, 8), 1.0),
     ];
-    let kept = [links[0].clone(), links[1].clone(), links[2].clone()];
+    let kept = [engines[0].clone(), engines[1].clone(), engines[2].clone()];
     let (running, _) = find_chain(&search(&model, &home, None), &kept).unwrap();
     let left: Vec<ChainEngine> =
-        links.iter().filter(|l| l.entry.id != name("b")).cloned().collect();
+        engines.iter().filter(|l| l.entry.id != name("b")).cloned().collect();
     let (path, _) = find_chain(&search(&model, &home, Some(&running)), &left).unwrap();
-    assert_eq!(shown(&path), ["a=0..4", "stand-in=4..8", "c=8..12"]);
-    let headless = &links[1..];
-    assert!(find_chain(&search(&model, &home, Some(&running)), headless).is_none());
+    assert_eq!(shown(&path), ["a=0..4", "standby=4..8", "c=8..12"]);
+    let without_first = &engines[1..];
+    assert!(find_chain(&search(&model, &home, Some(&running)), without_first).is_none());
 }
 
-/// Cost of the cheapest chain by trying all, without changes of domain.
-fn cheapest(links: &[ChainEngine], at: u32, layers: u32, used: &[usize]) -> Option<f64> {
+/// Cost of the cheapest chain inside one domain, by exhaustive search.
+fn cheapest(engines: &[ChainEngine], at: u32, layers: u32, used: &[usize]) -> Option<f64> {
     if at == layers {
         return Some(0.0);
     }
     let mut best: Option<f64> = None;
-    for (i, l) in links.iter().enumerate() {
+    for (i, l) in engines.iter().enumerate() {
         let range = l.entry.layers;
         if used.contains(&i) || range.first > at || range.end <= at {
             continue;
         }
         for to in at + 1..=range.end.min(layers) {
             let used = [used, &[i]].concat();
-            let Some(rest) = cheapest(links, to, layers, &used) else { continue };
+            let Some(rest) = cheapest(engines, to, layers, &used) else { continue };
             let work = l.card.pace * f64::from(to - at) / f64::from(layers);
             let cost = 0.2 + l.penalty + work + rest;
             best = Some(best.map_or(cost, |b| b.min(cost)));
@@ -186,31 +194,31 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, ..ProptestConfig::default() })]
 
-    /// In one domain the chain found is the cheapest there is, and there is one if there can be.
+    /// In one domain a chain is found if one exists, and it is about the cheapest.
     #[test]
     fn a_chain_is_found_and_about_the_cheapest(
         engines in prop::collection::vec((0_u32..6, 1_u32..6, 1_u32..20), 1..6),
     ) {
         let (model, home) = (model(6), name("east"));
-        let links: Vec<ChainEngine> = engines
+        let engines: Vec<ChainEngine> = engines
             .iter()
             .enumerate()
             .map(|(i, (first, count, pace))| {
                 let end = (first + count).min(6);
-                link(&format!("e{i}"), "east", (*first, end), f64::from(*pace))
+                engine(&format!("e{i}"), "east", (*first, end), f64::from(*pace))
             })
             .collect();
-        let found = find_chain(&search(&model, &home, None), &links);
-        let best = cheapest(&links, 0, 6, &[]);
+        let found = find_chain(&search(&model, &home, None), &engines);
+        let best = cheapest(&engines, 0, 6, &[]);
         match (found, best) {
             (Some((_, cost)), Some(best)) => {
-                // The way back to the node counts as one more hop. Where the search would use an
-                // engine twice, the chain through it alone may cost a little more than the best.
-                prop_assert!(cost - 0.2 > best - 1e-6, "{cost} beside {best}");
-                prop_assert!(cost - 0.2 < best * 1.3 + 1e-6, "{cost} beside {best}");
+                // The return to the node counts as one more hop. If the search would use an engine
+                // twice, the merged chain may cost a little more than the optimum.
+                prop_assert!(cost - 0.2 > best - 1e-6, "{cost}, optimum {best}");
+                prop_assert!(cost - 0.2 < best * 1.3 + 1e-6, "{cost}, optimum {best}");
             }
             (None, None) => {}
-            (found, best) => prop_assert!(false, "{found:?} beside {best:?}"),
+            (found, best) => prop_assert!(false, "{found:?}, optimum {best:?}"),
         }
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Engines and requests that the tests share.
+//! Engine fixtures shared by the tests.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
-#![allow(clippy::unwrap_used, reason = "a set-up that fails fails its test")]
+#![allow(dead_code, reason = "each test file uses only some of these")]
+#![allow(clippy::unwrap_used, reason = "a failed set-up fails the test")]
 
 use std::sync::Arc;
 
--- a/crates/policy/tests/demand.rs
+++ b/crates/policy/tests/demand.rs
@@ -1,6 +1,6 @@
-//! Demand of accounts, averaged between nodes.
+//! Demand of accounts, averaged by gossip between nodes.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failure here fails the test")]
 
 use heathpitch_core::Incarnation;
 use heathpitch_policy::{BlockEvent, Demand, PrefixIndex};
@@ -57,19 +57,19 @@
 }
 
 #[test]
-fn a_cut_failure_domain_keeps_to_shares_of_its_own() {
+fn partitioned_failure_domains_share_limits_separately() {
     let nodes = fleet(&[10; 20], 8, |a, b| a / 10 == b / 10);
     let sum = total(&nodes);
     assert!((0.8..1.3).contains(&sum), "{sum}");
 }
 
 #[test]
-fn without_any_word_shares_are_equal() {
+fn shares_are_equal_without_any_exchange() {
     assert!((Demand::new().share(1, 8) - 0.125).abs() < 1e-9);
 }
 
 #[test]
-fn other_rounds_and_wrong_numbers_are_passed_over() {
+fn other_rounds_and_invalid_values_are_ignored() {
     let mut nodes = fleet(&[10, 10], 0, |_, _| true);
     let before = nodes[0].share(1, 2);
     nodes[0].merge(3, &[(1, 1e9)]);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn blocks_of_an_engine_are_distrusted_after_a_gap_and_a_restart() {
+fn blocks_of_an_engine_are_dropped_after_a_gap_and_a_restart() {
     let engine = "e".parse().unwrap();
     let (one, two) = (Incarnation(1), Incarnation(2));
     let added = |serial, block| BlockEvent { serial, block, added: true };
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -1,6 +1,6 @@
-//! HealthStatus of upstreams by disagreeing, lagging words.
+//! Status of upstreams from lagging sources that disagree.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failure here fails the test")]
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_engine_is_new_until_it_is_heard() {
+fn an_engine_is_new_until_its_first_report() {
     let mut health = listed();
     assert_eq!(health.status("e", 0), Some(HealthStatus::New));
     health.on(HealthEvent::Polled(report("e", 0, 4)), 10);
@@ -33,9 +33,9 @@
     assert_eq!(health.status("e", 30), Some(HealthStatus::Down));
 }
 
-/// An engine that only others can reach stays down here, however much they tell of it.
+/// An engine that only peers can reach stays down, however often they relay its reports.
 #[test]
-fn a_passed_on_report_does_not_bring_back_what_cannot_be_reached_from_here() {
+fn a_relayed_report_does_not_bring_back_an_unreachable_engine() {
     let mut health = listed();
     health.on(HealthEvent::Polled(report("e", 0, 4)), 10);
     health.on(HealthEvent::PollFailed(name("e")), 20);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn either_word_of_leaving_is_enough() {
+fn either_source_is_enough_to_mark_an_engine_as_leaving() {
     let mut health = listed();
     let mut leaving = report("e", 0, 4);
     leaving.leaving = true;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_restarted_engine_comes_back_and_its_old_words_do_not() {
+fn a_restarted_engine_comes_back_and_its_old_reports_are_ignored() {
     let mut health = listed();
     let mut leaving = report("e", 0, 4);
     leaving.leaving = true;
@@ -81,16 +81,16 @@
 }
 
 #[test]
-fn a_vm_that_is_no_longer_listed_is_gone() {
+fn a_vm_that_is_no_longer_listed_is_removed() {
     let mut health = listed();
     health.on(HealthEvent::Polled(report("e", 0, 4)), 10);
     health.on(HealthEvent::Listed(Revision(2), vec![]), 20);
     assert_eq!(health.status("e", 20), None);
 }
 
-/// A node that is too busy to hear anybody must not leave every engine at once.
+/// A node that is too busy to receive answers must not give up all engines at once.
 #[test]
-fn late_answers_of_nearly_all_engines_are_not_believed() {
+fn late_answers_of_nearly_all_engines_are_ignored() {
     use heathpitch_policy::{Sign, suspects};
     let looks = |late: usize, gone: usize| -> Vec<_> {
         let sign = |i: usize| match i {
--- a/crates/policy/tests/idempotency.rs
+++ b/crates/policy/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! What one node life says of keys, also of those that it had to forget.
+//! States of idempotency keys within one incarnation, including evicted keys.
 
 mod common;
 
@@ -10,47 +10,47 @@
 
 const BODY: u64 = 7;
 
-/// A key that is dispatched and answered.
-fn answer(ledger: &mut IdempotencyTable, key: &Name) {
-    ledger.start(key, BODY);
-    assert!(ledger.dispatch(key));
+/// Dispatches and finishes a request with the key.
+fn answer(table: &mut IdempotencyTable, key: &Name) {
+    table.start(key, BODY);
+    assert!(table.dispatch(key));
     let body: Arc<[u8]> = vec![0; 8].into();
     let record = StoredAnswer { status: 200, media: String::new(), body, outcome: Outcome::Done };
-    ledger.finish(key, record, 0);
+    table.finish(key, record, 0);
 }
 
-/// The caller comes back when the key is forgotten, and its claim cannot be asked for just then.
+/// The caller retries after its key was evicted, while the claim cannot be requested.
 #[test]
-fn a_forgotten_key_that_could_not_be_claimed_is_not_taken_for_one_that_never_ran() {
+fn an_evicted_key_that_could_not_be_claimed_does_not_count_as_never_run() {
     let (old, new) = (name("old"), name("new"));
-    let mut ledger = IdempotencyTable::with_capacity(1);
-    answer(&mut ledger, &old);
-    answer(&mut ledger, &new);
-    assert_eq!(ledger.start(&old, BODY), KeyState::New);
-    ledger.release(&old);
-    assert_eq!(ledger.start(&old, BODY), KeyState::New);
+    let mut table = IdempotencyTable::with_capacity(1);
+    answer(&mut table, &old);
+    answer(&mut table, &new);
+    assert_eq!(table.start(&old, BODY), KeyState::New);
+    table.release(&old);
+    assert_eq!(table.start(&old, BODY), KeyState::New);
 }
 
 #[test]
-fn a_key_that_could_not_be_claimed_is_known_not_to_have_run_while_nothing_was_forgotten() {
+fn a_key_that_could_not_be_claimed_is_not_dispatched_while_nothing_was_evicted() {
     let key = name("key");
-    let mut ledger = IdempotencyTable::with_capacity(2);
-    assert_eq!(ledger.start(&key, BODY), KeyState::New);
-    ledger.release(&key);
-    assert_eq!(ledger.start(&key, BODY), KeyState::NotDispatched);
-    ledger.release(&key);
-    assert_eq!(ledger.start(&key, BODY), KeyState::NotDispatched);
+    let mut table = IdempotencyTable::with_capacity(2);
+    assert_eq!(table.start(&key, BODY), KeyState::New);
+    table.release(&key);
+    assert_eq!(table.start(&key, BODY), KeyState::NotDispatched);
+    table.release(&key);
+    assert_eq!(table.start(&key, BODY), KeyState::NotDispatched);
 }
 
 #[test]
-fn a_minted_key_stays_idle_after_others_were_forgotten() {
-    let (a, b, minted) = (name("a"), name("b"), name("minted"));
-    let mut ledger = IdempotencyTable::with_capacity(2);
+fn an_unused_key_stays_not_dispatched_after_evictions() {
+    let (a, b, unused) = (name("a"), name("b"), name("unused"));
+    let mut table = IdempotencyTable::with_capacity(2);
     for key in [&a, &b] {
-        answer(&mut ledger, key);
+        answer(&mut table, key);
     }
-    ledger.add_unused(minted.clone());
-    assert_eq!(ledger.start(&minted, BODY), KeyState::NotDispatched);
-    ledger.release(&minted);
-    assert_eq!(ledger.start(&minted, BODY), KeyState::NotDispatched);
+    table.add_unused(unused.clone());
+    assert_eq!(table.start(&unused, BODY), KeyState::NotDispatched);
+    table.release(&unused);
+    assert_eq!(table.start(&unused, BODY), KeyState::NotDispatched);
 }
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -1,6 +1,6 @@
-//! Layouts: every layer held, memory kept, losses repaired, no end of moves.
+//! Layouts hold every layer, leave memory for requests, repair losses, and stabilize.
 
-#![allow(clippy::unwrap_used, clippy::panic, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, clippy::panic, reason = "a failure here fails the test")]
 
 mod common;
 
@@ -9,7 +9,7 @@
 use heathpitch_policy::{Assignment, LayoutReason, Worker, layer_gaps, plan_layout, primaries};
 use proptest::prelude::*;
 
-/// The cards of the users' deployments.
+/// Cards of typical deployments.
 fn cards() -> Vec<Card> {
     let card = |n: &str, memory_mb, pace, read| Card { name: name(n), memory_mb, pace, read };
     vec![
@@ -40,7 +40,7 @@
     }
 }
 
-/// Workers that hold nothing: so many of each card.
+/// Empty workers, by the number of each card.
 fn workers(counts: [usize; 4]) -> Vec<Worker> {
     let cards = cards();
     let of = |(card, count): (&Card, usize)| {
@@ -70,8 +70,8 @@
     }
 }
 
-/// Applies plans until none is left.
-fn settle(workers: &mut [Worker]) -> usize {
+/// Applies plans until nothing changes; returns the number of rounds.
+fn apply_until_stable(workers: &mut [Worker]) -> usize {
     for round in 0..40 {
         let plan = plan_layout(&model(), workers);
         if plan.is_empty() {
@@ -79,44 +79,48 @@
         }
         apply(workers, &plan);
     }
-    panic!("moves without end: {workers:?}");
+    panic!("layout does not stabilize: {workers:?}");
 }
 
 fn gaps(workers: &[Worker]) -> Vec<LayerRange> {
     layer_gaps(80, workers.iter().map(|w| w.layers))
 }
 
-fn least_room(workers: &[Worker]) -> f64 {
+fn min_token_capacity(workers: &[Worker]) -> f64 {
     let held = workers.iter().filter(|w| w.layers.count() > 0);
     held.map(|w| model().room(&w.card, w.layers.count())).fold(f64::MAX, f64::min)
 }
 
 #[test]
-fn a_fresh_domain_holds_every_layer_with_room_and_stand_ins() {
+fn an_initial_layout_holds_every_layer_with_capacity_and_extra_copies() {
     for counts in [MEMPHIS, BIRMINGHAM, ATLANTA] {
         let mut workers = workers(counts);
         let plan = plan_layout(&model(), &workers);
         apply(&mut workers, &plan);
         assert_eq!(gaps(&workers), []);
-        assert!(least_room(&workers) >= 70_000.0, "{counts:?}: {}", least_room(&workers));
+        assert!(
+            min_token_capacity(&workers) >= 70_000.0,
+            "{counts:?}: {}",
+            min_token_capacity(&workers)
+        );
         let spare = plan.iter().filter(|a| a.reason == LayoutReason::ExtraCopy).count();
-        assert!(spare >= 2, "{counts:?}: {spare} stand-ins");
-        assert_eq!(settle(&mut workers), 0);
+        assert!(spare >= 2, "{counts:?}: {spare} extra copies");
+        assert_eq!(apply_until_stable(&mut workers), 0);
     }
 }
 
 #[test]
-fn the_loss_of_one_worker_moves_only_stand_ins() {
+fn the_loss_of_one_worker_moves_few_large_workers() {
     for counts in [MEMPHIS, BIRMINGHAM, ATLANTA] {
         let mut whole = workers(counts);
-        settle(&mut whole);
+        apply_until_stable(&mut whole);
         for lost in 0..whole.len() {
             let mut left = whole.clone();
             left.remove(lost);
             let before = left.clone();
-            settle(&mut left);
+            apply_until_stable(&mut left);
             assert_eq!(gaps(&left), []);
-            assert!(least_room(&left) >= 50_000.0, "{counts:?} without {lost}");
+            assert!(min_token_capacity(&left) >= 50_000.0, "{counts:?} without {lost}");
             let moved = |(a, b): &(&Worker, &Worker)| a.layers != b.layers && a.layers.count() > 6;
             let large = before.iter().zip(&left).filter(moved).count();
             assert!(large <= 2, "{counts:?} without {lost}: {large} large workers moved");
@@ -125,24 +129,28 @@
 }
 
 #[test]
-fn losses_one_after_the_other_leave_as_much_room_as_there_is() {
+fn consecutive_losses_leave_enough_token_capacity() {
     let mut workers = workers(MEMPHIS);
-    settle(&mut workers);
+    apply_until_stable(&mut workers);
     for lost in ["a100s-0", "t4-0", "l4-2"] {
         workers.retain(|w| w.engine != name(lost));
-        settle(&mut workers);
+        apply_until_stable(&mut workers);
         assert_eq!(gaps(&workers), [], "without {lost}");
-        assert!(least_room(&workers) >= 25_000.0, "without {lost}: {}", least_room(&workers));
+        assert!(
+            min_token_capacity(&workers) >= 25_000.0,
+            "without {lost}: {}",
+            min_token_capacity(&workers)
+        );
     }
 }
 
 #[test]
-fn a_new_worker_relieves_the_one_that_holds_most() {
+fn a_new_worker_takes_layers_off_the_most_loaded_one() {
     let mut workers = workers(MEMPHIS);
-    settle(&mut workers);
+    apply_until_stable(&mut workers);
     workers.retain(|w| !["a100s-0", "t4-0", "l4-2", "l4-1"].contains(&w.engine.as_str()));
-    settle(&mut workers);
-    let before = least_room(&workers);
+    apply_until_stable(&mut workers);
+    let before = min_token_capacity(&workers);
     let card = cards().remove(2);
     let layers = LayerRange::new(0, 0);
     workers.push(Worker {
@@ -155,15 +163,19 @@
         limited: false,
         is_new: false,
     });
-    settle(&mut workers);
+    apply_until_stable(&mut workers);
     assert_eq!(gaps(&workers), []);
-    assert!(least_room(&workers) > before, "{} after {before}", least_room(&workers));
+    assert!(
+        min_token_capacity(&workers) > before,
+        "{} after {before}",
+        min_token_capacity(&workers)
+    );
 }
 
 #[test]
-fn a_worker_that_replaces_another_is_kept_for_its_layers() {
+fn a_replacement_worker_is_reserved_for_the_layers_of_the_replaced_one() {
     let mut workers = workers(MEMPHIS);
-    settle(&mut workers);
+    apply_until_stable(&mut workers);
     let old = workers.iter().position(|w| w.engine == name("a100s-1")).unwrap();
     let replacement = Worker {
         engine: name("new"),
@@ -173,7 +185,7 @@
         ..workers[old].clone()
     };
     workers.push(replacement);
-    assert_eq!(plan_layout(&model(), &workers), [], "nothing to do while the old one is there");
+    assert_eq!(plan_layout(&model(), &workers), [], "no change while the old worker is present");
     workers.remove(old);
     let plan = plan_layout(&model(), &workers);
     assert_eq!(plan[0].engine, name("new"));
@@ -182,9 +194,9 @@
 }
 
 #[test]
-fn a_gap_is_closed_by_workers_that_nothing_runs_through() {
+fn a_gap_is_closed_by_workers_without_requests() {
     let mut workers = workers(BIRMINGHAM);
-    settle(&mut workers);
+    apply_until_stable(&mut workers);
     let held: Vec<_> = workers.iter().map(|w| (w.engine.clone(), w.card.pace, w.layers)).collect();
     let primaries = primaries(80, held.iter().map(|(e, p, l)| (e, *p, *l)));
     let lost = workers.iter().position(|w| w.card.name == name("l4")).unwrap();
@@ -194,19 +206,19 @@
     let plan = plan_layout(&model(), &workers);
     assert!(plan.iter().any(|a| a.reason == LayoutReason::Gap));
     for a in plan.iter().filter(|a| a.reason == LayoutReason::Gap) {
-        assert!(!primaries.contains(&&a.engine), "{a:?} is one that requests run through");
+        assert!(!primaries.contains(&&a.engine), "{a:?} is a primary");
         assert_ne!(a.engine, workers[busy].engine);
     }
 }
 
-/// A larger domain's workers, and the model with the smaller tokens that it runs.
+/// Workers of larger domains, which run a model with a smaller KV cache per token.
 const LARGE: [[usize; 4]; 4] = [[0, 3, 9, 13], [1, 1, 10, 13], [1, 1, 16, 6], [0, 4, 11, 18]];
 
 fn large_model() -> LayeredModel {
     LayeredModel { token_bytes: 393_000.0, ..model() }
 }
 
-fn settle_large(workers: &mut [Worker]) {
+fn apply_until_stable_large(workers: &mut [Worker]) {
     for _ in 0..60 {
         let plan = plan_layout(&large_model(), workers);
         if plan.is_empty() {
@@ -214,10 +226,10 @@
         }
         apply(workers, &plan);
     }
-    panic!("moves without end: {workers:?}");
+    panic!("layout does not stabilize: {workers:?}");
 }
 
-fn least_room_large(workers: &[Worker]) -> f64 {
+fn min_token_capacity_large(workers: &[Worker]) -> f64 {
     let held = workers.iter().filter(|w| w.layers.count() > 0);
     held.map(|w| large_model().room(&w.card, w.layers.count())).fold(f64::MAX, f64::min)
 }
@@ -226,36 +238,36 @@
 fn a_domain_with_memory_for_two_copies_holds_every_layer_twice() {
     for counts in LARGE {
         let mut workers = workers(counts);
-        settle_large(&mut workers);
+        apply_until_stable_large(&mut workers);
         for layer in 0..80 {
             let holds = |w: &&Worker| (w.layers.first..w.layers.end).contains(&layer);
             let copies = workers.iter().filter(holds).count();
             assert!(copies >= 2, "{counts:?}: layer {layer} has {copies} copies");
         }
-        assert!(least_room_large(&workers) >= 110_000.0, "{counts:?}");
+        assert!(min_token_capacity_large(&workers) >= 110_000.0, "{counts:?}");
     }
 }
 
 #[test]
-fn repairs_leave_as_much_room_as_a_large_domain_has() {
+fn repairs_of_a_large_domain_leave_enough_token_capacity() {
     for counts in LARGE {
         let mut whole = workers(counts);
-        settle_large(&mut whole);
+        apply_until_stable_large(&mut whole);
         for first in 0..whole.len() {
             let mut left = whole.clone();
             for step in 0..4 {
                 left.remove((first + 5 * step) % left.len());
             }
-            settle_large(&mut left);
+            apply_until_stable_large(&mut left);
             assert_eq!(gaps(&left), [], "{counts:?} from {first}");
-            let room = least_room_large(&left);
+            let room = min_token_capacity_large(&left);
             assert!(room >= 95_000.0, "{counts:?} from {first}: {room}");
         }
     }
 }
 
 #[test]
-fn a_domain_that_cannot_hold_the_model_orders_nothing_beyond_memory() {
+fn a_domain_that_cannot_hold_the_model_is_not_assigned_more_than_its_memory() {
     let mut workers = workers([0, 0, 3, 2]);
     let plan = plan_layout(&model(), &workers);
     apply(&mut workers, &plan);
@@ -264,48 +276,50 @@
     }
 }
 
-/// The pattern: the engine that all streams of a domain begin at takes a third of them.
+/// Guards against a bottleneck at the first engine of all streams of a domain when it accepts only
+/// a third of them.
 #[test]
-fn layers_of_a_worker_that_names_a_limit_are_held_by_others_that_can_be_spared() {
+fn spare_workers_also_hold_the_layers_of_a_limited_worker() {
     for counts in [MEMPHIS, BIRMINGHAM, ATLANTA] {
         let mut all = workers(counts);
-        settle(&mut all);
+        apply_until_stable(&mut all);
         let before = all.clone();
         let head = |w: &&mut Worker| w.layers.first == 0 && w.layers.count() > 0;
         let short = all.iter_mut().filter(head).max_by_key(|w| w.layers.count()).unwrap();
         short.limited = true;
-        settle(&mut all);
+        apply_until_stable(&mut all);
         let others: Vec<Worker> = all.iter().filter(|w| !w.limited).cloned().collect();
         assert_eq!(gaps(&others), [], "{counts:?}");
         let stays = |(w, was): &(&Worker, &Worker)| w.layers == was.layers;
         let kept = all.iter().zip(&before).filter(stays).map(|(w, _)| w.clone());
-        assert_eq!(gaps(&kept.collect::<Vec<_>>()), [], "{counts:?}: one that is needed moved");
-        // When it is over one may be relieved, and nobody else moves.
+        assert_eq!(gaps(&kept.collect::<Vec<_>>()), [], "{counts:?}: a needed worker moved");
+        // When the limit ends, at most one more round of moves follows.
         all.iter_mut().for_each(|w| w.limited = false);
-        assert!(settle(&mut all) <= 1, "{counts:?}");
+        assert!(apply_until_stable(&mut all) <= 1, "{counts:?}");
     }
 }
 
-/// Dealing all layers out anew costs more than a limit, which may be over before they are loaded.
+/// Redistributing layers costs more than a limit, which may end before they are loaded.
 #[test]
-fn nobody_moves_for_a_limit_where_none_can_be_spared() {
+fn a_limit_moves_no_worker_if_none_is_spare() {
     let mut all = workers([0, 4, 0, 0]);
-    settle(&mut all);
+    apply_until_stable(&mut all);
     all[0].limited = true;
-    assert_eq!(settle(&mut all), 0);
+    assert_eq!(apply_until_stable(&mut all), 0);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever is lost or added, layers are covered if they can be, memory is kept, and moves end.
+    /// After any losses and additions, layers are covered if memory allows, no worker exceeds its
+    /// memory, and the layout stabilizes.
     #[test]
-    fn any_losses_and_additions_settle(
+    fn layouts_stabilize_after_any_losses_and_additions(
         counts in [0_usize..3, 0_usize..4, 0_usize..9, 0_usize..9],
         changes in prop::collection::vec((any::<prop::sample::Index>(), 0_usize..4, any::<bool>()), 0..8),
     ) {
         let mut workers = workers(counts);
-        settle(&mut workers);
+        apply_until_stable(&mut workers);
         for (i, (at, kind, add)) in changes.into_iter().enumerate() {
             match add {
                 true => workers.push(Worker {
@@ -324,7 +338,7 @@
                     workers.remove(lost);
                 }
             }
-            settle(&mut workers);
+            apply_until_stable(&mut workers);
             let most: u32 = workers.iter().map(|w| model().fits(&w.card, 5_000.0)).sum();
             if most >= 80 {
                 prop_assert_eq!(gaps(&workers), []);
--- a/crates/policy/tests/layout_large_domain.rs
+++ b/crates/policy/tests/layout_large_domain.rs
@@ -1,10 +1,10 @@
 //! Layouts of a failure domain with far more workers than its requests need.
 //!
-//! The pattern: 608 workers of four cards before forty streams a second, which a few chains bear. Laid out in whole, the
-//! domain costs an order for each worker, and afterwards a question a second and a place in every search for a path. Chains
-//! follow what requests hold instead.
+//! 608 workers with four kinds of cards serve forty streams per second, for which a few chains
+//! suffice. If all workers were used, each would cost an order, a poll per second and a place in
+//! every path search. The number of chains follows the tokens held by requests instead.
 
-#![allow(clippy::unwrap_used, clippy::panic, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, clippy::panic, reason = "a failure here fails the test")]
 
 mod common;
 
@@ -15,8 +15,8 @@
 const LAYERS: u32 = 80;
 /// Workers of each card of one domain: h100, a100s, l4, t4.
 const DOMAIN: [usize; 4] = [14, 81, 216, 297];
-/// Tokens that a domain's requests hold with its usual traffic: forty streams a second of 2.5 s and 900 tokens.
-const USUAL_TOKENS: f64 = 90_000.0;
+/// Tokens held by requests at typical traffic: forty streams per second of 2.5 s and 900 tokens.
+const TYPICAL_TOKENS: f64 = 90_000.0;
 
 fn cards() -> [Card; 4] {
     let card = |n: &str, memory_mb, pace, read| Card { name: name(n), memory_mb, pace, read };
@@ -66,8 +66,8 @@
     cards.iter().zip(DOMAIN).flat_map(of).collect()
 }
 
-/// Carries out all orders until none is left; gives their number.
-fn settle(workers: &mut [Worker]) -> usize {
+/// Applies plans until nothing changes; returns the number of orders.
+fn apply_until_stable(workers: &mut [Worker]) -> usize {
     let mut orders = 0;
     for _ in 0..60 {
         let plan = plan_layout(&model(), workers);
@@ -79,54 +79,54 @@
             workers.iter_mut().find(|w| w.engine == a.engine).unwrap().layers = a.layers;
         }
     }
-    panic!("moves without end");
+    panic!("layout does not stabilize");
 }
 
-fn fewest(workers: &[Worker]) -> usize {
+fn min_copies(workers: &[Worker]) -> usize {
     copy_counts(LAYERS, workers.iter().map(|w| w.layers)).into_iter().min().unwrap()
 }
 
-/// Spreads tokens of requests over the chains.
+/// Distributes tokens of requests evenly over the chains.
 fn hold(workers: &mut [Worker], tokens: f64) {
-    let chains = fewest(workers) as f64;
+    let chains = min_copies(workers) as f64;
     for w in workers {
         w.held_tokens = if w.layers.count() > 0 { tokens / chains } else { 0.0 };
     }
 }
 
 #[test]
-fn orders_follow_what_requests_need_and_not_the_number_of_workers() {
+fn orders_follow_demand_and_not_the_number_of_workers() {
     for times in [1, 2] {
         let mut workers = domain(times);
-        let orders = settle(&mut workers);
-        let chains = fewest(&workers);
+        let orders = apply_until_stable(&mut workers);
+        let chains = min_copies(&workers);
         println!("{} workers: {orders} orders, {chains} copies", workers.len());
         assert!(orders <= workers.len() / times / 4, "{orders} orders");
         assert!(chains >= 10, "{chains} copies");
-        // Room for ten times the usual traffic.
-        assert!(chains as f64 * 150_000.0 >= 10.0 * USUAL_TOKENS);
-        hold(&mut workers, USUAL_TOKENS);
-        assert_eq!(settle(&mut workers), 0, "the usual traffic asks for none");
+        // Capacity for ten times the typical traffic.
+        assert!(chains as f64 * 150_000.0 >= 10.0 * TYPICAL_TOKENS);
+        hold(&mut workers, TYPICAL_TOKENS);
+        assert_eq!(apply_until_stable(&mut workers), 0, "typical traffic needs no further order");
     }
 }
 
 #[test]
-fn chains_are_added_as_requests_hold_more_and_none_is_lost_with_its_workers() {
+fn chains_are_added_with_demand_and_rebuilt_after_losses() {
     let mut workers = domain(1);
-    settle(&mut workers);
-    let before = fewest(&workers);
-    hold(&mut workers, 5.0 * USUAL_TOKENS);
-    settle(&mut workers);
-    let after = fewest(&workers);
+    apply_until_stable(&mut workers);
+    let before = min_copies(&workers);
+    hold(&mut workers, 5.0 * TYPICAL_TOKENS);
+    apply_until_stable(&mut workers);
+    let after = min_copies(&workers);
     assert!(after > before, "{before} to {after}");
     hold(&mut workers, 0.0);
-    assert_eq!(settle(&mut workers), 0, "they stay when traffic falls");
-    // A third of those that hold layers are lost at once.
+    assert_eq!(apply_until_stable(&mut workers), 0, "chains are kept when traffic falls");
+    // A third of the workers with layers are lost at once.
     let mut held = 0;
     workers.retain(|w| {
         held += usize::from(w.layers.count() > 0);
         w.layers.count() == 0 || held % 3 != 0
     });
-    settle(&mut workers);
-    assert!(fewest(&workers) >= before - 1, "{}", fewest(&workers));
+    apply_until_stable(&mut workers);
+    assert!(min_copies(&workers) >= before - 1, "{}", min_copies(&workers));
 }
--- a/crates/policy/tests/layout_whole_fleet.rs
+++ b/crates/policy/tests/layout_whole_fleet.rs
@@ -1,11 +1,12 @@
 //! Layouts of failure domains with memory for several copies of the model, and the load they take.
 //!
-//! The pattern: traffic half as large again as usual, for longer than streams last, with any one engine lost.
-//! A domain that is laid out once is at its knee with its usual traffic and refuses a third of that. Grounds
-//! for the figures: 293 requests a second over three domains, 87 in 100 of them streams of 764 tokens
-//! in and 232 out on average; cards and cost of steps as the operators declare them.
+//! Guards against refusals at 1.5 times the typical traffic, lasting longer than a stream, and at
+//! typical traffic with any one engine lost. A domain with a single chain is saturated by its
+//! typical traffic and refuses a third of the higher load. The figures assume 293 requests per
+//! second over three domains, 87 % of them streams with 764 prompt and 232 answer tokens on
+//! average; cards and step costs are as declared by operators.
 
-#![allow(clippy::unwrap_used, clippy::panic, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, clippy::panic, reason = "a failure here fails the test")]
 
 mod common;
 
@@ -19,10 +20,10 @@
 };
 
 const LAYERS: u32 = 80;
-/// Streams that a domain is asked for each second: its third of 255.
-const USUAL: f64 = 85.0;
-/// Share of an engine's room that is given away.
-const FULL: f64 = 0.95;
+/// Streams per second that arrive at a domain: a third of 255.
+const TYPICAL_STREAMS: f64 = 85.0;
+/// Share of an engine's token capacity above which it counts as full.
+const FULL_SHARE: f64 = 0.95;
 /// Cards of each kind in the three domains.
 const DOMAINS: [[usize; 3]; 3] = [[2, 15, 12], [4, 6, 14], [2, 9, 22]];
 
@@ -69,18 +70,18 @@
     }
 }
 
-/// A domain's workers as they settle from nothing.
+/// Workers of a domain after its initial layout.
 fn domain(counts: [usize; 3]) -> Vec<Worker> {
     let cards = cards();
     let of = |(card, count): (&Card, usize)| -> Vec<Worker> {
         (0..count).map(|i| worker(&format!("{}-{i:02}", card.name), card)).collect()
     };
     let mut workers: Vec<Worker> = cards.iter().zip(counts).flat_map(of).collect();
-    settle(&mut workers);
+    apply_until_stable(&mut workers);
     workers
 }
 
-fn settle(workers: &mut [Worker]) {
+fn apply_until_stable(workers: &mut [Worker]) {
     for _ in 0..60 {
         let plan = plan_layout(&model(), workers);
         if plan.is_empty() {
@@ -88,7 +89,7 @@
         }
         apply(workers, &plan);
     }
-    panic!("moves without end: {workers:?}");
+    panic!("layout does not stabilize: {workers:?}");
 }
 
 fn apply(workers: &mut [Worker], plan: &[Assignment]) {
@@ -103,7 +104,7 @@
     workers.iter().filter(holds).count()
 }
 
-fn fewest_copies(workers: &[Worker]) -> usize {
+fn min_copies(workers: &[Worker]) -> usize {
     (0..LAYERS).map(|l| copies(workers, l)).min().unwrap()
 }
 
@@ -111,7 +112,7 @@
     workers.iter().filter(|w| w.layers.count() == 0).count()
 }
 
-/// Streams through a domain's engines: what each engine holds, and when streams end.
+/// Streams running on a domain's engines: tokens held by each engine, and when streams end.
 struct Load<'a> {
     workers: &'a [Worker],
     held: HashMap<Name, f64>,
@@ -119,9 +120,9 @@
 }
 
 impl Load<'_> {
-    fn links(&self, tokens: f64) -> Vec<ChainEngine> {
+    fn engines(&self, tokens: f64) -> Vec<ChainEngine> {
         let model = model();
-        let link = |w: &Worker| {
+        let engine = |w: &Worker| {
             let held = self.held.get(&w.engine).copied().unwrap_or(0.0);
             let share = (held + tokens) / model.room(&w.card, w.layers.count());
             let entry = EngineEntry {
@@ -135,7 +136,7 @@
                 layers: w.layers,
                 born: None,
             };
-            let full = share > FULL;
+            let full = share > FULL_SHARE;
             ChainEngine {
                 entry: Arc::new(entry),
                 card: w.card.clone(),
@@ -146,19 +147,19 @@
                 deprioritized: false,
             }
         };
-        self.workers.iter().filter(|w| w.layers.count() > 0).map(link).collect()
+        self.workers.iter().filter(|w| w.layers.count() > 0).map(engine).collect()
     }
 
-    /// Whether a stream that comes at `now` finds a path with room; it runs if it does.
+    /// Starts a stream at `now` if there is a path with capacity; returns whether it started.
     fn admit(&mut self, now: f64) -> bool {
         let model = model();
         let tokens = model.usual_prompt + model.usual_answer / 2.0;
         self.end(now, tokens);
         let (home, service) = (name("home"), name("llm"));
         let search = ChainQuery { model: &model, name: &service, home: &home, current: None };
-        let links = self.links(tokens);
-        let Some((path, _)) = find_chain(&search, &links) else { return false };
-        let of = |engine: &Name| links.iter().find(|l| &l.entry.id == engine).unwrap();
+        let engines = self.engines(tokens);
+        let Some((path, _)) = find_chain(&search, &engines) else { return false };
+        let of = |engine: &Name| engines.iter().find(|l| &l.entry.id == engine).unwrap();
         if path.stages().iter().any(|s| of(&s.engine).full) {
             return false;
         }
@@ -186,31 +187,31 @@
     }
 }
 
-/// Share of streams that find no room, of 12 seconds at so many times the usual traffic.
+/// Share of streams refused in 12 seconds at `times` the typical traffic.
 fn refused(workers: &[Worker], times: f64) -> f64 {
     let mut load = Load { workers, held: HashMap::new(), running: Vec::new() };
-    let asked = (USUAL * times * 12.0) as u32;
-    let every = 1.0 / (USUAL * times);
+    let asked = (TYPICAL_STREAMS * times * 12.0) as u32;
+    let every = 1.0 / (TYPICAL_STREAMS * times);
     let taken = (0..asked).filter(|i| load.admit(f64::from(*i) * every)).count();
     1.0 - taken as f64 / f64::from(asked)
 }
 
 #[test]
-fn memory_for_further_copies_holds_further_chains() {
+fn memory_for_further_copies_is_used_for_further_chains() {
     for counts in DOMAINS {
         let workers = domain(counts);
         let most = (workers.len() as f64 * 0.15).ceil() as usize;
         assert!(empty(&workers) <= most, "{counts:?}: {} empty", empty(&workers));
-        let fewest = fewest_copies(&workers);
+        let fewest = min_copies(&workers);
         assert!(fewest >= 2, "{counts:?}: a layer has {fewest} copies");
         let held = workers.iter().map(|w| (&w.engine, w.card.pace, w.layers));
         let used = primaries(LAYERS, held).len();
-        assert!(used * 3 > workers.len(), "{counts:?}: requests run through {used}");
+        assert!(used * 3 > workers.len(), "{counts:?}: {used} primaries");
     }
 }
 
 #[test]
-fn half_as_much_again_as_usual_finds_room() {
+fn one_and_a_half_times_the_typical_load_is_admitted() {
     for counts in DOMAINS {
         let share = refused(&domain(counts), 1.5);
         assert!(share < 0.01, "{counts:?}: {share:.3} refused");
@@ -218,7 +219,7 @@
 }
 
 #[test]
-fn the_usual_load_finds_room_while_any_engine_is_lost() {
+fn the_typical_load_is_admitted_with_any_engine_lost() {
     for counts in DOMAINS {
         let whole = domain(counts);
         for lost in (0..whole.len()).step_by(3) {
@@ -230,34 +231,34 @@
     }
 }
 
-/// Engines crash and come back empty; what they held is thin meanwhile.
+/// Engines crash and restart empty, which leaves their layers with few copies.
 #[test]
-fn engines_that_come_back_empty_hold_layers_again() {
+fn engines_that_restart_empty_are_assigned_layers_again() {
     for counts in DOMAINS {
         let mut workers = domain(counts);
-        let before = (fewest_copies(&workers), empty(&workers));
+        let before = (min_copies(&workers), empty(&workers));
         for w in workers.iter_mut().step_by(4) {
             w.layers = LayerRange::new(0, 0);
         }
-        settle(&mut workers);
-        let after = (fewest_copies(&workers), empty(&workers));
+        apply_until_stable(&mut workers);
+        let after = (min_copies(&workers), empty(&workers));
         assert!(after.0 >= before.0.min(2) && after.1 <= before.1, "{counts:?}: {after:?}");
     }
 }
 
-/// Whatever is lost, no layer stays two copies thinner than all the layers of a worker that could hold it.
+/// After losses, no layer has two copies fewer than all layers of a worker that could hold it.
 #[test]
-fn layers_thinned_by_losses_are_held_by_workers_that_can_be_spared() {
+fn layers_with_few_copies_after_losses_are_assigned_to_spare_workers() {
     for counts in DOMAINS {
         for first in 0..6 {
             let mut workers = domain(counts);
-            // Engines that fail together come in threes.
+            // Three engines fail together.
             for step in 0..3 {
                 let lost = (first + 3 * step) % workers.len();
                 workers.remove(lost);
             }
-            settle(&mut workers);
-            let few = fewest_copies(&workers);
+            apply_until_stable(&mut workers);
+            let few = min_copies(&workers);
             let spared = |w: &&Worker| {
                 w.layers.count() > 0
                     && (w.layers.first..w.layers.end).all(|l| copies(&workers, l) >= few + 2)
@@ -271,15 +272,15 @@
 }
 
 #[test]
-fn a_model_without_layers_asks_for_nothing() {
+fn a_model_without_layers_gets_no_assignments() {
     let cards = cards();
     let workers = [worker("a", &cards[0]), worker("b", &cards[1]), worker("c", &cards[2])];
     assert_eq!(plan_layout(&LayeredModel { layers: 0, ..model() }, &workers), []);
 }
 
-/// The same workers in any order give the same layout, so that a planner's successor moves nothing.
+/// The order of workers does not matter, so that a new planner moves nothing.
 #[test]
-fn a_layout_that_stands_is_left_alone() {
+fn a_stable_layout_is_not_changed() {
     for counts in DOMAINS {
         let mut workers = domain(counts);
         assert_eq!(plan_layout(&model(), &workers), []);
@@ -288,9 +289,9 @@
     }
 }
 
-/// 600 engines in five domains: what a planner works out each 150 ms, and every node with each new list.
+/// 600 engines in five domains: a planner computes this every 150 ms, each node for every new list.
 #[test]
-#[ignore = "prints times; run by hand with --release"]
+#[ignore = "prints timings; run manually with --release"]
 fn times_at_six_hundred_engines() {
     let start = std::time::Instant::now();
     let mut workers = domain([10, 40, 70]);
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,6 +1,6 @@
-//! Splits and plans, small ones against the exact optimum.
+//! Splits and placement plans; small splits are compared with the exact optimum.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failure here fails the test")]
 
 mod common;
 
@@ -43,7 +43,8 @@
     engines
 }
 
-/// Slowest stage of the best of all ways to give `layers` to these engines, each at least one.
+/// Time of the slowest stage in the best split of `layers`, at least one per engine, by exhaustive
+/// search.
 fn exact(engines: &[&Capable], layers: u32) -> Option<u64> {
     let Some((first, rest)) = engines.split_first() else {
         return (layers == 0).then_some(0);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_lost_stage_is_given_to_the_idle_engine_and_nothing_else_moves() {
+fn a_lost_stage_moves_to_an_idle_engine_and_nothing_else_moves() {
     let engines =
         [engine(0, 1_000, Some(("m", 0, 4))), engine(2, 1_000, None), engine(3, 1_000, None)];
     let moves = plan_placement(&[wanted("m", 8, 1.0)], &engines);
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn without_idle_engines_a_spare_replica_is_taken_from_plenty() {
+fn without_idle_engines_a_replica_of_the_model_with_most_headroom_moves() {
     let engines = [
         engine(0, 1_000, Some(("rich", 0, 4))),
         engine(1, 1_000, Some(("rich", 0, 4))),
@@ -96,13 +97,13 @@
 }
 
 #[test]
-fn the_last_holder_of_a_layer_is_never_taken_away() {
+fn the_last_holder_of_a_layer_is_never_moved() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4)))];
     assert_eq!(plan_placement(&[wanted("m", 4, 0.1), wanted("other", 4, 100.0)], &engines), vec![]);
 }
 
 #[test]
-fn idle_engines_go_to_what_is_most_in_need() {
+fn idle_engines_go_to_the_model_with_least_headroom() {
     let engines = [
         engine(0, 1_000, Some(("quiet", 0, 4))),
         engine(1, 1_000, Some(("busy", 0, 4))),
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn engines_that_routes_do_not_admit_are_left_alone() {
+fn engines_that_routes_do_not_allow_are_not_used() {
     let engines = [engine(0, 1_000, None), engine(1, 1_000, None)];
     let mut w = wanted("m", 4, 1.0);
     w.allowed = Some([name("e1")].into());
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn a_settled_fleet_is_left_as_it_is() {
+fn a_complete_placement_is_not_changed() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4))), engine(1, 1_000, Some(("m", 4, 8)))];
     assert_eq!(plan_placement(&[wanted("m", 8, 5.0)], &engines), vec![]);
 }
@@ -131,7 +132,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Splits over up to four engines are as good as the best of all with as few engines.
+    /// Splits over up to four engines use the fewest engines and are optimal for that number.
     #[test]
     fn splits_are_optimal(
         engines in proptest::collection::vec((1_u32..6, 1_u64..50, 0_u64..100), 1..5),
@@ -158,7 +159,7 @@
         }
     }
 
-    /// A plan covers a model whenever idle engines have the memory, and never uncovers another.
+    /// A plan covers a model whenever idle engines have enough memory, and opens no gap in another.
     #[test]
     fn plans_cover_and_never_uncover(
         memories in proptest::collection::vec(100_u64..1_500, 1..8),
@@ -178,7 +179,7 @@
     }
 }
 
-/// A model with a gap still has replicas to spare: the gap does not make every layer precious.
+/// Replicas of a model can be moved although the model itself has a gap.
 #[test]
 fn a_spare_replica_closes_a_gap_of_its_own_model() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4))), engine(1, 1_000, Some(("m", 0, 4)))];
