--- a/crates/heathpitchd/src/snapshot.rs
+++ b/crates/heathpitchd/src/snapshot.rs
@@ -15,7 +15,7 @@
     pub(crate) nodes: u32,
     /// Share of its limits that each account with demand has on this node.
     pub(crate) shares: HashMap<u64, f64>,
-    /// HealthStatus of each listed upstream.
+    /// Health status of each listed upstream.
     pub(crate) upstreams: Vec<(Name, HealthStatus)>,
     /// Number of the list of VMs.
     pub(crate) list: Revision,
--- a/crates/policy/src/account_limiter.rs
+++ b/crates/policy/src/account_limiter.rs
@@ -85,9 +85,7 @@
         u.last_used = now;
         let streams = account.streams.map(|s| (f64::from(s) * share).ceil().max(1.0) as u32);
         match streams {
-            Some(s) if u.open >= s => {
-                return Err(LimitExceeded::Streams { retry_after: RETRY_MS });
-            }
+            Some(s) if u.open >= s => return Err(LimitExceeded::Streams { retry_after: RETRY_MS }),
             _ => {}
         }
         if let Some(rate) = account.rate.map(|r| r * share) {
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -164,8 +164,8 @@
             let fits = |i: &usize| capable(&self.engines[*i], w).room > 0;
             let fastest = idle.into_iter().filter(fits).min_by_key(|i| self.engines[*i].layer);
             let Some(at) = fastest else { return };
-            let room = capable(&self.engines[at], w).room;
-            let layers = self.least_served(model, room);
+            let max_layers = capable(&self.engines[at], w).room;
+            let layers = self.least_served(model, max_layers);
             let engine = self.engines[at].engine.clone();
             self.place(&engine, model, layers, MoveReason::Idle);
         }
@@ -190,8 +190,8 @@
             holds && capable(e, poor).room > 0 && self.can_spare(*i)
         };
         let Some(at) = (0..self.engines.len()).find(gives) else { return };
-        let room = capable(&self.engines[at], poor).room;
-        let layers = self.least_served(model, room);
+        let max_layers = capable(&self.engines[at], poor).room;
+        let layers = self.least_served(model, max_layers);
         let engine = self.engines[at].engine.clone();
         self.place(&engine, model, layers, MoveReason::Balance);
     }
@@ -209,18 +209,18 @@
         !self.wanted.iter().any(same)
     }
 
-    /// An engine whose model keeps a path without it, of the model with most plenty.
+    /// An engine that its model can spare, from the model with the most headroom.
     fn next_spare(&self, taken: &[usize], w: &ModelDemand) -> Option<usize> {
-        let plenty = |i: &usize| {
+        let headroom = |i: &usize| {
             let name = self.engines[*i].holding.as_ref().map(|h| &h.model);
             let of = self.wanted.iter().find(|w| Some(&w.model.name) == name);
             of.map_or(f64::INFINITY, |w| self.headroom(w))
         };
-        let free = |i: &usize| {
+        let usable = |i: &usize| {
             !taken.contains(i) && capable(&self.engines[*i], w).room > 0 && self.can_spare(*i)
         };
-        let spare = (0..self.engines.len()).filter(free);
-        spare.max_by(|a, b| plenty(a).total_cmp(&plenty(b)))
+        let spare = (0..self.engines.len()).filter(usable);
+        spare.max_by(|a, b| headroom(a).total_cmp(&headroom(b)))
     }
 
     fn can_spare(&self, at: usize) -> bool {
@@ -251,8 +251,8 @@
         self.engines.iter().filter_map(of).sum()
     }
 
-    /// The layers with the least capacity, at most `room` of them; the range of a stage if it fits.
-    fn least_served(&self, model: &Model, room: u32) -> LayerRange {
+    /// The layers with the least capacity, at most `max_layers` of them; the range of a stage if it fits.
+    fn least_served(&self, model: &Model, max_layers: u32) -> LayerRange {
         let capacity = |l: &u32| self.capacity(model, *l);
         let layer =
             (0..model.layers).min_by(|a, b| capacity(a).total_cmp(&capacity(b))).unwrap_or(0);
@@ -260,8 +260,8 @@
         let around = stages.filter(|h| holds_layer(h, model, layer)).map(|h| h.layers);
         let smallest = around.min_by_key(|l| l.count());
         match smallest {
-            Some(l) if l.count() <= room => l,
-            _ => LayerRange::new(layer, (layer + room).min(model.layers)),
+            Some(l) if l.count() <= max_layers => l,
+            _ => LayerRange::new(layer, (layer + max_layers).min(model.layers)),
         }
     }
 
--- a/crates/policy/tests/chain.rs
+++ b/crates/policy/tests/chain.rs
@@ -157,14 +157,14 @@
         engine("b", "east", (4, 8), 1.0),
         engine("c", "east", (8, 12), 2.0),
         engine("fast", "east", (8, 12), 1.0),
-        engine("standby", "east", (4, 8), 1.0),
+        engine("stand-in", "east", (4, 8), 1.0),
     ];
     let kept = [engines[0].clone(), engines[1].clone(), engines[2].clone()];
     let (running, _) = find_chain(&search(&model, &home, None), &kept).unwrap();
     let left: Vec<ChainEngine> =
         engines.iter().filter(|l| l.entry.id != name("b")).cloned().collect();
     let (path, _) = find_chain(&search(&model, &home, Some(&running)), &left).unwrap();
-    assert_eq!(shown(&path), ["a=0..4", "standby=4..8", "c=8..12"]);
+    assert_eq!(shown(&path), ["a=0..4", "stand-in=4..8", "c=8..12"]);
     let without_first = &engines[1..];
     assert!(find_chain(&search(&model, &home, Some(&running)), without_first).is_none());
 }
--- a/crates/policy/tests/idempotency.rs
+++ b/crates/policy/tests/idempotency.rs
@@ -44,7 +44,7 @@
 
 #[test]
 fn an_unused_key_stays_not_dispatched_after_evictions() {
-    let (a, b, unused) = (name("a"), name("b"), name("unused"));
+    let (a, b, unused) = (name("a"), name("b"), name("minted"));
     let mut table = IdempotencyTable::with_capacity(2);
     for key in [&a, &b] {
         answer(&mut table, key);
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -260,8 +260,8 @@
             }
             apply_until_stable_large(&mut left);
             assert_eq!(gaps(&left), [], "{counts:?} from {first}");
-            let room = min_token_capacity_large(&left);
-            assert!(room >= 95_000.0, "{counts:?} from {first}: {room}");
+            let capacity = min_token_capacity_large(&left);
+            assert!(capacity >= 95_000.0, "{counts:?} from {first}: {capacity}");
         }
     }
 }
