--- a/crates/policy/src/layout_copies.rs
+++ b/crates/policy/src/layout_copies.rs
@@ -79,7 +79,7 @@
         copy_counts(self.model.layers, self.workers.iter().map(|w| w.layers))
     }
 
-    /// Best start of a range of `max_layers` layers that includes layers with `few` copies or fewer.
+    /// Best start of a range of `max_layers` layers that includes any with at most `few` copies.
     fn least_copied(&self, max_layers: u32, few: usize, copies: &[usize]) -> Option<u32> {
         if max_layers == 0 {
             return None;
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Assigns idle engines to the layers with the least capacity of the model with the least headroom.
+    /// Assigns idle engines to the layers with the least capacity, of the model with the least
+    /// headroom.
     fn use_idle(&mut self) {
         loop {
             let idle: Vec<usize> = self.idle().collect();
@@ -251,7 +252,8 @@
         self.engines.iter().filter_map(of).sum()
     }
 
-    /// The layers with the least capacity, at most `max_layers` of them; the range of a stage if it fits.
+    /// The layers with the least capacity, at most `max_layers` of them; the range of an existing
+    /// stage if it fits.
     fn least_served(&self, model: &Model, max_layers: u32) -> LayerRange {
         let capacity = |l: &u32| self.capacity(model, *l);
         let layer =
--- a/crates/policy/tests/chain.rs
+++ b/crates/policy/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Chains are complete and cheapest, prefer the home domain, and keep the stages of running requests.
+//! Chains are complete and cheapest, prefer the home domain, and keep stages of running requests.
 
 #![allow(clippy::unwrap_used, reason = "a failure here fails the test")]
 
