--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,7 +1,8 @@
 //! Which upstreams may take new work.
 //!
-//! The platform's list, the engine's own reports and failures seen here disagree and lag. Any one
-//! of them is enough to keep new work away; coming back needs a newer word from the same source.
+//! The platform's list, the engines' reports and failures seen by this node lag and may disagree.
+//! Any one of them suffices to exclude an upstream; including it again needs newer information from
+//! the same source.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,37 +13,36 @@
 use crate::{EngineReport, Fleet, Gauge, ServiceView, Upstream};
 
 /// Failed polls in a row after which an upstream is down.
-const MAX_FAILS: u32 = 2;
-/// Time without any report after which an upstream is down, milliseconds. Long, since at the design's
-/// size a node hears of a far engine only every other minute; failures are noticed by polls and
-/// requests.
-const SILENCE: Millis = 300_000;
+const MAX_FAILED_POLLS: u32 = 2;
+/// Time without any report after which an upstream is down. In large fleets a node receives reports
+/// of remote engines only every two minutes; failures are detected by polls and requests.
+const SILENCE_MS: Millis = 300_000;
 
-/// Something heard about an upstream.
+/// Information about an upstream.
 #[derive(Clone, Debug)]
 pub enum HealthEvent {
-    /// The platform's list of VMs, with its number.
+    /// The platform's list of VMs, with its revision.
     Listed(Revision, Vec<Vm>),
-    /// A report that the engine itself gave to this node.
+    /// A report that this node got from the engine itself.
     Polled(EngineReport),
-    /// A report that a peer passed on: the engine lives, but may not be reached from here.
-    Passed(EngineReport),
-    /// A poll that failed.
+    /// A report relayed by a peer: the engine is alive, but may be unreachable from this node.
+    Relayed(EngineReport),
+    /// A failed poll.
     PollFailed(Name),
-    /// A request that failed there.
+    /// A failed request.
     RequestFailed(Name),
 }
 
 /// Whether an upstream may take new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It may.
+pub enum HealthStatus {
+    /// It may take new work.
     Up,
-    /// It has not been heard yet.
+    /// It has not reported yet.
     New,
-    /// It is silent or fails.
+    /// It does not report, or polls fail.
     Down,
-    /// It will stop.
+    /// It is about to stop.
     Leaving,
 }
 
@@ -51,12 +51,12 @@
     vm: Arc<Vm>,
     report: Option<Arc<EngineReport>>,
     seen: Millis,
-    then: u32,
+    open_at_report: u32,
     fails: u32,
     gauge: Arc<Gauge>,
 }
 
-/// The standing of every listed upstream.
+/// The status of every listed upstream.
 ///
 /// # Examples
 ///
@@ -75,19 +75,19 @@
 
 /// # Construction and reading
 impl Health {
-    /// Health of nothing.
+    /// Without upstreams.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Number of the newest list.
+    /// Revision of the newest list.
     pub fn list(&self) -> Revision {
         self.list
     }
 
-    /// Standing of an upstream, if it is listed.
-    pub fn standing(&self, name: &str, now: Millis) -> Option<Standing> {
-        self.entries.get(name).map(|e| e.standing(now))
+    /// Status of an upstream, if it is listed.
+    pub fn status(&self, name: &str, now: Millis) -> Option<HealthStatus> {
+        self.entries.get(name).map(|e| e.status(now))
     }
 
     /// Upstreams to poll.
@@ -95,13 +95,13 @@
         self.entries.values().map(|e| &e.vm)
     }
 
-    /// Upstreams that may take new work, with their reports.
+    /// Upstreams that may take new work, with their latest reports.
     pub fn up(&self, now: Millis) -> impl Iterator<Item = (&Arc<Vm>, &Arc<EngineReport>)> {
-        let up = self.entries.values().filter(move |e| e.standing(now) == Standing::Up);
+        let up = self.entries.values().filter(move |e| e.status(now) == HealthStatus::Up);
         up.filter_map(|e| Some((&e.vm, e.report.as_ref()?)))
     }
 
-    /// Reports newest first by time of arrival, to pass on to peers.
+    /// Up to `most` latest reports, newest arrival first, to relay to peers.
     pub fn newest(&self, most: usize) -> Vec<Arc<EngineReport>> {
         let mut known: Vec<_> =
             self.entries.values().filter_map(|e| Some((e.seen, e.report.clone()?))).collect();
@@ -112,7 +112,7 @@
     /// The upstreams that may take new work at `now`.
     pub fn fleet(&self, now: Millis) -> Fleet {
         let mut fleet = Fleet::default();
-        for e in self.entries.values().filter(|e| e.standing(now) == Standing::Up) {
+        for e in self.entries.values().filter(|e| e.status(now) == HealthStatus::Up) {
             check(Violation::LeavingEngine, e.vm.state == VmState::Live);
             let Some(report) = &e.report else { continue };
             match &report.model {
@@ -131,7 +131,7 @@
 
 /// # Events
 impl Health {
-    /// Takes an event; true if the fleet may have changed.
+    /// Handles an event; true if the fleet may have changed.
     pub fn on(&mut self, event: HealthEvent, now: Millis) -> bool {
         match event {
             HealthEvent::Listed(number, _) if number <= self.list && on(Mechanism::ListOrder) => {
@@ -143,11 +143,11 @@
                 true
             }
             HealthEvent::Polled(report) => self.reported(report, now, true),
-            HealthEvent::Passed(report) => self.reported(report, now, false),
+            HealthEvent::Relayed(report) => self.reported(report, now, false),
             HealthEvent::PollFailed(name) => match self.entries.get_mut(&name) {
                 Some(e) => {
                     e.fails = e.fails.saturating_add(1);
-                    e.fails == MAX_FAILS
+                    e.fails == MAX_FAILED_POLLS
                 }
                 None => false,
             },
@@ -181,22 +181,22 @@
     fn reported(&mut self, report: EngineReport, now: Millis, reached: bool) -> bool {
         let Some(e) = self.entries.get_mut(&report.engine) else {
             let known = self.early.get(&report.engine);
-            let newer = known.is_none_or(|old| report.newer(old));
+            let newer = known.is_none_or(|old| report.is_newer_than(old));
             if newer && self.entries.is_empty() && self.early.len() < 1_024 {
                 self.early.insert(report.engine.clone(), report);
             }
             return false;
         };
-        let back = reached && e.fails >= MAX_FAILS;
+        let back = reached && e.fails >= MAX_FAILED_POLLS;
         if reached {
             e.fails = 0;
         }
         match &e.report {
-            Some(old) if !report.newer(old) => back,
+            Some(old) if !report.is_newer_than(old) => back,
             _ => {
                 e.report = Some(Arc::new(report));
                 e.seen = now;
-                e.then = e.gauge.count();
+                e.open_at_report = e.gauge.count();
                 true
             }
         }
@@ -206,17 +206,17 @@
 impl Entry {
     fn new(vm: Vm, now: Millis) -> Self {
         let gauge = Arc::new(Gauge::default());
-        Self { vm: Arc::new(vm), report: None, seen: now, then: 0, fails: 0, gauge }
+        Self { vm: Arc::new(vm), report: None, seen: now, open_at_report: 0, fails: 0, gauge }
     }
 
-    fn standing(&self, now: Millis) -> Standing {
+    fn status(&self, now: Millis) -> HealthStatus {
         match &self.report {
-            _ if self.vm.state == VmState::Leaving => Standing::Leaving,
-            Some(r) if r.leaving && on(Mechanism::DrainNotice) => Standing::Leaving,
-            None => Standing::New,
-            _ if self.fails >= MAX_FAILS => Standing::Down,
-            _ if now.saturating_sub(self.seen) > SILENCE => Standing::Down,
-            Some(_) => Standing::Up,
+            _ if self.vm.state == VmState::Leaving => HealthStatus::Leaving,
+            Some(r) if r.leaving && on(Mechanism::DrainNotice) => HealthStatus::Leaving,
+            None => HealthStatus::New,
+            _ if self.fails >= MAX_FAILED_POLLS => HealthStatus::Down,
+            _ if now.saturating_sub(self.seen) > SILENCE_MS => HealthStatus::Down,
+            Some(_) => HealthStatus::Up,
         }
     }
 
@@ -225,7 +225,7 @@
             vm: self.vm.clone(),
             report: report.clone(),
             seen: self.seen,
-            then: self.then,
+            open_at_report: self.open_at_report,
             gauge: self.gauge.clone(),
         }
     }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,13 +1,14 @@
-//! Splits and plans, small ones against the exact optimum.
+//! Splits and placement plans; small splits are compared with the exact optimum.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failure here fails the test")]
 
 mod common;
 
 use common::name;
 use heathpitch_core::{LayerRange, Model};
 use heathpitch_policy::{
-    EngineCapacity, Holding, Move, MoveReason, Placeable, Wanted, gaps, plan, split,
+    EngineCapacity, LoadedLayers, ModelDemand, Move, MoveReason, PlacementEngine, model_gaps,
+    plan_placement, split,
 };
 use proptest::prelude::*;
 
@@ -19,21 +20,21 @@
     Model { layer_mb: 100, ..Model::new(name(text), name("v1"), layers) }
 }
 
-fn wanted(text: &str, layers: u32, demand: f64) -> Wanted {
-    Wanted { model: model(text, layers), demand, allowed: None }
+fn wanted(text: &str, layers: u32, demand: f64) -> ModelDemand {
+    ModelDemand { model: model(text, layers), demand, allowed: None }
 }
 
-fn engine(i: usize, memory: u64, holding: Option<(&str, u32, u32)>) -> Placeable {
-    let hold = |(m, first, end)| Holding {
+fn engine(i: usize, memory: u64, holding: Option<(&str, u32, u32)>) -> PlacementEngine {
+    let hold = |(m, first, end)| LoadedLayers {
         model: name(m),
         version: name("v1"),
         layers: LayerRange::new(first, end),
     };
     let engine = name(&format!("e{i}"));
-    Placeable { engine, memory, layer: 100, link: 10, holding: holding.map(hold) }
+    PlacementEngine { engine, memory, layer: 100, link: 10, holding: holding.map(hold) }
 }
 
-fn after(engines: &[Placeable], moves: &[Move]) -> Vec<Placeable> {
+fn after(engines: &[PlacementEngine], moves: &[Move]) -> Vec<PlacementEngine> {
     let mut engines = engines.to_vec();
     for m in moves {
         let e = engines.iter_mut().find(|e| e.engine == m.engine).unwrap();
@@ -42,7 +43,8 @@
     engines
 }
 
-/// Slowest stage of the best of all ways to give `layers` to these engines, each at least one.
+/// Time of the slowest stage in the best split of `layers`, at least one per engine, by exhaustive
+/// search.
 fn exact(engines: &[&EngineCapacity], layers: u32) -> Option<u64> {
     let Some((first, rest)) = engines.split_first() else {
         return (layers == 0).then_some(0);
@@ -70,10 +72,10 @@
 }
 
 #[test]
-fn a_lost_stage_is_given_to_the_idle_engine_and_nothing_else_moves() {
+fn a_lost_stage_moves_to_an_idle_engine_and_nothing_else_moves() {
     let engines =
         [engine(0, 1_000, Some(("m", 0, 4))), engine(2, 1_000, None), engine(3, 1_000, None)];
-    let moves = plan(&[wanted("m", 8, 1.0)], &engines);
+    let moves = plan_placement(&[wanted("m", 8, 1.0)], &engines);
     assert_eq!(moves[0].holding.layers, LayerRange::new(4, 8));
     assert_eq!(moves[0].reason, MoveReason::Uncovered);
     assert_eq!(moves[0].megabytes, 400);
@@ -81,65 +83,64 @@
 }
 
 #[test]
-fn without_idle_engines_a_spare_replica_is_taken_from_plenty() {
+fn without_idle_engines_a_replica_of_the_model_with_most_headroom_moves() {
     let engines = [
         engine(0, 1_000, Some(("rich", 0, 4))),
         engine(1, 1_000, Some(("rich", 0, 4))),
         engine(2, 1_000, Some(("rich", 0, 4))),
     ];
-    let moves = plan(&[wanted("rich", 4, 1.0), wanted("poor", 4, 1.0)], &engines);
+    let moves = plan_placement(&[wanted("rich", 4, 1.0), wanted("poor", 4, 1.0)], &engines);
     assert_eq!(moves.len(), 1);
     assert_eq!(moves[0].holding.model, name("poor"));
     let rich = model("rich", 4);
-    assert!(gaps(&after(&engines, &moves), &rich).is_empty());
+    assert!(model_gaps(&after(&engines, &moves), &rich).is_empty());
 }
 
 #[test]
-fn the_last_holder_of_a_layer_is_never_taken_away() {
+fn the_last_holder_of_a_layer_is_never_moved() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4)))];
-    assert_eq!(plan(&[wanted("m", 4, 0.1), wanted("other", 4, 100.0)], &engines), vec![]);
+    assert_eq!(plan_placement(&[wanted("m", 4, 0.1), wanted("other", 4, 100.0)], &engines), vec![]);
 }
 
 #[test]
-fn idle_engines_go_to_what_is_most_in_need() {
+fn idle_engines_go_to_the_model_with_least_headroom() {
     let engines = [
         engine(0, 1_000, Some(("quiet", 0, 4))),
         engine(1, 1_000, Some(("busy", 0, 4))),
         engine(2, 1_000, None),
     ];
-    let moves = plan(&[wanted("quiet", 4, 1.0), wanted("busy", 4, 9.0)], &engines);
+    let moves = plan_placement(&[wanted("quiet", 4, 1.0), wanted("busy", 4, 9.0)], &engines);
     assert_eq!((moves.len(), &moves[0].holding.model), (1, &name("busy")));
 }
 
 #[test]
-fn engines_that_routes_do_not_admit_are_left_alone() {
+fn engines_that_routes_do_not_allow_are_not_used() {
     let engines = [engine(0, 1_000, None), engine(1, 1_000, None)];
     let mut w = wanted("m", 4, 1.0);
     w.allowed = Some([name("e1")].into());
-    let moves = plan(&[w], &engines);
+    let moves = plan_placement(&[w], &engines);
     assert!(!moves.is_empty());
     assert!(moves.iter().all(|m| m.engine == name("e1")));
 }
 
 #[test]
-fn a_settled_fleet_is_left_as_it_is() {
+fn a_complete_placement_is_not_changed() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4))), engine(1, 1_000, Some(("m", 4, 8)))];
-    assert_eq!(plan(&[wanted("m", 8, 5.0)], &engines), vec![]);
+    assert_eq!(plan_placement(&[wanted("m", 8, 5.0)], &engines), vec![]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Splits over up to four engines are as good as the best of all with as few engines.
-    #[test]
+/// Splits over up to four engines use the fewest engines and are optimal for that number.
+#[test]
     fn splits_are_optimal(
         engines in proptest::collection::vec((1_u32..6, 1_u64..50, 0_u64..100), 1..5),
         layers in 1_u32..12,
     ) {
         let all: Vec<EngineCapacity> = engines
             .iter()
-            .enumerate()
-            .map(|(i, (room, layer, link))| capable(i, *room, *layer, *link))
+            .enumerate().map(|(i, (room, layer, link))| capable(i, *room, *layer, *link))
             .collect();
         let mut best = None;
         for mask in 1_u32..1 << all.len() {
@@ -152,36 +153,38 @@
         }
         let got = split(&all, layers);
         prop_assert_eq!(got.as_ref().map(|s| (s.parts.len(), s.slowest)), best);
-        if let Some(s) = got {
+            if let Some(s) = got {
             prop_assert_eq!(s.parts.iter().map(|p| p.1).sum::<u32>(), layers);
-        }
-    }
+            }
+}
 
-    /// A plan covers a model whenever idle engines have the memory, and never uncovers another.
-    #[test]
+/// A plan covers a model whenever idle engines have enough memory, and opens no gap in another.
+#[test]
     fn plans_cover_and_never_uncover(
         memories in proptest::collection::vec(100_u64..1_500, 1..8),
         layers in 1_u32..20,
     ) {
-        let mut engines: Vec<Placeable> =
-            memories.iter().enumerate().map(|(i, m)| engine(i, *m, None)).collect();
+        let mut engines: Vec<PlacementEngine> =
+            memories.iter()
+            .enumerate().map(|(i, m)| engine(i, *m, None))
+            .collect();
         engines.push(engine(99, 2_000, Some(("held", 0, 4))));
         let both = [wanted("held", 4, 1.0), wanted("new", layers, 1.0)];
-        let moves = plan(&both, &engines);
+    let moves = plan_placement(&both, &engines);
         let then = after(&engines, &moves);
-        prop_assert!(gaps(&then, &both[0].model).is_empty());
+        prop_assert!(model_gaps(&then, &both[0].model).is_empty());
         let room: u64 = memories.iter().map(|m| m / 100).sum();
-        prop_assert_eq!(gaps(&then, &both[1].model).is_empty(), room >= u64::from(layers));
+        prop_assert_eq!(model_gaps(&then, &both[1].model).is_empty(), room >= u64::from(layers));
         let twice: std::collections::BTreeSet<_> = moves.iter().map(|m| &m.engine).collect();
         prop_assert_eq!(twice.len(), moves.len());
-    }
+            }
 }
 
-/// A model with a gap still has replicas to spare: the gap does not make every layer precious.
+/// Replicas of a model can be moved although the model itself has a gap.
 #[test]
 fn a_spare_replica_closes_a_gap_of_its_own_model() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4))), engine(1, 1_000, Some(("m", 0, 4)))];
-    let moves = plan(&[wanted("m", 8, 1.0)], &engines);
+    let moves = plan_placement(&[wanted("m", 8, 1.0)], &engines);
     assert_eq!(moves.len(), 1);
     assert_eq!(moves[0].holding.layers, LayerRange::new(4, 8));
 }
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -14,9 +14,10 @@
     Strategy, Vm, VmRole, VmState, digest,
 };
 use heathpitch_policy::{
-    AdmissionControl, ClaimEntry, ClaimPage, Demand, EngineReport, EngineRole, Gauge, Health,
-    HealthEvent, Holding, Ledger, Member, MemberState, Members, Meter, PathRequest, Placeable,
-    PrefixIndex, Record, Upstream, Wanted, choose, plan,
+    AccountLimiter, AdmissionControl, ClaimEntry, ClaimPage, Demand, EngineReport, EngineRole,
+    Gauge, Health, HealthEvent, IdempotencyTable, LoadedLayers, Member, MemberState, Members,
+    ModelDemand, PathRequest, PlacementEngine, PrefixIndex, StoredAnswer, Upstream, choose,
+    plan_placement,
 };
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -126,7 +127,7 @@
                 vm: Arc::new(vm(i)),
                 report: Arc::new(report(i, &model.name, stage(i))),
                 seen: 900,
-                then: 0,
+                open_at_report: 0,
                 gauge: Arc::new(Gauge::default()),
             })
             .collect();
@@ -236,10 +237,10 @@
 fn demand() {
     for accounts in [10, 500, 2_000, 5_500] {
         let mut of = demanded(accounts);
-        let (round, told) = of.tell();
+        let (round, told) = of.values();
         let ns = time(50, || {
-            of.hear(round, &told);
-            black_box(of.tell());
+            of.merge(round, &told);
+            black_box(of.values());
         });
         row("exchange of demand, accounts", accounts, ns, memory(100, || demanded(accounts)));
     }
@@ -273,18 +274,19 @@
             })
             .collect();
         let make = || {
-            let (mut meter, mut gate) = (Meter::new(), AdmissionControl::new());
+            let (mut limiter, mut gate) = (AccountLimiter::new(), AdmissionControl::new());
             for a in &all {
-                let _ = (meter.open(a, 1.0, 0), gate.admit(a, Default::default(), 1 << 20));
+                let _ = (limiter.admit(a, 1.0, 0), gate.admit(a, Default::default(), 1 << 20));
             }
-            (meter, gate)
+            (limiter, gate)
         };
-        let (mut meter, mut gate) = make();
+        let (mut limiter, mut gate) = make();
         let mut i = 0;
         let ns = time(2_000, || {
             i = (i + 1) % all.len();
-            let _ = (meter.open(&all[i], 1.0, 1), gate.admit(&all[i], Default::default(), 1 << 20));
-            meter.close(&all[i].name);
+            let _ =
+                (limiter.admit(&all[i], 1.0, 1), gate.admit(&all[i], Default::default(), 1 << 20));
+            limiter.release(&all[i].name);
             gate.release(&all[i].name);
         });
         row("limit and gate, accounts", accounts, ns, memory(10, make));
@@ -294,14 +296,14 @@
 fn ledger() {
     for keys in [1_000, 2_500, 5_000, 10_000] {
         let make = || {
-            let mut ledger = Ledger::new();
+            let mut ledger = IdempotencyTable::new();
             for i in 0..keys {
                 let key = digest(&[&(i as u64).to_le_bytes()]);
                 ledger.start(&key, 1);
                 ledger.dispatch(&key);
                 let body: Arc<[u8]> = vec![0; 200].into();
                 let (media, outcome) = (String::new(), heathpitch_core::Outcome::Done);
-                ledger.finish(&key, Record { status: 200, media, body, outcome }, 1);
+                ledger.finish(&key, StoredAnswer { status: 200, media, body, outcome }, 1);
             }
             ledger
         };
@@ -331,27 +333,27 @@
 
 fn placement() {
     for engines in [10, 40, 70, 100] {
-        let wanted: Vec<Wanted> = (0..MODELS)
-            .map(|i| Wanted {
+        let wanted: Vec<ModelDemand> = (0..MODELS)
+            .map(|i| ModelDemand {
                 model: Model::new(name(&format!("m{i}")), name("v1"), LAYERS),
                 demand: 1.0 + i as f64,
                 allowed: None::<BTreeSet<Name>>,
             })
             .collect();
-        let all: Vec<Placeable> = (0..engines)
-            .map(|i| Placeable {
+        let all: Vec<PlacementEngine> = (0..engines)
+            .map(|i| PlacementEngine {
                 engine: name(&format!("engine-{i}")),
                 memory: 12_000,
                 layer: 500 + 100 * (i % 3) as u64,
                 link: [50, 500, 5_000][i % 3],
-                holding: (i % 10 != 0).then(|| Holding {
+                holding: (i % 10 != 0).then(|| LoadedLayers {
                     model: name(&format!("m{}", i % MODELS)),
                     version: name("v1"),
                     layers: stage(i / MODELS),
                 }),
             })
             .collect();
-        let ns = time(1, || drop(black_box(plan(&wanted, &all))));
+        let ns = time(1, || drop(black_box(plan_placement(&wanted, &all))));
         row("plan of a failure domain, engines", engines, ns, 0);
     }
 }
