--- a/crates/heathpitchd/src/control/exchange.rs
+++ b/crates/heathpitchd/src/control/exchange.rs
@@ -28,7 +28,7 @@
         let count = if news { PEERS_TOLD_AT_ONCE } else { 1 };
         for _ in 0..count {
             let now = control.now();
-            let peer = control.members.borrow().pick(now, &mut *control.rng.borrow_mut());
+            let peer = control.members.borrow().pick_peer(now, &mut *control.rng.borrow_mut());
             if let Some(peer) = peer {
                 tokio::task::spawn_local(with(control.clone(), peer));
             }
--- a/crates/heathpitchd/src/control/state.rs
+++ b/crates/heathpitchd/src/control/state.rs
@@ -72,7 +72,7 @@
             age: 0,
         };
         let mut members = Members::new(me, settings.timing.peer_ms);
-        members.seed(seeds(&shared));
+        members.set_seeds(seeds(&shared));
         Self {
             edges,
             replica: RefCell::default(),
@@ -109,7 +109,7 @@
 
     /// Time until this node's next poll of something that its failure domain polls together.
     pub(super) fn wait(&self, period: Millis) -> Millis {
-        let nodes = self.members.borrow().beside(self.now());
+        let nodes = self.members.borrow().domain_size(self.now());
         Duty::new(period).wait(nodes, &mut *self.rng.borrow_mut())
     }
 
@@ -119,7 +119,7 @@
         let members = self.members.borrow();
         let mut others: Vec<&Name> = members.alive(now).iter().map(|m| &m.domain).collect();
         others.sort();
-        let near = members.beside(now) as u32;
+        let near = members.domain_size(now) as u32;
         let entries = self.entries.borrow();
         let far = others.chunk_by(|a, b| a == b).filter(|d| *d[0] != members.me().domain);
         let listed = |d: &[&Name]| entries.get(d[0]).copied().unwrap_or(0).max(d.len() as u32);
@@ -174,7 +174,7 @@
         }
         *self.entries.borrow_mut() = entries;
         let listed = live.map(|v| v.address.clone());
-        self.members.borrow_mut().seed(seeds(&self.shared).into_iter().chain(listed));
+        self.members.borrow_mut().set_seeds(seeds(&self.shared).into_iter().chain(listed));
     }
 }
 
--- a/crates/heathpitchd/src/filters/probe.rs
+++ b/crates/heathpitchd/src/filters/probe.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use heathpitch_core::{Name, Path};
 use heathpitch_net::EdgeError;
-use heathpitch_policy::{Sign, Upstream, suspects};
+use heathpitch_policy::{ProbeResult, Upstream, suspects};
 
 use crate::traffic::Traffic;
 
@@ -32,9 +32,9 @@
         let report = traffic.engine.report(&address);
         async move {
             let sign = match tokio::time::timeout(LIMIT, report).await {
-                Ok(Ok(_)) => Sign::Alive,
-                Ok(Err(EdgeError::Connect(_))) => Sign::Gone,
-                Ok(Err(_)) | Err(_) => Sign::Late,
+                Ok(Ok(_)) => ProbeResult::Alive,
+                Ok(Err(EdgeError::Connect(_))) => ProbeResult::Unreachable,
+                Ok(Err(_)) | Err(_) => ProbeResult::TimedOut,
             };
             (engine, sign)
         }
--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -111,7 +111,7 @@
 /// it may: one that denies it for good would be wrong once the engines are mended.
 fn hold_back(shared: &Shared, call: &Call, held: &HeldBack) -> Refused {
     let left = held.until.saturating_sub(shared.now());
-    if Quarantine::is_renewed(left) {
+    if Quarantine::is_renewal_due(left) {
         shared.tell(Notice::HeldBack(call.print()));
     }
     let detail = held.to_string();
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -108,7 +108,7 @@
     }
     let answer = judge(answer?)?;
     if ended {
-        traffic.shared.tell(Notice::Lives(life(&view.entry)));
+        traffic.shared.tell(Notice::Incarnations(life(&view.entry)));
     }
     Ok(answer)
 }
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -8,7 +8,7 @@
 
 use heathpitch_core::{EngineEntry, EntryState, LayerRange, Millis, Name};
 use heathpitch_net::{DocumentError, EdgeError, EngineStatus, Item};
-use heathpitch_policy::Word;
+use heathpitch_policy::Recency;
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
@@ -57,11 +57,11 @@
     let sent = control.now();
     let answer = control.edges.orders.status(engine).await?;
     let status = control.heed(engine, "report", sent, answer);
-    let word = control.lives.borrow_mut().hear(&engine.id, status.born, control.now());
+    let word = control.lives.borrow_mut().observe(&engine.id, status.born, control.now());
     match word {
-        Word::Current => {}
-        Word::Old => return Err(EdgeError::Lost("an answer of its last life".to_owned())),
-        Word::Reborn => {
+        Recency::Current => {}
+        Recency::Stale => return Err(EdgeError::Lost("an answer of its last life".to_owned())),
+        Recency::Restarted => {
             begin_anew(control, &engine.id, status.born, "its own state");
             // Its entry says later what it holds; until then its own word does.
             let layers = status.layers.unwrap_or(LayerRange::new(0, 0));
@@ -130,11 +130,11 @@
         }
     };
     let id = entry.id.clone();
-    let word = control.lives.borrow_mut().hear(&id, entry.born, control.now());
+    let word = control.lives.borrow_mut().observe(&id, entry.born, control.now());
     match word {
-        Word::Current => {}
-        Word::Reborn => begin_anew(control, &id, entry.born, "its entry"),
-        Word::Old => {
+        Recency::Current => {}
+        Recency::Restarted => begin_anew(control, &id, entry.born, "its entry"),
+        Recency::Stale => {
             log::info!("entry of engine {id} is passed over: it is of an older life");
             return Some(id);
         }
@@ -142,7 +142,7 @@
     let old = control.entries.borrow().get(&id).cloned();
     // What an engine once said, here or in an answer, binds it for as long as it lives.
     let left = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
-    let said = left || control.leavers.borrow().binds(&life(&entry));
+    let said = left || control.leavers.borrow().is_draining(&life(&entry));
     let state = if said { EntryState::Leaving } else { entry.state };
     let entry = EngineEntry { state, ..entry };
     control.mirror.borrow_mut().put(item.key.clone(), item.revision.0, item.clone());
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -16,7 +16,7 @@
     EdgeError, FeedAsk, FeedClient, FeedEngines, FeedKnown, FeedMark, FeedNews, FeedTold, Item,
     inflate_bytes, unpack,
 };
-use heathpitch_policy::{DomainPlanner, Heard, Source};
+use heathpitch_policy::{DomainPlanner, PollOutcome, Source};
 use rand::seq::IndexedRandom;
 
 use super::state::{Control, Fleet};
@@ -93,13 +93,13 @@
 }
 
 async fn round(control: &Rc<Control>, followed: &mut Followed) {
-    if control.sources.borrow().knows_nobody() {
+    if control.sources.borrow().knows_no_planner() {
         ask_seed(control).await;
     }
     while let Some(source) = control.next_source() {
         let heard = hear(control, followed, &source).await;
         control.heard(&source.node, heard);
-        if heard == Heard::Told {
+        if heard == PollOutcome::Fresh {
             return;
         }
     }
@@ -121,7 +121,7 @@
     }
 }
 
-async fn hear(control: &Rc<Control>, followed: &mut Followed, source: &Source) -> Heard {
+async fn hear(control: &Rc<Control>, followed: &mut Followed, source: &Source) -> PollOutcome {
     let begun = control.now();
     let answer = ask(control, followed, source).await;
     let label = if answer.is_ok() { "ok" } else { "failed" };
@@ -133,8 +133,8 @@
             log::info!("node {} does not tell: {e}", source.node);
             // A VM that refuses connections starts or restarts, and answers soon.
             match control.now().saturating_sub(begun) {
-                took if took < LIMIT.as_millis() as Millis => Heard::Empty,
-                _ => Heard::Lost,
+                took if took < LIMIT.as_millis() as Millis => PollOutcome::Declined,
+                _ => PollOutcome::NoAnswer,
             }
         }
     }
@@ -177,7 +177,7 @@
     source: &Source,
     sent: Millis,
     told: FeedTold,
-) -> Heard {
+) -> PollOutcome {
     take_nodes(control, source, &told);
     control.hear_news(&told.news, sent, &source.node);
     let proven = sent.saturating_sub(told.list_ms);
@@ -189,14 +189,14 @@
         && let Err(e) = adopt(control, config)
     {
         log::warn!("the configuration that node {} tells cannot be read: {e}", source.node);
-        return Heard::Empty;
+        return PollOutcome::Declined;
     }
-    if !told.live || !control.sources.borrow().takes(&source.node, proven, own, same) {
-        return Heard::Empty;
+    if !told.live || !control.sources.borrow().accepts(&source.node, proven, own, same) {
+        return PollOutcome::Declined;
     }
     if let Err(e) = take_engines(control, &told.engines) {
         log::warn!("the engines that node {} tells cannot be read: {e}", source.node);
-        return Heard::Empty;
+        return PollOutcome::Declined;
     }
     followed.known = told.known;
     reports::hear(control, &told.reports, sent);
@@ -205,7 +205,7 @@
     if control.revision() >= told.revision {
         prove(&control.shared.fresh, sent.saturating_sub(told.proof_ms));
     }
-    Heard::Told
+    PollOutcome::Fresh
 }
 
 /// Takes what a node tells of nodes, which it may know though it does not hear from the store.
@@ -214,12 +214,12 @@
         let source = Source { node: p.node.clone(), address: p.address };
         nodes::meet(control, &p.domain, DomainPlanner { source, revision: p.revision });
     }
-    let near = control.sources.borrow().is_near(&source.node);
+    let near = control.sources.borrow().is_local(&source.node);
     if near {
         let standbys = told.standbys.iter();
         let standbys =
             standbys.map(|(node, address)| Source { node: node.clone(), address: *address });
-        control.sources.borrow_mut().stand_by(standbys.collect());
+        control.sources.borrow_mut().set_standbys(standbys.collect());
     }
     if near && told.vacant {
         control.vacate();
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -8,7 +8,7 @@
 
 use heathpitch_core::{Name, Revision};
 use heathpitch_net::{Item, StoreError, Write};
-use heathpitch_policy::{EngineLife, LimitEntry, LimitRecord, LimitRecorder};
+use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord, LimitRecorder};
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
@@ -52,10 +52,12 @@
 /// Limits of the engines of this failure domain.
 fn current(control: &Control) -> LimitRecord {
     let (domain, entries) = (control.domain(), control.entries.borrow());
-    let own = |life: &EngineLife| entries.get(&life.engine).is_some_and(|e| e.domain == domain);
+    let own =
+        |life: &EngineIncarnation| entries.get(&life.engine).is_some_and(|e| e.domain == domain);
     let (limits, wishes) = (control.limits.borrow(), control.wishes.borrow());
-    let aside =
-        |life: &EngineLife| wishes.get(&life.engine).is_some_and(|w| w.limit().is_named_aside());
+    let aside = |life: &EngineIncarnation| {
+        wishes.get(&life.engine).is_some_and(|w| w.limit().is_named_aside())
+    };
     let named = limits.named().filter(|(life, _)| own(life));
     LimitRecord::of(named.map(|(life, rate)| {
         let limit = LimitEntry { rate, aside: aside(&life) };
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -120,7 +120,7 @@
             Notice::Refused(engine) => looks::question(&control, &engine),
             Notice::Lost(lost) => ends::take(&control, lost),
             Notice::Answered(print) => control.answered(print),
-            Notice::Lives(life) => control.engine_lives(&life),
+            Notice::Incarnations(life) => control.engine_lives(&life),
             Notice::Leaves(life) => control.engine_leaves(&life),
             Notice::HeldBack(print) => control.came_again(print),
             Notice::Limited(life) => control.engine_limited(&life),
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -64,7 +64,7 @@
         (settings.first_start, is_able(&settings))
     };
     let start = FleetStart { first_start, able, seeded: !control.seeds.is_empty() };
-    control.sources.borrow_mut().begin(start, control.now(), &mut rand::rng());
+    control.sources.borrow_mut().schedule_first_lookup(start, control.now(), &mut rand::rng());
     let mut seen = None;
     loop {
         control.claim().await;
@@ -225,7 +225,7 @@
             let address = control.shared.peer.unwrap_or(settings.listen);
             let source = Source { node: settings.node.clone(), address };
             let planner = DomainPlanner { source, revision };
-            control.sources.borrow_mut().meet(settings.domain.clone(), planner);
+            control.sources.borrow_mut().learn_planner(settings.domain.clone(), planner);
             control.plan_by(Some(lease));
             let why =
                 if own.is_some() { "it was this node's before" } else { "the lease was free" };
@@ -243,7 +243,7 @@
 /// Ends this node's planning; it reads the store on until another node tells it.
 pub(super) fn resign(control: &Control, why: &'static str) {
     if control.plans() {
-        control.sources.borrow_mut().take_turn(control.now());
+        control.sources.borrow_mut().allow_reads(control.now());
         control.plan_by(None);
         GatewayEvent::DomainPlanner { active: false, why }.log();
     }
@@ -252,7 +252,7 @@
 /// Takes note of the planner of a failure domain.
 pub(super) fn meet(control: &Control, domain: &Name, planner: DomainPlanner) {
     let other = *domain == control.domain() && planner.source.node != control.node();
-    let new = control.sources.borrow_mut().meet(domain.clone(), planner);
+    let new = control.sources.borrow_mut().learn_planner(domain.clone(), planner);
     if new && other {
         control.vacant.set(false);
         resign(control, "another node holds the lease");
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use heathpitch_core::{EngineEntry, Millis, Name, RequestPrint, Revision};
 use heathpitch_net::{FeedEnd, Item, StoreError, Write};
-use heathpitch_policy::{End, EngineLife, has_just_begun};
+use heathpitch_policy::{End, EngineIncarnation, just_started};
 
 use super::looks;
 use super::state::Control;
@@ -71,11 +71,11 @@
     pub(super) fn engine_ended(&self, engine: &EngineEntry, lost: &[LostSend]) {
         let (now, life) = (self.now(), life(engine));
         let youngest = lost.iter().map(|call| call.events).min().unwrap_or(0);
-        let told = |call: &&LostSend| call.events == youngest || has_just_begun(call.events);
+        let told = |call: &&LostSend| call.events == youngest || just_started(call.events);
         let mut new = false;
         for call in lost.iter().filter(told) {
             let mut quarantine = self.quarantine.borrow_mut();
-            new |= quarantine.ended(call.print, life.clone(), call.events, now);
+            new |= quarantine.record_end(call.print, life.clone(), call.events, now);
         }
         self.leave(&life);
         if new {
@@ -85,27 +85,27 @@
 
     /// A request under which engines ended was answered whole.
     pub(super) fn answered(&self, print: RequestPrint) {
-        if self.quarantine.borrow_mut().answered(print) {
+        if self.quarantine.borrow_mut().clear_request(print) {
             self.decide("it was answered");
         }
     }
 
     /// An engine that is said to have ended has answered since.
-    pub(super) fn engine_lives(&self, life: &EngineLife) {
-        if self.quarantine.borrow_mut().lives(life) {
+    pub(super) fn engine_lives(&self, life: &EngineIncarnation) {
+        if self.quarantine.borrow_mut().engine_alive(life) {
             self.decide("an engine that was taken to have ended answers");
         }
     }
 
     /// A request that is held back came again.
     pub(super) fn came_again(&self, print: RequestPrint) {
-        if self.quarantine.borrow_mut().came(print, self.now()) {
+        if self.quarantine.borrow_mut().renew(print, self.now()) {
             self.decide("it came again");
         }
     }
 
     /// Leaves an engine that has ended, if it is still listed.
-    fn leave(&self, life: &EngineLife) {
+    fn leave(&self, life: &EngineIncarnation) {
         let listed = self.entries.borrow().get(&life.engine).is_some_and(|e| e.born == life.born);
         if listed && !self.is_lost(&life.engine) {
             looks::leave(self, &life.engine, "it has ended");
@@ -134,7 +134,7 @@
     pub(super) fn hear_ends(&self, ends: &[FeedEnd], sent: Millis, by: &Name) {
         let mut new = 0;
         for told in ends {
-            let life = EngineLife { engine: told.engine.clone(), born: told.born };
+            let life = EngineIncarnation { engine: told.engine.clone(), born: told.born };
             let end = End {
                 print: told.print,
                 life: life.clone(),
@@ -168,7 +168,7 @@
         let (new, over) = quarantine.decide();
         for print in new {
             let ends: Vec<_> = quarantine
-                .against(print, now)
+                .evidence(print, now)
                 .map(|(l, events, age)| (l.engine.clone(), events, age))
                 .collect();
             GatewayEvent::RequestHeldBack { print, ends, why }.log();
@@ -177,13 +177,13 @@
             GatewayEvent::RequestLetThrough { print, why }.log();
         }
         let held = |print| {
-            let engines = quarantine.against(print, now).map(|(l, ..)| l.engine.clone()).collect();
-            let until = now + quarantine.left(print, now);
+            let engines = quarantine.evidence(print, now).map(|(l, ..)| l.engine.clone()).collect();
+            let until = now + quarantine.remaining(print, now);
             (print, HeldBack { engines, until })
         };
         let held: HashMap<_, _> = quarantine.held().map(held).collect();
         self.shared.metrics.held.set(held.len() as i64);
-        let (counts, ended) = (quarantine.counts(), quarantine.ended_lives());
+        let (counts, ended) = (quarantine.counts(), quarantine.ended_engines());
         self.shared.suspicion.store(Arc::new(Suspicion { counts, held, ended }));
     }
 }
@@ -223,7 +223,7 @@
     let now = control.now();
     let wanted = |print: &RequestPrint| {
         let known = entries.known.get(print).map(|e| e.renewed);
-        let held = quarantine.against(*print, now).map(|(.., age)| age).min().unwrap_or(0);
+        let held = quarantine.evidence(*print, now).map(|(.., age)| age).min().unwrap_or(0);
         known.is_none_or(|known| known < quarantine.renewed(*print))
             && (first || held >= WRITE_LATER)
     };
@@ -263,10 +263,10 @@
 
 /// The text of an entry: a line for each engine, with its start and the events that the request brought.
 fn entry(quarantine: &heathpitch_policy::Quarantine, print: RequestPrint, now: Millis) -> Bytes {
-    let line = |(life, events, _): (&EngineLife, u32, Millis)| {
+    let line = |(life, events, _): (&EngineIncarnation, u32, Millis)| {
         format!("{} {} {events}\n", life.engine, life.born.unwrap_or(0))
     };
-    let lines = quarantine.against(print, now).take(ENTRY_MOST).map(line);
+    let lines = quarantine.evidence(print, now).take(ENTRY_MOST).map(line);
     lines.collect::<String>().into()
 }
 
@@ -297,7 +297,7 @@
     let engine = words.next()?.parse().ok()?;
     let born = words.next()?.parse().ok().filter(|born| *born > 0);
     let events = words.next()?.parse().ok()?;
-    Some(End { print, life: EngineLife { engine, born }, events, renewed: 0, void: false })
+    Some(End { print, life: EngineIncarnation { engine, born }, events, renewed: 0, void: false })
 }
 
 /// Takes note that an entry is gone from the store, because an operator let its request through or
@@ -310,7 +310,7 @@
 
 fn removed(control: &Control, print: RequestPrint) {
     let known = control.quarantined.borrow_mut().known.remove(&print).is_some();
-    if known && control.quarantine.borrow_mut().answered(print) {
+    if known && control.quarantine.borrow_mut().clear_request(print) {
         control.decide("its entry was taken from the store");
     }
 }
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -149,7 +149,7 @@
 /// Whether an engine has started again since a stream was given its path, and holds none of its tokens.
 fn is_reborn(control: &Control, live: &LiveStream, engine: &Name) -> bool {
     let routed = live.routed.load(std::sync::atomic::Ordering::Relaxed);
-    control.lives.borrow().is_reborn_since(engine, routed)
+    control.lives.borrow().restarted_since(engine, routed)
 }
 
 /// Whether an engine behind the first one has been leaving for a while.
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -152,7 +152,7 @@
 fn put(control: &Control, engine: &Name, pace: f64, held: f64, at: Millis) -> bool {
     let known = control.reports.borrow().get(engine).is_some_and(|r| r.at >= at);
     // What another node tells may be of the life before.
-    if known || control.lives.borrow().is_reborn_since(engine, at) {
+    if known || control.lives.borrow().restarted_since(engine, at) {
         return false;
     }
     let mut report = Report { pace, held, at, serial: 0 };
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -12,7 +12,7 @@
 
 use heathpitch_core::{EngineEntry, Millis, Name, Rate};
 use heathpitch_net::{EdgeError, FeedClient, FeedLimit, RightAsk, RightTold};
-use heathpitch_policy::{EngineLife, EngineLimit, LimitEntry, LimitTold, Right, Source};
+use heathpitch_policy::{EngineIncarnation, EngineLimit, LimitEntry, LimitTold, Right, Source};
 use rand::Rng;
 use tokio::task::spawn_local;
 
@@ -50,7 +50,7 @@
 /// # What engines say, and nodes tell each other
 impl Control {
     /// An engine named another limit to this node than before, or none any more.
-    pub(super) fn engine_limited(&self, life: &EngineLife) {
+    pub(super) fn engine_limited(&self, life: &EngineIncarnation) {
         let Some(wish) = self.wishes.borrow().get(&life.engine).cloned() else { return };
         let (now, limit) = (self.now(), wish.limit());
         let at = now.saturating_sub(limit.age(now));
@@ -59,7 +59,7 @@
 
     fn learn_limit(
         &self,
-        life: &EngineLife,
+        life: &EngineIncarnation,
         rate: Option<Rate>,
         at: Millis,
         by: &'static str,
@@ -91,7 +91,7 @@
     /// Takes what another node told in a message that was sent at `sent` or later.
     pub(super) fn hear_limits(&self, limits: &[FeedLimit], sent: Millis) {
         for told in limits {
-            let life = EngineLife { engine: told.engine.clone(), born: told.born };
+            let life = EngineIncarnation { engine: told.engine.clone(), born: told.born };
             // A limit may be as young as it was when it was told, its end as old as the message may be.
             let from = if told.rate.is_some() { self.now() } else { sent };
             let at = from.saturating_sub(told.age_ms);
@@ -102,7 +102,7 @@
     }
 
     /// Takes a limit that a record of the store holds.
-    pub(super) fn restore_limit(&self, life: &EngineLife, limit: LimitEntry) {
+    pub(super) fn restore_limit(&self, life: &EngineIncarnation, limit: LimitEntry) {
         let now = self.now();
         let new = self.limits.borrow_mut().restore(life.clone(), limit, now);
         if limit.aside
@@ -121,7 +121,7 @@
     }
 
     /// Lets traffic know what was heard at `at` of an engine's limit.
-    fn pass_limit(&self, life: &EngineLife, rate: Option<Rate>, at: Millis) {
+    fn pass_limit(&self, life: &EngineIncarnation, rate: Option<Rate>, at: Millis) {
         let entry = self.entries.borrow().get(&life.engine).cloned();
         if let Some(entry) = entry.filter(|e| e.born == life.born) {
             self.wish_of(&entry).limit().told(rate, at);
@@ -152,7 +152,7 @@
         if !self.hands_out() {
             return RightTold::default();
         }
-        let life = EngineLife { engine: ask.limit.engine.clone(), born: ask.limit.born };
+        let life = EngineIncarnation { engine: ask.limit.engine.clone(), born: ask.limit.born };
         let limit = self.limits.borrow().of(&life);
         let Some((rate, _)) = limit else {
             // Its limit is over, as the one asking will hear.
@@ -297,7 +297,7 @@
             continue;
         }
         let wishes = control.wishes.borrow();
-        let kept = |life: &EngineLife| {
+        let kept = |life: &EngineIncarnation| {
             entries.contains_key(&life.engine) || wishes.contains_key(&life.engine)
         };
         control.limits.borrow_mut().retain(kept, now);
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -9,7 +9,8 @@
 use heathpitch_core::{EngineEntry, GatewaySettings, Millis, Name, Revision, ServiceSpec};
 use heathpitch_net::{Item, LeaseId};
 use heathpitch_policy::{
-    Followers, Leavers, Limits, Lives, Mirror, Quarantine, Rights, Source, Sources, Tally, Wish,
+    DrainNotices, Followers, Incarnations, Limits, Mirror, Quarantine, Rights, Source, Sources,
+    Tally, Wish,
 };
 use tokio::sync::Notify;
 
@@ -52,7 +53,7 @@
     pub(super) edges: Edges,
     pub(super) entries: RefCell<HashMap<Name, Arc<EngineEntry>>>,
     /// Their lives, also of those that left a moment ago.
-    pub(super) lives: RefCell<Lives>,
+    pub(super) lives: RefCell<Incarnations>,
     /// Their items as the store holds them, for the nodes that this one tells.
     pub(super) mirror: RefCell<Mirror<Item>>,
     /// The configuration in force as the store holds it.
@@ -115,7 +116,7 @@
     /// What engines asked this node for; kept while it binds, also of those off the list for a moment.
     pub(super) wishes: RefCell<HashMap<Name, Arc<Wish>>>,
     /// Engines that said in an answer that they leave, to this node or to one that told it.
-    pub(super) leavers: RefCell<Leavers>,
+    pub(super) leavers: RefCell<DrainNotices>,
     /// Limits that engines name, to this node or to one that told it.
     pub(super) limits: RefCell<Limits>,
     /// Those of this failure domain, as the store holds them.
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -4,7 +4,7 @@
 
 use heathpitch_core::{Millis, Name, Revision};
 use heathpitch_net::StoreError;
-use heathpitch_policy::EngineLife;
+use heathpitch_policy::EngineIncarnation;
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
@@ -101,7 +101,7 @@
         };
         for engine in &gone {
             let born = self.lives.borrow().born(engine);
-            let life = EngineLife { engine: engine.clone(), born };
+            let life = EngineIncarnation { engine: engine.clone(), born };
             self.leavers.borrow_mut().learn(life, 0, self.now());
         }
         self.quarantined.borrow_mut().forget();
@@ -130,7 +130,7 @@
         self.shared.metrics.store.with_label_values(&[call, word]).inc();
         if !answers {
             let (now, beside) = (self.now(), self.beside());
-            self.sources.borrow_mut().missed(now, beside, &mut rand::rng());
+            self.sources.borrow_mut().store_unavailable(now, beside, &mut rand::rng());
         }
         if answers == self.reachable.get() || (!answers && sent < self.returned.get()) {
             return;
--- a/crates/heathpitchd/src/gateway/control/tell.rs
+++ b/crates/heathpitchd/src/gateway/control/tell.rs
@@ -67,7 +67,7 @@
         return near_reports(control, known);
     }
     let follower = Source { node: ask.node.clone(), address: ask.address };
-    control.followers.borrow_mut().asked(follower, ask.able, control.now());
+    control.followers.borrow_mut().record_poll(follower, ask.able, control.now());
     let mut told = nodes(control);
     if let Err(e) = fill(control, &ask, known, &mut told) {
         log::error!("what is told cannot be packed: {e}");
@@ -86,7 +86,7 @@
 fn nodes(control: &Control) -> FeedTold {
     if control.plans() {
         let standbys = control.followers.borrow_mut().standbys(control.now());
-        control.sources.borrow_mut().stand_by(standbys);
+        control.sources.borrow_mut().set_standbys(standbys);
     }
     let sources = control.sources.borrow();
     let planners = sources.planners().map(|(domain, p)| FeedPlanner {
--- a/crates/heathpitchd/src/gateway/control/turns.rs
+++ b/crates/heathpitchd/src/gateway/control/turns.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{Name, Revision};
-use heathpitch_policy::{Heard, Source};
+use heathpitch_policy::{PollOutcome, Source};
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
@@ -25,18 +25,18 @@
     }
 
     /// Takes note of what came of asking a node.
-    pub(super) fn heard(&self, node: &Name, heard: Heard) {
-        let before = self.sources.borrow().teller().cloned();
+    pub(super) fn heard(&self, node: &Name, heard: PollOutcome) {
+        let before = self.sources.borrow().active().cloned();
         let beside = self.beside();
-        self.sources.borrow_mut().heard(node, heard, self.now(), beside, &mut rand::rng());
+        self.sources.borrow_mut().record_poll(node, heard, self.now(), beside, &mut rand::rng());
         self.feed_changed(before, "it tells");
     }
 
     /// Takes note that no node is left to ask.
     pub(super) fn silent(&self) {
-        let before = self.sources.borrow().teller().cloned();
+        let before = self.sources.borrow().active().cloned();
         let beside = self.beside();
-        self.sources.borrow_mut().silent(self.now(), beside, &mut rand::rng());
+        self.sources.borrow_mut().sources_exhausted(self.now(), beside, &mut rand::rng());
         let why = if self.plans() { "this node plans" } else { "no source tells" };
         self.feed_changed(before, why);
     }
@@ -44,12 +44,12 @@
     /// Takes note that the planner that tells has given its lease up.
     pub(super) fn vacate(&self) {
         let beside = self.beside();
-        self.sources.borrow_mut().vacate(self.now(), beside, &mut rand::rng());
+        self.sources.borrow_mut().planner_released(self.now(), beside, &mut rand::rng());
     }
 
     /// Takes note of whether this node is told what the store holds, and by whom.
     fn feed_changed(&self, before: Option<Name>, why: &str) {
-        let teller = self.sources.borrow().teller().cloned();
+        let teller = self.sources.borrow().active().cloned();
         if teller == before {
             return;
         }
@@ -110,7 +110,7 @@
     /// Leaves a planner that was found time to tell, before this node looks for its lease again.
     pub(super) fn put_claim_off(&self) {
         let (now, beside) = (self.now(), self.beside());
-        self.sources.borrow_mut().put_off(now, beside, &mut rand::rng());
+        self.sources.borrow_mut().defer_claim(now, beside, &mut rand::rng());
     }
 
     /// Reads what the store holds and watches it from there, again and again, for as long as this
@@ -149,6 +149,6 @@
 
     /// Whether another node tells this one what the store holds.
     pub(super) fn fed(&self) -> bool {
-        self.sources.borrow().teller().is_some()
+        self.sources.borrow().active().is_some()
     }
 }
--- a/crates/heathpitchd/src/gateway/control/wishes.rs
+++ b/crates/heathpitchd/src/gateway/control/wishes.rs
@@ -10,7 +10,7 @@
 
 use heathpitch_core::{EngineEntry, EntryState, Millis};
 use heathpitch_net::{Answered, EdgeError, EngineWish, FeedLeave, LimitWord};
-use heathpitch_policy::{EngineLife, Wish};
+use heathpitch_policy::{EngineIncarnation, Wish};
 
 use super::engines;
 use super::rights;
@@ -89,14 +89,14 @@
     }
 
     /// An engine said in an answer to this node that it leaves.
-    pub(super) fn engine_leaves(&self, life: &EngineLife) {
+    pub(super) fn engine_leaves(&self, life: &EngineIncarnation) {
         if self.leave_by_word(life, 0, "its own answer") {
             self.publish();
         }
     }
 
     /// Takes such a word of `age` ago, as `by` tells; gives whether a listed engine leaves by it that did not before.
-    fn leave_by_word(&self, life: &EngineLife, age: Millis, by: &'static str) -> bool {
+    fn leave_by_word(&self, life: &EngineIncarnation, age: Millis, by: &'static str) -> bool {
         if !self.leavers.borrow_mut().learn(life.clone(), age, self.now()) {
             return false;
         }
@@ -132,7 +132,7 @@
         let late = self.now().saturating_sub(sent);
         let mut changed = false;
         for told in leaves {
-            let life = EngineLife { engine: told.engine.clone(), born: told.born };
+            let life = EngineIncarnation { engine: told.engine.clone(), born: told.born };
             changed |= self.leave_by_word(&life, told.age_ms + late, "another node");
         }
         if changed {
@@ -146,7 +146,7 @@
     loop {
         tokio::time::sleep(TICK).await;
         control.leavers.borrow_mut().expire(control.now());
-        let doubtful = control.leavers.borrow().doubtful(control.now());
+        let doubtful = control.leavers.borrow().due_for_recheck(control.now());
         for life in doubtful {
             ask_again(&control, &life).await;
         }
@@ -154,7 +154,7 @@
 }
 
 /// Asks an engine which the store lists as ready whether it leaves; its check says so, as all its answers do.
-async fn ask_again(control: &Control, life: &EngineLife) {
+async fn ask_again(control: &Control, life: &EngineIncarnation) {
     let entry = control.entries.borrow().get(&life.engine).cloned();
     let Some(entry) = entry.filter(|e| e.born == life.born) else { return };
     if !engines::is_listed_ready(control, &entry.id) {
@@ -166,7 +166,7 @@
         Some(Ok(_)) | None => return,
         Some(Err(e)) => return log::info!("engine {} does not answer its check: {e}", entry.id),
     }
-    control.leavers.borrow_mut().stay(life, control.now());
+    control.leavers.borrow_mut().cancel(life, control.now());
     control.wish_of(&entry).stay();
     let ready = EngineEntry { state: EntryState::Ready, ..(*entry).clone() };
     control.entries.borrow_mut().insert(entry.id.clone(), Arc::new(ready));
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -7,7 +7,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use heathpitch_core::{Catalog, EngineEntry, GatewaySettings, Millis, Name, RequestPrint};
 use heathpitch_net::{Dialect, Orders, Pool, Store};
-use heathpitch_policy::{EngineLife, Freshness};
+use heathpitch_policy::{EngineIncarnation, Freshness};
 use tokio::sync::{mpsc, oneshot, watch};
 
 use super::engine_table::EngineTable;
@@ -35,13 +35,13 @@
     /// A request under which engines ended was answered whole.
     Answered(RequestPrint),
     /// An engine that is said to have ended answered a call sent after that.
-    Lives(EngineLife),
+    Incarnations(EngineIncarnation),
     /// An engine says that it leaves.
-    Leaves(EngineLife),
+    Leaves(EngineIncarnation),
     /// A request that is held back came again.
     HeldBack(RequestPrint),
     /// An engine named another limit than before, or none any more.
-    Limited(EngineLife),
+    Limited(EngineIncarnation),
     /// A call wants to be sent to an engine that names a limit.
     Rights(RightsWanted),
 }
--- a/crates/heathpitchd/src/gateway/suspicion.rs
+++ b/crates/heathpitchd/src/gateway/suspicion.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use heathpitch_core::{EngineEntry, Millis, Name, RequestPrint};
-use heathpitch_policy::{EngineLife, has_just_begun};
+use heathpitch_policy::{EngineIncarnation, just_started};
 use serde::Serialize;
 
 /// What is known of requests under which engines ended; empty nearly always.
@@ -15,7 +15,7 @@
     /// Those that are sent nowhere.
     pub(crate) held: HashMap<RequestPrint, HeldBack>,
     /// Engines that have ended.
-    pub(crate) ended: HashSet<EngineLife>,
+    pub(crate) ended: HashSet<EngineIncarnation>,
 }
 
 impl Suspicion {
@@ -33,7 +33,7 @@
     /// call that ended the second, with some fifty streams, where all that a proper request needs is
     /// that its caller comes back.
     pub(crate) fn allows_again(&self, events: u32, print: impl FnOnce() -> RequestPrint) -> bool {
-        !has_just_begun(events) || !self.names(print)
+        !just_started(events) || !self.names(print)
     }
 
     /// Whether engines ended under a request; its print is worked out only if any did under one.
@@ -67,8 +67,8 @@
 }
 
 /// The life of an engine that its entry tells of.
-pub(crate) fn life(engine: &EngineEntry) -> EngineLife {
-    EngineLife { engine: engine.id.clone(), born: engine.born }
+pub(crate) fn life(engine: &EngineEntry) -> EngineIncarnation {
+    EngineIncarnation { engine: engine.id.clone(), born: engine.born }
 }
 
 /// A request that is sent nowhere.
--- a/crates/policy/src/leavers.rs
+++ b/crates/policy/src/drain_notices.rs
@@ -9,7 +9,7 @@
 
 use heathpitch_core::Millis;
 
-use crate::{EngineLife, news};
+use crate::{EngineIncarnation, notices};
 
 /// Time after which an engine that is still there is asked whether it leaves, milliseconds: engines that do are
 /// gone within some ten seconds.
@@ -33,28 +33,28 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_policy::{EngineLife, Leavers};
+/// use heathpitch_policy::{EngineIncarnation, DrainNotices};
 ///
-/// let life = EngineLife { engine: "i-1".parse()?, born: None };
-/// let mut leavers = Leavers::default();
+/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let mut leavers = DrainNotices::default();
 /// assert!(leavers.learn(life.clone(), 0, 10));
 /// assert!(!leavers.learn(life.clone(), 300, 20), "known already");
-/// assert!(leavers.binds(&life));
+/// assert!(leavers.is_draining(&life));
 /// let (told, serial) = leavers.since(0, 16, 500);
 /// assert_eq!(told, [(life, 490)]);
 /// assert!(leavers.since(serial, 16, 500).0.is_empty());
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Leavers {
+pub struct DrainNotices {
     serial: u64,
-    known: HashMap<EngineLife, Known>,
+    known: HashMap<EngineIncarnation, Known>,
 }
 
 /// # Learning
-impl Leavers {
+impl DrainNotices {
     /// Takes an engine's word of `age` ago; gives whether it is new.
-    pub fn learn(&mut self, life: EngineLife, age: Millis, now: Millis) -> bool {
+    pub fn learn(&mut self, life: EngineIncarnation, age: Millis, now: Millis) -> bool {
         let at = now.saturating_sub(age);
         let known = self.known.get(&life);
         let stays = known.is_some_and(|k| k.stays.is_some_and(|stays| at <= stays));
@@ -63,12 +63,12 @@
         }
         self.serial += 1;
         self.known.insert(life, Known { at, stays: None, serial: self.serial });
-        news::bound(&mut self.known, |k| k.at, MOST);
+        notices::bound(&mut self.known, |k| k.at, MOST);
         true
     }
 
     /// Takes note that an engine which was asked at `now` did not say so again.
-    pub fn stay(&mut self, life: &EngineLife, now: Millis) {
+    pub fn cancel(&mut self, life: &EngineIncarnation, now: Millis) {
         if let Some(known) = self.known.get_mut(life) {
             known.stays = Some(now);
         }
@@ -81,22 +81,27 @@
 }
 
 /// # Reading
-impl Leavers {
+impl DrainNotices {
     /// Whether an engine gets no new work for what it said.
-    pub fn binds(&self, life: &EngineLife) -> bool {
+    pub fn is_draining(&self, life: &EngineIncarnation) -> bool {
         self.known.get(life).is_some_and(|k| k.stays.is_none())
     }
 
     /// Engines to be asked whether they leave, if they are still there.
-    pub fn doubtful(&self, now: Millis) -> Vec<EngineLife> {
+    pub fn due_for_recheck(&self, now: Millis) -> Vec<EngineIncarnation> {
         let old = |k: &Known| k.stays.is_none() && now >= k.at + ASK_AFTER;
         self.known.iter().filter(|(_, k)| old(k)).map(|(life, _)| life.clone()).collect()
     }
 
     /// At most so many words that came after the one with this serial, with their ages; and the serial up to
     /// which all is known then.
-    pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<(EngineLife, Millis)>, u64) {
-        let (new, upto) = news::since(&self.known, |k| k.serial, serial, most, self.serial);
+    pub fn since(
+        &self,
+        serial: u64,
+        most: usize,
+        now: Millis,
+    ) -> (Vec<(EngineIncarnation, Millis)>, u64) {
+        let (new, upto) = notices::since(&self.known, |k| k.serial, serial, most, self.serial);
         let told = new.into_iter().filter(|(_, k)| k.stays.is_none());
         (told.map(|(life, k)| (life.clone(), now.saturating_sub(k.at))).collect(), upto)
     }
--- a/crates/policy/src/followers.rs
+++ b/crates/policy/src/followers.rs
@@ -30,8 +30,8 @@
 ///
 /// let source = |node: &str| Source { node: node.parse().unwrap(), address: ([10, 0, 0, 1], 1).into() };
 /// let mut followers = Followers::default();
-/// followers.asked(source("n2"), false, 0);
-/// followers.asked(source("n3"), true, 0);
+/// followers.record_poll(source("n2"), false, 0);
+/// followers.record_poll(source("n3"), true, 0);
 /// assert_eq!(followers.standbys(10)[0], source("n3"), "whose VM can carry it");
 /// assert_eq!(followers.count(10), 2);
 /// ```
@@ -44,7 +44,7 @@
 /// # Changes
 impl Followers {
     /// Takes note that a node asked, whose VM can carry a planner's work or not.
-    pub fn asked(&mut self, source: Source, able: bool, now: Millis) {
+    pub fn record_poll(&mut self, source: Source, able: bool, now: Millis) {
         self.seen.insert(source.node.clone(), Follower { source, able, at: now });
     }
 
--- a/crates/policy/src/lives.rs
+++ b/crates/policy/src/incarnations.rs
@@ -10,13 +10,13 @@
 
 /// What an engine's word is worth, by the start that it names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Recency {
     /// Of the life that is known, or of the first one heard of.
     Current,
     /// Of a newer life: what is known of the engine is over.
-    Reborn,
+    Restarted,
     /// Of an older life: to be passed over.
-    Old,
+    Stale,
 }
 
 /// The newest life of each engine.
@@ -24,19 +24,19 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_policy::{Lives, Word};
+/// use heathpitch_policy::{Incarnations, Recency};
 ///
 /// let engine: heathpitch_core::Name = "i-1".parse()?;
-/// let mut lives = Lives::default();
-/// assert_eq!(lives.hear(&engine, Some(1_000), 10), Word::Current);
-/// assert_eq!(lives.hear(&engine, Some(2_000), 20), Word::Reborn);
-/// assert_eq!(lives.hear(&engine, Some(1_000), 30), Word::Old);
-/// assert!(lives.is_reborn_since(&engine, 15));
-/// assert!(!lives.is_reborn_since(&engine, 25));
+/// let mut lives = Incarnations::default();
+/// assert_eq!(lives.observe(&engine, Some(1_000), 10), Recency::Current);
+/// assert_eq!(lives.observe(&engine, Some(2_000), 20), Recency::Restarted);
+/// assert_eq!(lives.observe(&engine, Some(1_000), 30), Recency::Stale);
+/// assert!(lives.restarted_since(&engine, 15));
+/// assert!(!lives.restarted_since(&engine, 25));
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Lives {
+pub struct Incarnations {
     known: HashMap<Name, Life>,
 }
 
@@ -48,17 +48,17 @@
     reborn: Option<Millis>,
 }
 
-impl Lives {
+impl Incarnations {
     /// Takes the start that an engine's word names, heard at `now`; a word that names none is taken to be
     /// of the life that is known.
-    pub fn hear(&mut self, engine: &Name, born: Option<Millis>, now: Millis) -> Word {
-        let Some(born) = born else { return Word::Current };
+    pub fn observe(&mut self, engine: &Name, born: Option<Millis>, now: Millis) -> Recency {
+        let Some(born) = born else { return Recency::Current };
         let known = self.known.get(engine).map(|l| l.born);
         let (word, reborn) = match known {
-            Some(known) if born < known => return Word::Old,
-            Some(known) if born == known => return Word::Current,
-            Some(_) => (Word::Reborn, Some(now)),
-            None => (Word::Current, None),
+            Some(known) if born < known => return Recency::Stale,
+            Some(known) if born == known => return Recency::Current,
+            Some(_) => (Recency::Restarted, Some(now)),
+            None => (Recency::Current, None),
         };
         self.known.insert(engine.clone(), Life { born, reborn });
         word
@@ -70,7 +70,7 @@
     }
 
     /// Whether a new life of an engine was heard of at `since` or later.
-    pub fn is_reborn_since(&self, engine: &Name, since: Millis) -> bool {
+    pub fn restarted_since(&self, engine: &Name, since: Millis) -> bool {
         self.known.get(engine).and_then(|l| l.reborn).is_some_and(|at| at >= since)
     }
 
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -9,7 +9,7 @@
 
 use heathpitch_core::{Millis, Rate};
 
-use crate::EngineLife;
+use crate::EngineIncarnation;
 
 /// Time between two writes of a record that lets more through than its engines take, milliseconds.
 const TIGHTEN_INTERVAL_MS: Millis = 1_000;
@@ -38,9 +38,9 @@
 ///
 /// ```
 /// use heathpitch_core::Rate;
-/// use heathpitch_policy::{EngineLife, LimitEntry, LimitRecord};
+/// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord};
 ///
-/// let life = EngineLife { engine: "i-1".parse()?, born: Some(17) };
+/// let life = EngineIncarnation { engine: "i-1".parse()?, born: Some(17) };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), aside: false };
 /// let record = LimitRecord::of([(life, limit)]);
 /// assert_eq!(record.text(), "i-1 17 3.6 calls\n");
@@ -50,12 +50,12 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LimitRecord {
-    limits: BTreeMap<EngineLife, LimitEntry>,
+    limits: BTreeMap<EngineIncarnation, LimitEntry>,
 }
 
 impl LimitRecord {
     /// A record of these limits.
-    pub fn of(limits: impl IntoIterator<Item = (EngineLife, LimitEntry)>) -> Self {
+    pub fn of(limits: impl IntoIterator<Item = (EngineIncarnation, LimitEntry)>) -> Self {
         Self { limits: limits.into_iter().take(RECORD_MAX_ENGINES).collect() }
     }
 
@@ -80,20 +80,20 @@
     }
 
     /// Its limits.
-    pub fn limits(&self) -> impl Iterator<Item = (&EngineLife, LimitEntry)> {
+    pub fn limits(&self) -> impl Iterator<Item = (&EngineIncarnation, LimitEntry)> {
         self.limits.iter().map(|(life, limit)| (life, *limit))
     }
 
     /// Whether nodes that know only this record send an engine more than `current` lets them.
     fn exceeds(&self, current: &Self) -> bool {
-        let exceeded = |(life, limit): (&EngineLife, LimitEntry)| {
+        let exceeded = |(life, limit): (&EngineIncarnation, LimitEntry)| {
             self.limits.get(life).is_none_or(|l| l.rate > limit.rate)
         };
         current.limits().any(exceeded)
     }
 }
 
-fn read_line(line: &str) -> Option<(EngineLife, LimitEntry)> {
+fn read_line(line: &str) -> Option<(EngineIncarnation, LimitEntry)> {
     let mut words = line.split(' ');
     let engine = words.next()?.parse().ok()?;
     let born = words.next()?.parse().ok()?;
@@ -104,7 +104,7 @@
         _ => return None,
     };
     let born = Some(born).filter(|b| *b > 0);
-    Some((EngineLife { engine, born }, LimitEntry { rate, aside }))
+    Some((EngineIncarnation { engine, born }, LimitEntry { rate, aside }))
 }
 
 /// Decides when the planner of a failure domain writes its record.
@@ -113,9 +113,9 @@
 ///
 /// ```
 /// use heathpitch_core::Rate;
-/// use heathpitch_policy::{EngineLife, LimitEntry, LimitRecord, LimitRecorder};
+/// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord, LimitRecorder};
 ///
-/// let life = EngineLife { engine: "i-1".parse()?, born: None };
+/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), aside: false };
 /// let named = LimitRecord::of([(life, limit)]);
 /// let mut recorder = LimitRecorder::default();
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -8,7 +8,7 @@
 
 use heathpitch_core::{Millis, Rate};
 
-use crate::{EngineLife, LimitEntry, news};
+use crate::{EngineIncarnation, LimitEntry, notices};
 
 /// Time for which the end of a limit is told, milliseconds: all nodes in touch have heard of it by then.
 const END_TOLD: Millis = 10_000;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitTold {
     /// The engine.
-    pub life: EngineLife,
+    pub life: EngineIncarnation,
     /// Its limit; none if that is over.
     pub rate: Option<Rate>,
     /// Age of the word, milliseconds.
@@ -39,9 +39,9 @@
 ///
 /// ```
 /// use heathpitch_core::Rate;
-/// use heathpitch_policy::{EngineLife, Limits};
+/// use heathpitch_policy::{EngineIncarnation, Limits};
 ///
-/// let life = EngineLife { engine: "i-1".parse()?, born: None };
+/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let rate = Some(Rate::from_thousandths(3_600));
 /// let mut limits = Limits::default();
 /// assert!(limits.learn(life.clone(), rate, 100));
@@ -54,14 +54,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     serial: u64,
-    known: HashMap<EngineLife, Known>,
+    known: HashMap<EngineIncarnation, Known>,
     /// Engines whose answers to nodes' own questions name a limit, as a record of the store says.
-    aside: HashSet<EngineLife>,
+    aside: HashSet<EngineIncarnation>,
 }
 
 impl Limits {
     /// Takes a word of `at`; gives whether it changes what is known.
-    pub fn learn(&mut self, life: EngineLife, rate: Option<Rate>, at: Millis) -> bool {
+    pub fn learn(&mut self, life: EngineIncarnation, rate: Option<Rate>, at: Millis) -> bool {
         let known = self.known.get(&life);
         let same = known.map_or(rate.is_none(), |k| k.rate == rate);
         if same || known.is_some_and(|k| at < k.at) {
@@ -69,14 +69,14 @@
         }
         self.serial += 1;
         self.known.insert(life, Known { rate, at, serial: self.serial });
-        news::bound(&mut self.known, |k| k.at, MOST);
+        notices::bound(&mut self.known, |k| k.at, MOST);
         true
     }
 
     /// Takes the limit of an engine from a record of the store; gives whether nothing was known of the engine.
     ///
     /// How old the record is is not known: it counts as no younger than any word that nodes still tell.
-    pub fn restore(&mut self, life: EngineLife, limit: LimitEntry, now: Millis) -> bool {
+    pub fn restore(&mut self, life: EngineIncarnation, limit: LimitEntry, now: Millis) -> bool {
         if limit.aside {
             self.aside.insert(life.clone());
         }
@@ -85,30 +85,30 @@
     }
 
     /// Whether answers to nodes' own questions name the limit of an engine, as a record of the store says.
-    pub fn is_named_aside(&self, life: &EngineLife) -> bool {
+    pub fn is_named_aside(&self, life: &EngineIncarnation) -> bool {
         self.aside.contains(life)
     }
 
     /// The limit of an engine and since when it is known, if it names one.
-    pub fn of(&self, life: &EngineLife) -> Option<(Rate, Millis)> {
+    pub fn of(&self, life: &EngineIncarnation) -> Option<(Rate, Millis)> {
         self.known.get(life).and_then(|k| Some((k.rate?, k.at)))
     }
 
     /// The engines that name a limit, with it.
-    pub fn named(&self) -> impl Iterator<Item = (EngineLife, Rate)> {
+    pub fn named(&self) -> impl Iterator<Item = (EngineIncarnation, Rate)> {
         self.known.iter().filter_map(|(life, k)| Some((life.clone(), k.rate?)))
     }
 
     /// Forgets engines that are not to be kept, and ends of limits that all nodes have heard of.
-    pub fn retain(&mut self, keep: impl Fn(&EngineLife) -> bool, now: Millis) {
+    pub fn retain(&mut self, keep: impl Fn(&EngineIncarnation) -> bool, now: Millis) {
         self.known.retain(|life, k| keep(life) && (k.rate.is_some() || now < k.at + END_TOLD));
         self.aside.retain(|life| self.known.contains_key(life));
     }
 
     /// At most so many words that came after the one with this serial; and the serial up to which all is known then.
     pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<LimitTold>, u64) {
-        let (new, upto) = news::since(&self.known, |k| k.serial, serial, most, self.serial);
-        let told = |(life, k): (&EngineLife, &Known)| LimitTold {
+        let (new, upto) = notices::since(&self.known, |k| k.serial, serial, most, self.serial);
+        let told = |(life, k): (&EngineIncarnation, &Known)| LimitTold {
             life: life.clone(),
             rate: k.rate,
             age: now.saturating_sub(k.at),
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -100,7 +100,7 @@
     }
 
     /// Nodes alive in this failure domain, itself among them.
-    pub fn beside(&self, now: Millis) -> usize {
+    pub fn domain_size(&self, now: Millis) -> usize {
         let near = |h: &&Heard| h.member.domain == self.me.domain && self.lives(h, now);
         1 + self.known.values().filter(near).count()
     }
@@ -115,7 +115,7 @@
     }
 
     /// A peer to exchange with: mostly a near one, at times a far one or a seed.
-    pub fn pick(&self, now: Millis, rng: &mut impl Rng) -> Option<Name> {
+    pub fn pick_peer(&self, now: Millis, rng: &mut impl Rng) -> Option<Name> {
         let alive = self.alive(now);
         let near = |m: &&&Member| m.domain == self.me.domain;
         let far: Vec<&Name> = alive.iter().filter(|m| !near(m)).map(|m| &m.peer).collect();
@@ -147,7 +147,7 @@
     }
 
     /// Peers to try although they have not been heard.
-    pub fn seed(&mut self, peers: impl IntoIterator<Item = Name>) {
+    pub fn set_seeds(&mut self, peers: impl IntoIterator<Item = Name>) {
         let own = self.me.peer.clone();
         self.seeds = peers.into_iter().filter(|p| *p != own).collect();
     }
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/probes.rs
@@ -4,13 +4,13 @@
 
 /// What a look at one engine found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum ProbeResult {
     /// It answered.
     Alive,
     /// It did not answer in time: it hangs, or this node is too busy to hear it.
-    Late,
+    TimedOut,
     /// It cannot be reached.
-    Gone,
+    Unreachable,
 }
 
 /// Engines to leave.
@@ -22,22 +22,22 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_policy::{Sign, suspects};
+/// use heathpitch_policy::{ProbeResult, suspects};
 ///
 /// let (a, b, c) = ("a".parse()?, "b".parse()?, "c".parse()?);
-/// let one = suspects(vec![(a, Sign::Alive), (b, Sign::Late), (c, Sign::Alive)]);
+/// let one = suspects(vec![(a, ProbeResult::Alive), (b, ProbeResult::TimedOut), (c, ProbeResult::Alive)]);
 /// assert_eq!(one.len(), 1);
 /// let (a, b) = ("a".parse()?, "b".parse()?);
-/// assert!(suspects(vec![(a, Sign::Late), (b, Sign::Late)]).is_empty());
+/// assert!(suspects(vec![(a, ProbeResult::TimedOut), (b, ProbeResult::TimedOut)]).is_empty());
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
-pub fn suspects(looks: Vec<(Name, Sign)>) -> Vec<Name> {
-    let late = looks.iter().filter(|(_, s)| *s == Sign::Late).count();
+pub fn suspects(looks: Vec<(Name, ProbeResult)>) -> Vec<Name> {
+    let late = looks.iter().filter(|(_, s)| *s == ProbeResult::TimedOut).count();
     let believed = late * 3 <= looks.len() * 2;
-    let left = |sign: Sign| match sign {
-        Sign::Alive => false,
-        Sign::Late => believed,
-        Sign::Gone => true,
+    let left = |sign: ProbeResult| match sign {
+        ProbeResult::Alive => false,
+        ProbeResult::TimedOut => believed,
+        ProbeResult::Unreachable => true,
     };
     looks.into_iter().filter(|(_, sign)| left(*sign)).map(|(name, _)| name).collect()
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -32,16 +32,16 @@
 /// # Examples
 ///
 /// ```
-/// assert!(heathpitch_policy::has_just_begun(1));
-/// assert!(!heathpitch_policy::has_just_begun(40));
+/// assert!(heathpitch_policy::just_started(1));
+/// assert!(!heathpitch_policy::just_started(40));
 /// ```
-pub fn has_just_begun(events: u32) -> bool {
+pub fn just_started(events: u32) -> bool {
     events <= BEGUN
 }
 
 /// A life of an engine: one that starts again under its id is another one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EngineLife {
+pub struct EngineIncarnation {
     /// Its id.
     pub engine: Name,
     /// Unix time of its start, milliseconds, if it tells that.
@@ -54,7 +54,7 @@
     /// The request.
     pub print: RequestPrint,
     /// The engine.
-    pub life: EngineLife,
+    pub life: EngineIncarnation,
     /// Events that the request had brought there.
     pub events: u32,
     /// How often the request came again long after.
@@ -66,7 +66,7 @@
 /// A request under which enough engines ended.
 struct Suspect<'a> {
     print: RequestPrint,
-    lives: BTreeSet<&'a EngineLife>,
+    lives: BTreeSet<&'a EngineIncarnation>,
     /// Events that it had brought, over all of them.
     events: u32,
 }
@@ -86,17 +86,17 @@
 ///
 /// ```
 /// use heathpitch_core::RequestPrint;
-/// use heathpitch_policy::{EngineLife, Quarantine};
+/// use heathpitch_policy::{EngineIncarnation, Quarantine};
 ///
 /// let mut quarantine = Quarantine::default();
 /// let (fatal, moved) = (RequestPrint(1), RequestPrint(2));
-/// let life = |engine: &str| EngineLife { engine: engine.parse().unwrap(), born: None };
+/// let life = |engine: &str| EngineIncarnation { engine: engine.parse().unwrap(), born: None };
 /// for engine in ["e1", "e2", "e3", "e4"] {
-///     quarantine.ended(fatal, life(engine), 0, 10);
+///     quarantine.record_end(fatal, life(engine), 0, 10);
 /// }
 /// // It was moved from engine to engine beside the other one.
 /// for engine in ["e1", "e2", "e3"] {
-///     quarantine.ended(moved, life(engine), 0, 10);
+///     quarantine.record_end(moved, life(engine), 0, 10);
 /// }
 /// quarantine.decide();
 /// assert!(quarantine.holds(fatal));
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     serial: u64,
-    ends: BTreeMap<(RequestPrint, EngineLife), Known>,
+    ends: BTreeMap<(RequestPrint, EngineIncarnation), Known>,
     held: BTreeSet<RequestPrint>,
 }
 
@@ -113,10 +113,10 @@
 impl Quarantine {
     /// Takes note that an engine ended which had brought so many events of a request; gives whether that is
     /// new. It counts only against one that the engine had just begun to run.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         print: RequestPrint,
-        life: EngineLife,
+        life: EngineIncarnation,
         events: u32,
         now: Millis,
     ) -> bool {
@@ -149,19 +149,19 @@
     }
 
     /// A request was answered whole: no engine ended by it. Gives whether ends were known of it.
-    pub fn answered(&mut self, print: RequestPrint) -> bool {
+    pub fn clear_request(&mut self, print: RequestPrint) -> bool {
         self.make_void(|(p, _)| *p == print)
     }
 
     /// An engine said to have ended has answered since. Gives whether that changes anything.
-    pub fn lives(&mut self, life: &EngineLife) -> bool {
+    pub fn engine_alive(&mut self, life: &EngineIncarnation) -> bool {
         self.make_void(|(_, l)| l == life)
     }
 
     /// A request that is held back came again: it is held for longer, once half of its time is over. Gives
     /// whether that was so.
-    pub fn came(&mut self, print: RequestPrint, now: Millis) -> bool {
-        let due = Self::is_renewed(self.left(print, now));
+    pub fn renew(&mut self, print: RequestPrint, now: Millis) -> bool {
+        let due = Self::is_renewal_due(self.remaining(print, now));
         if due {
             self.serial += 1;
             for (_, known) in self.ends.iter_mut().filter(|((p, _), k)| *p == print && !k.void) {
@@ -183,7 +183,7 @@
         self.ends.len() < before
     }
 
-    fn make_void(&mut self, of: impl Fn(&(RequestPrint, EngineLife)) -> bool) -> bool {
+    fn make_void(&mut self, of: impl Fn(&(RequestPrint, EngineIncarnation)) -> bool) -> bool {
         let serial = self.serial + 1;
         let mut new = false;
         for (_, known) in self.ends.iter_mut().filter(|(key, k)| !k.void && of(key)) {
@@ -202,7 +202,7 @@
         if self.ends.len() <= MOST {
             return;
         }
-        let worth = |(key, k): (&(RequestPrint, EngineLife), &Known)| {
+        let worth = |(key, k): (&(RequestPrint, EngineIncarnation), &Known)| {
             (!k.void, self.held.contains(&key.0), k.at)
         };
         let least = self.ends.iter().min_by_key(|e| worth(*e)).map(|(key, _)| key.clone());
@@ -215,7 +215,7 @@
 impl Known {
     /// Whether it counts against its request.
     fn counts(&self) -> bool {
-        !self.void && has_just_begun(self.events)
+        !self.void && just_started(self.events)
     }
 
     /// Joins what is told of the same end; gives whether it says anything new.
@@ -260,7 +260,7 @@
     /// no more engines ended.
     fn verdict(&self) -> BTreeSet<RequestPrint> {
         let suspects = self.suspects();
-        let mut explained: BTreeSet<&EngineLife> = BTreeSet::new();
+        let mut explained: BTreeSet<&EngineIncarnation> = BTreeSet::new();
         let mut blamed = BTreeSet::new();
         loop {
             let open = |s: &Suspect<'_>| s.lives.difference(&explained).count();
@@ -303,11 +303,11 @@
     }
 
     /// Ends that count against a request, with their ages.
-    pub fn against(
+    pub fn evidence(
         &self,
         print: RequestPrint,
         now: Millis,
-    ) -> impl Iterator<Item = (&EngineLife, u32, Millis)> {
+    ) -> impl Iterator<Item = (&EngineIncarnation, u32, Millis)> {
         let of = self.ends.iter().filter(move |((p, _), k)| *p == print && k.counts());
         of.map(move |((_, life), k)| (life, k.events, now.saturating_sub(k.at)))
     }
@@ -322,14 +322,14 @@
     }
 
     /// Engines that have ended, as far as is known.
-    pub fn ended_lives(&self) -> HashSet<EngineLife> {
+    pub fn ended_engines(&self) -> HashSet<EngineIncarnation> {
         let ends = self.ends.iter().filter(|(_, k)| !k.void);
         ends.map(|((_, life), _)| life.clone()).collect()
     }
 
     /// How long a request is still held back if it does not come again.
-    pub fn left(&self, print: RequestPrint, now: Millis) -> Millis {
-        let youngest = self.against(print, now).map(|(.., age)| age).min();
+    pub fn remaining(&self, print: RequestPrint, now: Millis) -> Millis {
+        let youngest = self.evidence(print, now).map(|(.., age)| age).min();
         KEPT.saturating_sub(youngest.unwrap_or(KEPT))
     }
 
@@ -340,7 +340,7 @@
     }
 
     /// Whether a request that is held back for so much longer is to be renewed if it comes.
-    pub fn is_renewed(left: Millis) -> bool {
+    pub fn is_renewal_due(left: Millis) -> bool {
         left <= KEPT / 2
     }
 
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -9,7 +9,7 @@
 
 use heathpitch_core::{Millis, Name, Rate};
 
-use crate::{Bucket, EngineLife};
+use crate::{Bucket, EngineIncarnation};
 
 /// Least rate, requests a second: one that takes next to nothing is asked now and then whether it still does.
 const RATE_LEAST: f64 = 0.25;
@@ -64,9 +64,9 @@
 ///
 /// ```
 /// use heathpitch_core::Rate;
-/// use heathpitch_policy::{EngineLife, Rights};
+/// use heathpitch_policy::{EngineIncarnation, Rights};
 ///
-/// let life = EngineLife { engine: "i-1".parse()?, born: None };
+/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let limit = Rate::from_thousandths(4_000);
 /// let (a, b) = ("n1".parse()?, "n2".parse()?);
 /// let mut rights = Rights::default();
@@ -78,14 +78,14 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Rights {
-    engines: HashMap<EngineLife, Handed>,
+    engines: HashMap<EngineIncarnation, Handed>,
 }
 
 impl Rights {
     /// Hands out up to `wanted` rights for an engine to a node; `draw`, from 0 to 1, spreads the time told to it.
     pub fn hand_out(
         &mut self,
-        engine: &EngineLife,
+        engine: &EngineIncarnation,
         limit: Rate,
         node: &Name,
         wanted: u16,
@@ -122,12 +122,12 @@
     }
 
     /// Whether more was asked for than an engine takes, for some time since it names its limit.
-    pub fn binds(&self, engine: &EngineLife) -> bool {
+    pub fn binds(&self, engine: &EngineIncarnation) -> bool {
         self.engines.get(engine).is_some_and(|h| h.binds)
     }
 
     /// Forgets an engine whose limit is over.
-    pub fn remove(&mut self, engine: &EngineLife) {
+    pub fn remove(&mut self, engine: &EngineIncarnation) {
         self.engines.remove(engine);
     }
 
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -77,13 +77,13 @@
 
 /// What came of asking a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum PollOutcome {
     /// It told what it knows.
-    Told,
+    Fresh,
     /// It answered, but knows nothing young enough, or its link is full.
-    Empty,
+    Declined,
     /// No answer came.
-    Lost,
+    NoAnswer,
 }
 
 /// Why a source is passed over.
@@ -99,7 +99,7 @@
 ///
 /// ```
 /// use heathpitch_core::Revision;
-/// use heathpitch_policy::{DomainPlanner, Heard, Source, Sources};
+/// use heathpitch_policy::{DomainPlanner, PollOutcome, Source, Sources};
 /// use rand::{SeedableRng, rngs::SmallRng};
 ///
 /// let mut rng = SmallRng::seed_from_u64(1);
@@ -109,16 +109,16 @@
 /// };
 /// let mut sources = Sources::new("n9".parse()?, "mem".parse()?, 0);
 /// let planner = DomainPlanner { source: source("n1", 1), revision: Revision(4) };
-/// sources.meet("mem".parse()?, planner);
-/// sources.stand_by(vec![source("n2", 2)]);
+/// sources.learn_planner("mem".parse()?, planner);
+/// sources.set_standbys(vec![source("n2", 2)]);
 ///
 /// // The planner does not answer: its standby is asked at once, and the store is left alone.
 /// let first = sources.next(0, true).unwrap().node.clone();
 /// assert_eq!(first.as_str(), "n1");
-/// sources.heard(&first, Heard::Lost, 300, 60, &mut rng);
+/// sources.record_poll(&first, PollOutcome::NoAnswer, 300, 60, &mut rng);
 /// let second = sources.next(300, true).unwrap().node.clone();
 /// assert_eq!(second.as_str(), "n2");
-/// sources.heard(&second, Heard::Told, 301, 60, &mut rng);
+/// sources.record_poll(&second, PollOutcome::Fresh, 301, 60, &mut rng);
 /// assert!(!sources.may_read(301));
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
@@ -163,7 +163,7 @@
 /// # Knowledge
 impl Sources {
     /// Takes note of the planner of a failure domain, unless a newer one is known; gives whether it is new.
-    pub fn meet(&mut self, domain: Name, planner: DomainPlanner) -> bool {
+    pub fn learn_planner(&mut self, domain: Name, planner: DomainPlanner) -> bool {
         let known = self.planners.get(&domain);
         let new = known.is_none_or(|k| planner.revision > k.revision);
         if new {
@@ -175,7 +175,7 @@
     }
 
     /// Takes note that the planner of this failure domain gives its lease up, though it still tells.
-    pub fn vacate(&mut self, now: Millis, beside: u32, rng: &mut impl Rng) {
+    pub fn planner_released(&mut self, now: Millis, beside: u32, rng: &mut impl Rng) {
         self.vacant = true;
         if self.claim.is_none() {
             self.claim = Some(now + self.claim_wait(beside, rng));
@@ -183,7 +183,7 @@
     }
 
     /// Takes note of the standbys of this failure domain.
-    pub fn stand_by(&mut self, standbys: Vec<Source>) {
+    pub fn set_standbys(&mut self, standbys: Vec<Source>) {
         self.standbys = standbys;
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Whether no planner is known, so that nobody but seeds can be asked.
-    pub fn knows_nobody(&self) -> bool {
+    pub fn knows_no_planner(&self) -> bool {
         self.planners.is_empty()
     }
 
@@ -208,13 +208,13 @@
     }
 
     /// This node's place among the standbys.
-    pub fn place(&self) -> Option<usize> {
+    pub fn standby_rank(&self) -> Option<usize> {
         let place = self.standbys.iter().position(|s| s.node == self.own);
         place.filter(|_| on(Mechanism::Standbys))
     }
 
     /// The source that tells, if one does.
-    pub fn teller(&self) -> Option<&Name> {
+    pub fn active(&self) -> Option<&Name> {
         self.teller.as_ref()
     }
 }
@@ -229,34 +229,34 @@
             s.node != self.own && self.rests.get(&s.node).is_none_or(|r| now >= r.until)
         };
         let alone = self.silent.is_none_or(|since| now >= since + REMOTE_SOURCES_AFTER_MS);
-        let far = alone && !(reachable && self.place().is_some());
+        let far = alone && !(reachable && self.standby_rank().is_some());
         self.near().chain(self.far().filter(|_| far)).find(rested)
     }
 
     /// Whether a source stands in this failure domain.
-    pub fn is_near(&self, node: &Name) -> bool {
+    pub fn is_local(&self, node: &Name) -> bool {
         self.near().any(|s| &s.node == node)
     }
 
     /// Takes note of what came of asking a source, in a failure domain of so many nodes.
-    pub fn heard(
+    pub fn record_poll(
         &mut self,
         node: &Name,
-        heard: Heard,
+        heard: PollOutcome,
         now: Millis,
         beside: u32,
         rng: &mut impl Rng,
     ) {
         match heard {
-            Heard::Told => {
+            PollOutcome::Fresh => {
                 self.rests.remove(node);
                 self.teller = Some(node.clone());
                 (self.silent, self.turn) = (None, None);
-                if self.is_near(node) && !self.vacant {
+                if self.is_local(node) && !self.vacant {
                     self.claim = None;
                 }
             }
-            Heard::Empty | Heard::Lost => {
+            PollOutcome::Declined | PollOutcome::NoAnswer => {
                 let rest = self.rest(node, heard);
                 self.rests.insert(node.clone(), Rest { until: now + rest, pause: rest });
             }
@@ -265,14 +265,14 @@
     }
 
     /// Takes note that no source is left to ask.
-    pub fn silent(&mut self, now: Millis, beside: u32, rng: &mut impl Rng) {
+    pub fn sources_exhausted(&mut self, now: Millis, beside: u32, rng: &mut impl Rng) {
         self.teller = None;
         self.silent.get_or_insert(now);
         self.draw(now, beside, rng);
     }
 
     /// Takes note that the store did not answer this node, whose turn is over then.
-    pub fn missed(&mut self, now: Millis, beside: u32, rng: &mut impl Rng) {
+    pub fn store_unavailable(&mut self, now: Millis, beside: u32, rng: &mut impl Rng) {
         if self.turn.is_some_and(|turn| now >= turn) {
             self.turn = Some(now + wait(beside, rng));
         }
@@ -285,7 +285,7 @@
     ///
     /// A call by each node is most of what a start of all costs the store. A node on a small VM need not make it: by
     /// the time that it leaves to others one of them plans, and a seed names it.
-    pub fn begin(&mut self, start: FleetStart, now: Millis, rng: &mut impl Rng) {
+    pub fn schedule_first_lookup(&mut self, start: FleetStart, now: Millis, rng: &mut impl Rng) {
         let (wait, spread) = match start {
             FleetStart { able: true, .. } => (0, 0),
             FleetStart { first_start: true, seeded: true, .. } => FIRST_LOOK_SEEDED_MS,
@@ -297,14 +297,14 @@
     }
 
     /// Takes note that another node holds the planner's lease, and is asked first.
-    pub fn put_off(&mut self, now: Millis, beside: u32, rng: &mut impl Rng) {
+    pub fn defer_claim(&mut self, now: Millis, beside: u32, rng: &mut impl Rng) {
         if self.claim.is_some() {
             self.claim = Some(now + self.claim_wait(beside, rng).max(SOURCE_GRACE_MS));
         }
     }
 
     /// Lets this node read the store until a source tells it.
-    pub fn take_turn(&mut self, now: Millis) {
+    pub fn allow_reads(&mut self, now: Millis) {
         self.teller = None;
         self.silent.get_or_insert(now);
         self.turn = Some(now);
@@ -315,7 +315,7 @@
     ///
     /// Whoever told before may have known more: an engine that left would be listed again. A list with the
     /// same content is taken at any age, or a node that reads for itself would never be told again.
-    pub fn takes(&self, node: &Name, proven: Millis, own: Option<Millis>, same: bool) -> bool {
+    pub fn accepts(&self, node: &Name, proven: Millis, own: Option<Millis>, same: bool) -> bool {
         same || self.teller.as_ref() == Some(node)
             || own.is_none_or(|own| proven >= own)
             || !on(Mechanism::ListAge)
@@ -325,7 +325,7 @@
     pub fn may_read(&self, now: Millis) -> bool {
         match self.teller {
             Some(_) => false,
-            None => self.place().is_some() || self.turn.is_some_and(|turn| now >= turn),
+            None => self.standby_rank().is_some() || self.turn.is_some_and(|turn| now >= turn),
         }
     }
 
@@ -336,7 +336,7 @@
 
     /// Sources of this failure domain: the planner and the standbys, of which one asks only those before it.
     fn near(&self) -> impl Iterator<Item = &Source> {
-        let before = self.place().unwrap_or(self.standbys.len());
+        let before = self.standby_rank().unwrap_or(self.standbys.len());
         let planner = self.planners.get(&self.domain).map(|p| &p.source);
         let standbys = self.standbys[..before].iter();
         planner
@@ -348,9 +348,9 @@
         self.planners.iter().filter(|(d, _)| **d != self.domain).map(|(_, p)| &p.source)
     }
 
-    fn rest(&self, node: &Name, heard: Heard) -> Millis {
+    fn rest(&self, node: &Name, heard: PollOutcome) -> Millis {
         match (heard, self.rests.get(node)) {
-            (Heard::Lost, _) => BACKOFF_UNREACHABLE_MS,
+            (PollOutcome::NoAnswer, _) => BACKOFF_UNREACHABLE_MS,
             (_, None) => BACKOFF_STALE_MS.0,
             (_, Some(rest)) => (rest.pause * 2).clamp(BACKOFF_STALE_MS.0, BACKOFF_STALE_MS.1),
         }
@@ -361,14 +361,14 @@
         if self.teller.is_none() && self.turn.is_none() {
             self.turn = Some(now + wait(beside, rng));
         }
-        let near = self.teller.as_ref().is_some_and(|t| self.is_near(t));
+        let near = self.teller.as_ref().is_some_and(|t| self.is_local(t));
         if !near && self.claim.is_none() {
             self.claim = Some(now + self.claim_wait(beside, rng));
         }
     }
 
     fn claim_wait(&self, beside: u32, rng: &mut impl Rng) -> Millis {
-        match self.place() {
+        match self.standby_rank() {
             Some(place) => CLAIM_STEP_MS * place as Millis,
             None => wait(beside, rng),
         }
--- a/crates/policy/tests/engine_limit.rs
+++ b/crates/policy/tests/engine_limit.rs
@@ -8,7 +8,7 @@
 
 use common::name;
 use heathpitch_core::Rate;
-use heathpitch_policy::{EngineLife, EngineLimit, Limits, Right, Wish};
+use heathpitch_policy::{EngineIncarnation, EngineLimit, Limits, Right, Wish};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -65,7 +65,7 @@
     assert!(limit.told(Some(rate(1.0)), 450));
     assert!(!limit.told(Some(rate(9.0)), 440), "older");
     assert!(limit.told(None, 600));
-    let life = EngineLife { engine: name("i-1"), born: Some(5) };
+    let life = EngineIncarnation { engine: name("i-1"), born: Some(5) };
     let mut limits = Limits::default();
     assert!(!limits.learn(life.clone(), None, 10), "nothing to end");
     assert!(
--- a/crates/policy/tests/fleet_start.rs
+++ b/crates/policy/tests/fleet_start.rs
@@ -7,7 +7,7 @@
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
 use heathpitch_core::{Millis, Name, Revision};
-use heathpitch_policy::{DomainPlanner, FleetStart, Heard, Source, Sources};
+use heathpitch_policy::{DomainPlanner, FleetStart, PollOutcome, Source, Sources};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -75,7 +75,11 @@
             let able = i / DOMAINS < ABLE;
             let mut sources = Sources::new(source(i).node, domain(i % DOMAINS), begins);
             let seeded = seeded && !seeds.contains(&i);
-            sources.begin(FleetStart { first_start, able, seeded }, begins, &mut rng);
+            sources.schedule_first_lookup(
+                FleetStart { first_start, able, seeded },
+                begins,
+                &mut rng,
+            );
             let domain = i % DOMAINS;
             Node { domain, able, begins, sources, contends: None, told: None, reads: 0 }
         };
@@ -125,7 +129,7 @@
 
     /// Asks a seed while it knows nobody, then one source after the other.
     fn ask(&mut self, i: usize, now: Millis) {
-        if self.nodes[i].sources.knows_nobody()
+        if self.nodes[i].sources.knows_no_planner()
             && !self.seeds.contains(&i)
             && !self.seeds.is_empty()
         {
@@ -138,14 +142,14 @@
             let since =
                 self.plans.iter().flatten().find(|(p, _)| *p == of).map(|(_, since)| *since);
             let tells = since.is_some_and(|since| now >= since + READ);
-            let heard = if tells { Heard::Told } else { Heard::Empty };
-            self.nodes[i].sources.heard(&next.node, heard, now, 16, &mut self.rng);
+            let heard = if tells { PollOutcome::Fresh } else { PollOutcome::Declined };
+            self.nodes[i].sources.record_poll(&next.node, heard, now, 16, &mut self.rng);
             if tells {
                 self.nodes[i].told.get_or_insert(now);
                 return;
             }
         }
-        self.nodes[i].sources.silent(now, 16, &mut self.rng);
+        self.nodes[i].sources.sources_exhausted(now, 16, &mut self.rng);
     }
 
     fn hear_planners(&mut self, i: usize, of: usize, now: Millis) {
@@ -155,7 +159,7 @@
         let known: Vec<_> =
             self.nodes[of].sources.planners().map(|(d, p)| (d.clone(), p.clone())).collect();
         for (domain, planner) in known {
-            self.nodes[i].sources.meet(domain, planner);
+            self.nodes[i].sources.learn_planner(domain, planner);
         }
     }
 
@@ -166,7 +170,7 @@
         let node = &mut self.nodes[i];
         match self.leases[node.domain] {
             Some((planner, _)) if planner == i => self.contend(i, now),
-            Some(_) => node.sources.put_off(now, 16, &mut self.rng),
+            Some(_) => node.sources.defer_claim(now, 16, &mut self.rng),
             None => {
                 self.calls += 1;
                 let wait = self.rng.random_range(1..STAGGER);
@@ -180,7 +184,7 @@
             if let Some((planner, revision)) = *lease {
                 let planner =
                     DomainPlanner { source: source(planner), revision: Revision(revision) };
-                self.nodes[i].sources.meet(domain(d), planner);
+                self.nodes[i].sources.learn_planner(domain(d), planner);
             }
         }
     }
@@ -200,7 +204,7 @@
         for (planner, _) in self.plans.into_iter().flatten() {
             self.list(planner);
         }
-        self.nodes[i].sources.put_off(now, 16, &mut self.rng);
+        self.nodes[i].sources.defer_claim(now, 16, &mut self.rng);
     }
 }
 
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -91,12 +91,12 @@
 /// A node that is too busy to hear anybody must not leave every engine at once.
 #[test]
 fn late_answers_of_nearly_all_engines_are_not_believed() {
-    use heathpitch_policy::{Sign, suspects};
+    use heathpitch_policy::{ProbeResult, suspects};
     let looks = |late: usize, gone: usize| -> Vec<_> {
         let sign = |i: usize| match i {
-            i if i < gone => Sign::Gone,
-            i if i < gone + late => Sign::Late,
-            _ => Sign::Alive,
+            i if i < gone => ProbeResult::Unreachable,
+            i if i < gone + late => ProbeResult::TimedOut,
+            _ => ProbeResult::Alive,
         };
         (0..12).map(|i| (name(&format!("e{i}")), sign(i))).collect()
     };
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -16,8 +16,8 @@
 use common::name;
 use heathpitch_core::{Name, Rate};
 use heathpitch_policy::{
-    Bucket, EngineLife, EngineLimit, LimitEntry, LimitRecord, LimitRecorder, Limits, Right, Rights,
-    Wish,
+    Bucket, EngineIncarnation, EngineLimit, LimitEntry, LimitRecord, LimitRecorder, Limits, Right,
+    Rights, Wish,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -100,7 +100,7 @@
     wishes: Vec<Arc<Wish>>,
     even: Vec<Bucket>,
     rights: Rights,
-    life: EngineLife,
+    life: EngineIncarnation,
     /// What the planner knows of limits, when it writes that, and what the store holds.
     limits: Limits,
     recorder: LimitRecorder,
@@ -131,7 +131,7 @@
             wishes: (0..load.nodes).map(|_| Arc::default()).collect(),
             even: (0..load.nodes).map(bucket).collect(),
             rights: Rights::default(),
-            life: EngineLife { engine: name("i-1"), born: None },
+            life: EngineIncarnation { engine: name("i-1"), born: None },
             limits: Limits::default(),
             recorder: LimitRecorder::default(),
             record: String::new(),
--- a/crates/policy/tests/lives.rs
+++ b/crates/policy/tests/lives.rs
@@ -3,18 +3,18 @@
 mod common;
 
 use common::name;
-use heathpitch_policy::{Lives, Word};
+use heathpitch_policy::{Incarnations, Recency};
 use proptest::prelude::*;
 
 #[test]
 fn a_word_without_a_start_is_taken_to_be_of_the_life_that_is_known() {
     let engine = name("i-1");
-    let mut lives = Lives::default();
-    assert_eq!(lives.hear(&engine, None, 1), Word::Current);
-    assert_eq!(lives.hear(&engine, Some(5), 2), Word::Current);
-    assert_eq!(lives.hear(&engine, None, 3), Word::Current);
+    let mut lives = Incarnations::default();
+    assert_eq!(lives.observe(&engine, None, 1), Recency::Current);
+    assert_eq!(lives.observe(&engine, Some(5), 2), Recency::Current);
+    assert_eq!(lives.observe(&engine, None, 3), Recency::Current);
     assert_eq!(lives.born(&engine), Some(5));
-    assert!(!lives.is_reborn_since(&engine, 0));
+    assert!(!lives.restarted_since(&engine, 0));
 }
 
 proptest! {
@@ -23,19 +23,19 @@
     #[test]
     fn the_newest_life_heard_of_holds(starts in proptest::collection::vec(0_u64..6, 1..60)) {
         let engine = name("i-1");
-        let mut lives = Lives::default();
+        let mut lives = Incarnations::default();
         let mut newest = None;
         for (now, born) in (0..).zip(starts) {
             let expected = match newest {
-                None => Word::Current,
-                Some(n) if born > n => Word::Reborn,
-                Some(n) if born < n => Word::Old,
-                Some(_) => Word::Current,
+                None => Recency::Current,
+                Some(n) if born > n => Recency::Restarted,
+                Some(n) if born < n => Recency::Stale,
+                Some(_) => Recency::Current,
             };
-            prop_assert_eq!(lives.hear(&engine, Some(born), now), expected);
+            prop_assert_eq!(lives.observe(&engine, Some(born), now), expected);
             newest = newest.max(Some(born));
             prop_assert_eq!(lives.born(&engine), newest);
-            prop_assert_eq!(lives.is_reborn_since(&engine, now), expected == Word::Reborn);
+            prop_assert_eq!(lives.restarted_since(&engine, now), expected == Recency::Restarted);
         }
     }
 }
--- a/crates/policy/tests/members.rs
+++ b/crates/policy/tests/members.rs
@@ -35,7 +35,7 @@
     let mut all: Vec<Members> = (0..nodes)
         .map(|i| {
             let mut m = Members::new(member(i, "d"), PERIOD);
-            m.seed([name("p0"), name("p1")]);
+            m.set_seeds([name("p0"), name("p1")]);
             m
         })
         .collect();
@@ -44,7 +44,7 @@
         now += PERIOD;
         for i in 0..nodes {
             all[i].beat(now);
-            let Some(peer) = all[i].pick(now, &mut rng) else { continue };
+            let Some(peer) = all[i].pick_peer(now, &mut rng) else { continue };
             let j: usize = peer.as_str()[1..].parse().unwrap();
             if i == j {
                 continue;
@@ -60,7 +60,7 @@
 #[test]
 fn nodes_of_a_failure_domain_know_each_other_with_ten_entries_an_exchange() {
     let (all, now) = domain(70, 60);
-    let known: usize = all.iter().map(|m| m.beside(now)).sum();
+    let known: usize = all.iter().map(|m| m.domain_size(now)).sum();
     let part = known as f64 / (70.0 * 70.0);
     assert!(part > 0.97, "a node knows {:.1} % of its failure domain", part * 100.0);
 }
@@ -71,7 +71,7 @@
     m.merge((1..100).map(|i| member(i, "far")).collect(), 1);
     assert_eq!(m.alive(1).len(), 8);
     m.merge((100..150).map(|i| member(i, "d")).collect(), 1);
-    assert_eq!(m.beside(1), 51);
+    assert_eq!(m.domain_size(1), 51);
 }
 
 #[test]
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
 use heathpitch_core::{Millis, RequestPrint};
-use heathpitch_policy::{End, EngineLife, Quarantine};
+use heathpitch_policy::{End, EngineIncarnation, Quarantine};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -11,14 +11,14 @@
 const FATAL: RequestPrint = RequestPrint(7);
 const OTHER: RequestPrint = RequestPrint(8);
 
-fn life(engine: u32) -> EngineLife {
-    EngineLife { engine: format!("e{engine}").parse().unwrap(), born: None }
+fn life(engine: u32) -> EngineIncarnation {
+    EngineIncarnation { engine: format!("e{engine}").parse().unwrap(), born: None }
 }
 
 fn after(ends: &[(RequestPrint, u32, u32)]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (print, engine, events) in ends {
-        quarantine.ended(*print, life(*engine), *events, 0);
+        quarantine.record_end(*print, life(*engine), *events, 0);
     }
     quarantine.decide();
     quarantine
@@ -34,7 +34,7 @@
 fn one_that_had_long_been_running_is_not_blamed_though_its_engine_s_end_is_told() {
     let quarantine = after(&[(OTHER, 1, 9), (OTHER, 2, 40), (OTHER, 3, 200)]);
     assert!(!quarantine.holds(OTHER));
-    assert_eq!((quarantine.ended_lives().len(), quarantine.counts().len()), (3, 0));
+    assert_eq!((quarantine.ended_engines().len(), quarantine.counts().len()), (3, 0));
 }
 
 #[test]
@@ -50,7 +50,7 @@
 fn where_two_cannot_be_told_apart_the_next_end_does() {
     let mut quarantine = after(&[1, 2, 3].map(|e| [(FATAL, e, 2), (OTHER, e, 0)]).concat());
     assert_eq!(quarantine.held().count(), 0);
-    quarantine.ended(FATAL, life(4), 2, 0);
+    quarantine.record_end(FATAL, life(4), 2, 0);
     assert_eq!(quarantine.decide(), (vec![FATAL], vec![]));
 }
 
@@ -59,7 +59,7 @@
     let mut quarantine = after(&[1, 2, 3, 4].map(|e| [(FATAL, e, 0), (OTHER, e, 3)]).concat());
     assert_eq!(quarantine.held().collect::<Vec<_>>(), [FATAL]);
     // Should that be wrong, the other one ends an engine alone.
-    quarantine.ended(OTHER, life(5), 3, 0);
+    quarantine.record_end(OTHER, life(5), 3, 0);
     assert_eq!(quarantine.decide().0, [OTHER]);
 }
 
@@ -80,24 +80,24 @@
 fn an_answer_or_an_engine_that_lives_ends_it() {
     let ends = [1, 2, 3].map(|e| (FATAL, e, 0));
     let mut answered = after(&ends);
-    assert!(answered.answered(FATAL));
+    assert!(answered.clear_request(FATAL));
     assert_eq!(answered.decide().1, [FATAL]);
     let mut lives = after(&ends);
-    assert!(lives.lives(&life(2)));
+    assert!(lives.engine_alive(&life(2)));
     assert_eq!(lives.decide().1, [FATAL]);
-    assert!(!lives.lives(&life(2)));
+    assert!(!lives.engine_alive(&life(2)));
 }
 
 #[test]
 fn it_ends_some_time_after_the_request_came_last() {
     let mut quarantine = after(&[1, 2, 3].map(|e| (FATAL, e, 0)));
     let minutes = |m: u64| m * 60_000;
-    assert!(!quarantine.came(FATAL, minutes(1)), "it is still for long");
-    assert!(quarantine.came(FATAL, minutes(8)));
+    assert!(!quarantine.renew(FATAL, minutes(1)), "it is still for long");
+    assert!(quarantine.renew(FATAL, minutes(8)));
     quarantine.expire(minutes(12));
     quarantine.decide();
     assert!(quarantine.holds(FATAL));
-    assert_eq!(quarantine.left(FATAL, minutes(12)), minutes(6));
+    assert_eq!(quarantine.remaining(FATAL, minutes(12)), minutes(6));
     quarantine.expire(minutes(18));
     assert_eq!(quarantine.decide().1, [FATAL]);
 }
@@ -106,7 +106,7 @@
 #[test]
 fn ends_of_a_request_are_forgotten_together() {
     let mut here = after(&[1, 2].map(|e| (FATAL, e, 0)));
-    here.ended(FATAL, life(3), 0, 500_000);
+    here.record_end(FATAL, life(3), 0, 500_000);
     here.decide();
     here.expire(900_000);
     here.decide();
@@ -118,7 +118,10 @@
     there.expire(900_000);
     there.decide();
     assert!(there.holds(FATAL));
-    assert_eq!((here.left(FATAL, 900_000), there.left(FATAL, 900_000)), (200_000, 200_000));
+    assert_eq!(
+        (here.remaining(FATAL, 900_000), there.remaining(FATAL, 900_000)),
+        (200_000, 200_000)
+    );
     here.expire(1_100_000);
     assert_eq!(here.decide().1, [FATAL]);
 }
@@ -126,7 +129,7 @@
 #[test]
 fn what_nodes_tell_each_other_in_circles_does_not_stay_young() {
     let [mut here, mut there] = [Quarantine::default(), Quarantine::default()];
-    here.ended(FATAL, life(1), 0, 0);
+    here.record_end(FATAL, life(1), 0, 0);
     for now in (0..590_000).step_by(1_000) {
         for (end, age) in here.since(0, 100, now).0 {
             there.learn(end, age, now + 1);
@@ -135,13 +138,13 @@
             assert!(!here.learn(end, age, now + 2), "nothing new");
         }
     }
-    assert!(there.against(FATAL, 590_000).next().unwrap().2 >= 589_990);
+    assert!(there.evidence(FATAL, 590_000).next().unwrap().2 >= 589_990);
     there.expire(600_010);
-    assert_eq!(there.against(FATAL, 600_010).count(), 0);
+    assert_eq!(there.evidence(FATAL, 600_010).count(), 0);
     let end = End { print: FATAL, life: life(1), events: 0, renewed: 0, void: false };
     there.learn(end.clone(), 600_000, 600_010);
     there.expire(600_010);
-    assert_eq!(there.against(FATAL, 600_010).count(), 0);
+    assert_eq!(there.evidence(FATAL, 600_010).count(), 0);
     assert!(!there.learn(end, 1_200_000, 1_200_000));
 }
 
@@ -149,7 +152,7 @@
 fn memory_is_bounded_and_those_held_back_are_forgotten_last() {
     let mut quarantine = after(&[1, 2, 3].map(|e| (FATAL, e, 0)));
     for flood in 100..10_100 {
-        quarantine.ended(RequestPrint(flood), life(flood as u32), 0, flood);
+        quarantine.record_end(RequestPrint(flood), life(flood as u32), 0, flood);
     }
     assert!(quarantine.since(0, usize::MAX, 20_000).0.len() <= 2_048);
     quarantine.decide();
@@ -160,13 +163,13 @@
 fn a_part_of_what_is_new_is_told_at_a_time() {
     let mut quarantine = Quarantine::default();
     (0..10).for_each(|e| {
-        quarantine.ended(FATAL, life(e), 0, 0);
+        quarantine.record_end(FATAL, life(e), 0, 0);
     });
     let (first, serial) = quarantine.since(0, 4, 0);
     let (rest, end) = quarantine.since(serial, 100, 0);
     assert_eq!((first.len(), rest.len(), end), (4, 6, quarantine.serial()));
     // What became known together is told together, however much it is.
-    quarantine.answered(FATAL);
+    quarantine.clear_request(FATAL);
     let (void, end) = quarantine.since(end, 4, 0);
     assert_eq!((void.len(), end), (10, quarantine.serial()));
 }
@@ -200,10 +203,10 @@
             now += 10_000;
             let node = &mut nodes[usize::from(second)];
             match step {
-                Step::Ended(p, e, n) => { node.ended(RequestPrint(p), life(e), n, now); }
-                Step::Answered(p) => { node.answered(RequestPrint(p)); }
-                Step::Lives(e) => { node.lives(&life(e)); }
-                Step::Came(p) => { node.came(RequestPrint(p), now); }
+                Step::Ended(p, e, n) => { node.record_end(RequestPrint(p), life(e), n, now); }
+                Step::Answered(p) => { node.clear_request(RequestPrint(p)); }
+                Step::Lives(e) => { node.engine_alive(&life(e)); }
+                Step::Came(p) => { node.renew(RequestPrint(p), now); }
             }
         }
         let [mut a, mut b] = nodes;
@@ -285,7 +288,7 @@
             back[engine] = now + 3_000;
             for run in std::mem::take(&mut running[engine]) {
                 let events = (now - run.begun) / 50;
-                quarantine.ended(run.print, life(lives[engine]), events as u32, now);
+                quarantine.record_end(run.print, life(lives[engine]), events as u32, now);
                 match run {
                     Run { sends: 1, .. } => waiting.push((now + 10, run)),
                     Run { tries: 1.., .. } => {
--- a/crates/policy/tests/sources.rs
+++ b/crates/policy/tests/sources.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
 use heathpitch_core::{Millis, Name, Revision};
-use heathpitch_policy::{DomainPlanner, Followers, Heard, Source, Sources};
+use heathpitch_policy::{DomainPlanner, Followers, PollOutcome, Source, Sources};
 use rand::{SeedableRng, rngs::SmallRng};
 
 fn name(text: &str) -> Name {
@@ -21,16 +21,21 @@
 /// A node of a domain `mem` with planner `p` and standbys `s1` to `s3`, and a planner `q` elsewhere.
 fn follower(node: &str) -> Sources {
     let mut sources = Sources::new(name(node), name("mem"), 0);
-    sources.meet(name("mem"), planner("p", 1));
-    sources.meet(name("bhm"), planner("q", 2));
-    sources.stand_by(["s1", "s2", "s3"].map(source).to_vec());
+    sources.learn_planner(name("mem"), planner("p", 1));
+    sources.learn_planner(name("bhm"), planner("q", 2));
+    sources.set_standbys(["s1", "s2", "s3"].map(source).to_vec());
     sources
 }
 
 /// Tells `sources` that the next one asked answers so; gives who that was.
-fn ask(sources: &mut Sources, heard: Heard, now: Millis, rng: &mut SmallRng) -> Option<String> {
+fn ask(
+    sources: &mut Sources,
+    heard: PollOutcome,
+    now: Millis,
+    rng: &mut SmallRng,
+) -> Option<String> {
     let node = sources.next(now, true)?.node.clone();
-    sources.heard(&node, heard, now, 60, rng);
+    sources.record_poll(&node, heard, now, 60, rng);
     Some(node.to_string())
 }
 
@@ -39,12 +44,12 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut sources = follower("n9");
     let asked: Vec<_> =
-        std::iter::from_fn(|| ask(&mut sources, Heard::Lost, 100, &mut rng)).collect();
+        std::iter::from_fn(|| ask(&mut sources, PollOutcome::NoAnswer, 100, &mut rng)).collect();
     assert_eq!(asked, ["p", "s1", "s2", "s3"], "other domains wait for the standbys");
-    assert_eq!(ask(&mut sources, Heard::Told, 400, &mut rng).as_deref(), Some("q"));
+    assert_eq!(ask(&mut sources, PollOutcome::Fresh, 400, &mut rng).as_deref(), Some("q"));
     assert!(!sources.may_read(60_000));
     assert_eq!(
-        ask(&mut sources, Heard::Told, 1_200, &mut rng).as_deref(),
+        ask(&mut sources, PollOutcome::Fresh, 1_200, &mut rng).as_deref(),
         Some("p"),
         "the nearest again"
     );
@@ -54,13 +59,13 @@
 fn a_standby_reads_at_once_and_asks_only_those_before_it() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut sources = follower("s2");
-    assert_eq!(ask(&mut sources, Heard::Empty, 0, &mut rng).as_deref(), Some("p"));
-    assert_eq!(ask(&mut sources, Heard::Empty, 0, &mut rng).as_deref(), Some("s1"));
-    assert_eq!(ask(&mut sources, Heard::Empty, 0, &mut rng), None);
-    sources.silent(0, 60, &mut rng);
+    assert_eq!(ask(&mut sources, PollOutcome::Declined, 0, &mut rng).as_deref(), Some("p"));
+    assert_eq!(ask(&mut sources, PollOutcome::Declined, 0, &mut rng).as_deref(), Some("s1"));
+    assert_eq!(ask(&mut sources, PollOutcome::Declined, 0, &mut rng), None);
+    sources.sources_exhausted(0, 60, &mut rng);
     assert!(sources.may_read(0));
     assert!(sources.next(400, true).is_some_and(|s| s.node == name("p")));
-    assert_eq!(ask(&mut sources, Heard::Told, 400, &mut rng).as_deref(), Some("p"));
+    assert_eq!(ask(&mut sources, PollOutcome::Fresh, 400, &mut rng).as_deref(), Some("p"));
     assert!(!sources.may_read(400));
 }
 
@@ -74,21 +79,22 @@
     let nodes: Vec<String> = names.into_iter().chain(others).collect();
     let mut fleet: Vec<Sources> = nodes.iter().map(|n| follower(n)).collect();
     for node in &mut fleet {
-        ask(node, Heard::Told, 0, &mut rng);
+        ask(node, PollOutcome::Fresh, 0, &mut rng);
     }
     let mut readers = 0;
     for (node, sources) in nodes.iter().zip(&mut fleet) {
         // The planner answers that it knows nothing young; standbys tell once they have read.
-        assert_eq!(ask(sources, Heard::Empty, 1_500, &mut rng).as_deref(), Some("p"));
+        assert_eq!(ask(sources, PollOutcome::Declined, 1_500, &mut rng).as_deref(), Some("p"));
         while let Some(next) = sources.next(1_500, true).map(|s| s.node.to_string()) {
-            let heard = if node.starts_with('n') { Heard::Told } else { Heard::Empty };
-            sources.heard(&name(&next), heard, 1_500, 60, &mut rng);
-            if heard == Heard::Told {
+            let heard =
+                if node.starts_with('n') { PollOutcome::Fresh } else { PollOutcome::Declined };
+            sources.record_poll(&name(&next), heard, 1_500, 60, &mut rng);
+            if heard == PollOutcome::Fresh {
                 break;
             }
         }
         if sources.next(1_500, true).is_none() {
-            sources.silent(1_500, 60, &mut rng);
+            sources.sources_exhausted(1_500, 60, &mut rng);
         }
         readers += usize::from(sources.may_read(1_500));
     }
@@ -106,12 +112,12 @@
         for now in (0..60_000).step_by(50) {
             for sources in &mut fleet {
                 while let Some(source) = sources.next(now, false).cloned() {
-                    sources.heard(&source.node, Heard::Empty, now, nodes, &mut rng);
+                    sources.record_poll(&source.node, PollOutcome::Declined, now, nodes, &mut rng);
                 }
-                sources.silent(now, nodes, &mut rng);
+                sources.sources_exhausted(now, nodes, &mut rng);
                 if sources.may_read(now) {
                     tries += 1;
-                    sources.missed(now, nodes, &mut rng);
+                    sources.store_unavailable(now, nodes, &mut rng);
                 }
             }
         }
@@ -124,9 +130,9 @@
 #[test]
 fn an_older_planner_never_takes_a_newer_one_s_place() {
     let mut sources = follower("n9");
-    assert!(!sources.meet(name("mem"), planner("old", 1)));
-    assert!(sources.meet(name("mem"), planner("new", 5)));
-    assert!(!sources.meet(name("mem"), planner("p", 1)));
+    assert!(!sources.learn_planner(name("mem"), planner("old", 1)));
+    assert!(sources.learn_planner(name("mem"), planner("new", 5)));
+    assert!(!sources.learn_planner(name("mem"), planner("p", 1)));
     assert_eq!(sources.planner(&name("mem")).unwrap().source, source("new"));
 }
 
@@ -136,11 +142,11 @@
     let mut claims = Vec::new();
     for node in ["s1", "s2", "s3", "n9"] {
         let mut sources = follower(node);
-        ask(&mut sources, Heard::Told, 0, &mut rng);
+        ask(&mut sources, PollOutcome::Fresh, 0, &mut rng);
         assert!(!sources.may_claim(10_000), "the planner tells");
-        sources.vacate(10_000, 60, &mut rng);
+        sources.planner_released(10_000, 60, &mut rng);
         // It goes on telling until it is gone.
-        ask(&mut sources, Heard::Told, 10_000, &mut rng);
+        ask(&mut sources, PollOutcome::Fresh, 10_000, &mut rng);
         let first = (10_000..60_000).step_by(10).find(|now| sources.may_claim(*now));
         claims.push(first.unwrap() - 10_000);
     }
@@ -152,18 +158,18 @@
 fn standbys_stay_and_small_vms_are_passed_over() {
     let mut followers = Followers::default();
     for node in ["a", "b", "c", "d"] {
-        followers.asked(source(node), false, 0);
+        followers.record_poll(source(node), false, 0);
     }
     let names = |f: &mut Followers, now| -> Vec<String> {
         f.standbys(now).iter().map(|s| s.node.to_string()).collect()
     };
     assert_eq!(names(&mut followers, 10), ["a", "b", "c"]);
-    followers.asked(source("x"), true, 20);
+    followers.record_poll(source("x"), true, 20);
     assert_eq!(names(&mut followers, 30), ["x", "a", "b"]);
-    followers.asked(source("A"), false, 40);
+    followers.record_poll(source("A"), false, 40);
     assert_eq!(names(&mut followers, 50), ["x", "a", "b"], "no change without need");
     for node in ["x", "b", "c"] {
-        followers.asked(source(node), node == "x", 1_300);
+        followers.record_poll(source(node), node == "x", 1_300);
     }
     assert_eq!(names(&mut followers, 1_300), ["x", "b", "c"], "`a` asks no more");
     assert_eq!(followers.count(1_300), 6);
--- a/crates/proof/src/members.rs
+++ b/crates/proof/src/members.rs
@@ -66,7 +66,7 @@
         age: 0,
     };
     let mut members = Members::new(me, PERIOD);
-    members.seed([name(0), name(1), name(2)]);
+    members.set_seeds([name(0), name(1), name(2)]);
     Node { members, alive: true }
 }
 
@@ -101,7 +101,7 @@
             return Ok(());
         }
         self.nodes[at].members.beat(self.now);
-        let picked = self.nodes[at].members.pick(self.now, &mut self.rng);
+        let picked = self.nodes[at].members.pick_peer(self.now, &mut self.rng);
         let Some(other) = picked.and_then(|p| (0..NODES).find(|i| name(*i) == p)) else {
             return Ok(());
         };
--- a/crates/proof/src/telling.rs
+++ b/crates/proof/src/telling.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 use heathpitch_core::{Millis, Name, Revision};
-use heathpitch_policy::{DomainPlanner, Heard};
+use heathpitch_policy::{DomainPlanner, PollOutcome};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -169,7 +169,7 @@
     fn act(&mut self, i: usize, tally: &mut Tally) -> Result<(), Breach> {
         if self.now >= self.nodes[i].next_ask {
             self.round(i, tally)?;
-            let told = self.nodes[i].sources.teller().is_some();
+            let told = self.nodes[i].sources.active().is_some();
             self.nodes[i].next_ask = self.now + if told { ASK.0 } else { ASK.1 };
         }
         let asks = self.nodes[i].plans || self.nodes[i].sources.may_read(self.now);
@@ -178,7 +178,7 @@
             self.nodes[i].next_near = self.now + ASK_NEAR;
         }
         let node = &self.nodes[i];
-        let fed = node.sources.teller().is_some();
+        let fed = node.sources.active().is_some();
         let reads = !fed && (node.plans || node.sources.may_read(self.now));
         let due = self.now >= node.next_read;
         if reads && due {
@@ -202,12 +202,12 @@
             let Some(next) = node.sources.next(now, node.reachable).cloned() else { break };
             let Some(j) = index(&next) else { break };
             let heard = self.hear(i, j, tally)?;
-            self.nodes[i].sources.heard(&next.node, heard, now, beside, &mut self.rng);
-            if heard == Heard::Told {
+            self.nodes[i].sources.record_poll(&next.node, heard, now, beside, &mut self.rng);
+            if heard == PollOutcome::Fresh {
                 return Ok(());
             }
         }
-        self.nodes[i].sources.silent(now, beside, &mut self.rng);
+        self.nodes[i].sources.sources_exhausted(now, beside, &mut self.rng);
         Ok(())
     }
 
@@ -218,50 +218,50 @@
         !apart && self.nodes[j].alive && self.now >= self.nodes[j].frozen
     }
 
-    fn hear(&mut self, i: usize, j: usize, tally: &mut Tally) -> Result<Heard, Breach> {
+    fn hear(&mut self, i: usize, j: usize, tally: &mut Tally) -> Result<PollOutcome, Breach> {
         if !self.answers(i, j) {
             tally.fault("no answer");
-            return Ok(Heard::Lost);
+            return Ok(PollOutcome::NoAnswer);
         }
         self.tell_ends(i, j);
         self.tell_ends(j, i);
         let now = self.now;
-        self.nodes[j].followers.asked(source(i), true, now);
+        self.nodes[j].followers.record_poll(source(i), true, now);
         if self.nodes[j].plans {
             let standbys = self.nodes[j].followers.standbys(now);
-            self.nodes[j].sources.stand_by(standbys);
+            self.nodes[j].sources.set_standbys(standbys);
         }
         let planners: Vec<(Name, DomainPlanner)> =
             self.nodes[j].sources.planners().map(|(d, p)| (d.clone(), p.clone())).collect();
         for (domain, planner) in planners {
             self.meet(i, domain, planner);
         }
-        if self.nodes[i].sources.is_near(&name(j)) {
+        if self.nodes[i].sources.is_local(&name(j)) {
             let standbys = self.nodes[j].sources.standbys().to_vec();
-            self.nodes[i].sources.stand_by(standbys);
+            self.nodes[i].sources.set_standbys(standbys);
         }
         let told = self.nodes[j].known(now).filter(|(_, age)| *age < OLD);
-        let Some((version, age)) = told else { return Ok(Heard::Empty) };
+        let Some((version, age)) = told else { return Ok(PollOutcome::Declined) };
         let (proven, node) = (now - age, &self.nodes[i]);
         let same = node.list.is_some_and(|(v, _)| v == version);
         let own = node.list.map(|(_, at)| at);
-        if !node.sources.takes(&name(j), node.clock(now) - age, own, same) {
-            return Ok(Heard::Empty);
+        if !node.sources.accepts(&name(j), node.clock(now) - age, own, same) {
+            return Ok(PollOutcome::Declined);
         }
         tally.event("told");
         self.take(i, version, proven)?;
-        Ok(Heard::Told)
+        Ok(PollOutcome::Fresh)
     }
 
     fn meet(&mut self, i: usize, of: Name, planner: DomainPlanner) {
         let other = of == domain(i) && planner.source.node != name(i);
-        if self.nodes[i].sources.meet(of, planner) && other {
+        if self.nodes[i].sources.learn_planner(of, planner) && other {
             self.nodes[i].plans = false;
         }
     }
 
     fn read(&mut self, i: usize, tally: &mut Tally) -> Result<(), Breach> {
-        let duty = self.nodes[i].plans || self.nodes[i].sources.place().is_some();
+        let duty = self.nodes[i].plans || self.nodes[i].sources.standby_rank().is_some();
         if !duty {
             tally.event("turn");
             let turns = &mut self.turns[i / BESIDE];
@@ -277,7 +277,7 @@
             true => self.take(i, self.written.len() - 1, self.now),
             false => {
                 tally.fault("store silent");
-                self.nodes[i].sources.missed(self.now, BESIDE as u32, &mut self.rng);
+                self.nodes[i].sources.store_unavailable(self.now, BESIDE as u32, &mut self.rng);
                 Ok(())
             }
         }
@@ -296,14 +296,14 @@
                 let (j, revision) = (lease.node, lease.revision);
                 let planner = DomainPlanner { source: source(j), revision: Revision(revision) };
                 self.meet(i, domain(i), planner);
-                self.nodes[i].sources.put_off(self.now, BESIDE as u32, &mut self.rng);
+                self.nodes[i].sources.defer_claim(self.now, BESIDE as u32, &mut self.rng);
             }
             _ => {
                 self.revision += 1;
                 let revision = self.revision;
                 self.leases.insert(key, Lease { node: i, until, revision });
                 let planner = DomainPlanner { source: source(i), revision: Revision(revision) };
-                self.nodes[i].sources.meet(domain(i), planner);
+                self.nodes[i].sources.learn_planner(domain(i), planner);
                 self.nodes[i].plans = true;
             }
         }
--- a/crates/proof/src/telling/ends.rs
+++ b/crates/proof/src/telling/ends.rs
@@ -1,7 +1,7 @@
 //! What nodes of the world tell each other of engines that ended.
 
 use heathpitch_core::{Millis, RequestPrint};
-use heathpitch_policy::EngineLife;
+use heathpitch_policy::EngineIncarnation;
 
 use super::node::{index, name, node};
 use super::{BESIDE, NODES, STEP, World};
@@ -34,11 +34,11 @@
     }
 
     /// An engine ends under a request, and a node sees it.
-    pub(super) fn end_engine(&mut self, at: usize, print: u64) -> EngineLife {
+    pub(super) fn end_engine(&mut self, at: usize, print: u64) -> EngineIncarnation {
         self.ended += 1;
-        let life = EngineLife { engine: name(at), born: Some(self.ended) };
+        let life = EngineIncarnation { engine: name(at), born: Some(self.ended) };
         let (print, now) = (RequestPrint(print), self.now);
-        self.nodes[at].quarantine.ended(print, life.clone(), 0, now);
+        self.nodes[at].quarantine.record_end(print, life.clone(), 0, now);
         life
     }
 
@@ -58,9 +58,9 @@
         self.all_know(&late, "by a node that begins")
     }
 
-    fn all_know(&self, life: &EngineLife, when: &str) -> Result<(), Breach> {
+    fn all_know(&self, life: &EngineIncarnation, when: &str) -> Result<(), Breach> {
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.alive) {
-            let known = node.quarantine.ended_lives().contains(life);
+            let known = node.quarantine.ended_engines().contains(life);
             Breach::unless(known, Promise::Told, || {
                 format!("node {i} has not heard of {life:?}, {when}")
             })?;
