--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -1,9 +1,9 @@
-//! Claims on caller-chosen keys, by compare-and-swap in the platform's key-value service.
+//! Claims on idempotency keys, by compare-and-swap in the platform's key-value service.
 //!
-//! A key is claimed once, by one life of one node, and nobody takes a claim over; so a paused
-//! owner cannot hurt and no upstream needs to check a fence. Claims on the same page are committed
-//! together. An answer that was lost is resolved by reading the page back: a claim is granted only
-//! once its own nonce was seen to stand.
+//! A key is claimed once, by one incarnation of one node, and a claim is never taken over, so a paused
+//! owner does no harm and no upstream needs to check a fence. Claims on the same page are committed
+//! together. A lost answer to a write is resolved by reading the page back: a claim is granted only
+//! once its own nonce has been read from the page.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,64 +13,64 @@
 use crate::switch::{Mechanism, on};
 use crate::{ClaimEntry, ClaimPage};
 
-/// Time a claim may wait for the platform, milliseconds.
+/// Time for which a claim may wait for the platform.
 const CLAIM_TIMEOUT_MS: Millis = 2_000;
-/// Time to wait before the platform is tried again, milliseconds.
-const PAUSE: Millis = 100;
-/// Claims waiting on one node.
+/// Time before the platform is called again after a failure.
+const RETRY_DELAY_MS: Millis = 100;
+/// Bounds the claims that wait on one node.
 const MAX_WAITING: usize = 10_000;
-/// Pages kept in memory.
+/// Bounds the pages kept in memory.
 const MAX_PAGES: usize = 16;
 
-/// Something that happened to a claim or a page.
+/// Input to [`Claims`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// A request asks for its key.
+    /// A request claims its key.
     Ask {
-        /// Number that the answer carries.
+        /// Identifies the request in the answer.
         id: u64,
-        /// Digest of account and key.
+        /// Digest of client account and key.
         digest: Name,
-        /// Digest of the body.
+        /// Digest of the request body.
         body: u64,
-        /// Number drawn for this claim.
+        /// Random number that identifies this claim.
         nonce: u64,
     },
-    /// A page was read; none if it does not exist yet.
+    /// A page was read; `None` if it does not exist yet.
     Read(u32, Revision, Option<ClaimPage>),
     /// A read failed.
     ReadFailed(u32),
     /// A write took effect.
     Written(u32, Revision),
-    /// A write was refused because the page had changed.
+    /// A write was rejected because the page had changed.
     Conflict(u32),
-    /// A write may or may not have taken effect, or was turned away.
+    /// A write may or may not have taken effect, or was refused.
     Unsure(u32),
     /// Time passed.
     Tick,
 }
 
-/// What to do next.
+/// Output of [`Claims`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
     /// Read a page.
     Read(u32),
-    /// Write a page if it still has this revision.
+    /// Write a page, on condition that it still has this revision.
     Write(u32, Revision, ClaimPage),
     /// Answer a request.
     Answer(u64, Verdict),
 }
 
-/// What became of a claim.
+/// Result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The key is this request's; it may be dispatched once.
+    /// The key belongs to this request, which may be dispatched once.
     Granted,
-    /// The key was claimed before.
+    /// The key was claimed before, by this entry.
     Taken(ClaimEntry),
-    /// The platform did not answer in time; nothing may be dispatched.
+    /// The platform did not answer in time; the request must not be dispatched.
     Unavailable,
-    /// The page has no room.
+    /// The page is full.
     Full,
 }
 
@@ -99,7 +99,7 @@
     used: Millis,
 }
 
-/// The claims of one node life.
+/// The claims of one node incarnation.
 #[derive(Debug)]
 pub struct Claims {
     node: Name,
@@ -110,12 +110,12 @@
 
 /// # Construction
 impl Claims {
-    /// Claims made in the name of this life.
+    /// Creates the claims of this node incarnation.
     pub fn new(node: Name, life: Incarnation) -> Self {
         Self { node, life, slots: HashMap::new(), count: 0 }
     }
 
-    /// Claims that wait for the platform.
+    /// Number of claims that wait for the platform.
     pub fn waiting(&self) -> usize {
         self.count
     }
@@ -123,7 +123,7 @@
 
 /// # Events
 impl Claims {
-    /// Takes an event at `now`, with the wall-clock time, and gives the actions that follow.
+    /// Handles an event at `now`, with the wall-clock time, and returns the resulting actions.
     pub fn on(&mut self, event: ClaimEvent, now: Millis, wall: Millis) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         match event {
@@ -140,7 +140,7 @@
                 self.written(page, revision.unwrap_or_default(), &mut actions);
             }
             ClaimEvent::ReadFailed(page) | ClaimEvent::Unsure(page) => {
-                self.forget(page, Call::Paused(now + PAUSE));
+                self.forget(page, Call::Paused(now + RETRY_DELAY_MS));
             }
             ClaimEvent::Tick => self.expire(now, &mut actions),
         }
@@ -162,11 +162,11 @@
     ) {
         let slot = self.slots.entry(ClaimPage::of(&digest)).or_default();
         slot.used = now;
-        let standing = match (slot.call, &slot.known) {
+        let existing = match (slot.call, &slot.known) {
             (Call::Writing, _) | (_, None) => None,
             (_, Some((_, page))) => page.entries.get(&digest),
         };
-        match standing {
+        match existing {
             Some(entry) => {
                 actions.push(ClaimAction::Answer(id, Verdict::Taken(entry.clone())));
             }
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Answers what the page decides; what it does not know waits for the next write.
+    /// Answers the claims that the page decides; the others wait for the next write.
     fn read(
         &mut self,
         page: u32,
@@ -210,7 +210,7 @@
         slot.known = Some((revision, content));
     }
 
-    /// The page now is what was written, so reading it decides the claims that were in it.
+    /// The page now holds what was written, which decides the claims that it includes.
     fn written(&mut self, page: u32, revision: Revision, actions: &mut Vec<ClaimAction>) {
         let known = self.slots.get_mut(&page).and_then(|s| s.known.take());
         if let Some((_, content)) = known {
@@ -255,10 +255,10 @@
                     for w in slot.waiting.iter().take(room) {
                         content.entries.entry(w.digest.clone()).or_insert(w.entry.clone());
                     }
-                    let late = slot.waiting.split_off(room.min(slot.waiting.len()));
-                    self.count -= late.len();
+                    let rejected = slot.waiting.split_off(room.min(slot.waiting.len()));
+                    self.count -= rejected.len();
                     let full = |w: &Waiting| ClaimAction::Answer(w.id, Verdict::Full);
-                    actions.extend(late.iter().map(full));
+                    actions.extend(rejected.iter().map(full));
                     if !slot.waiting.is_empty() {
                         slot.call = Call::Writing;
                         actions.push(ClaimAction::Write(*page, *revision, content.clone()));
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Drops the longest unused idle pages beyond the bound.
+    /// Evicts the least recently used idle pages beyond `MAX_PAGES`.
     fn evict(&mut self) {
         let idle =
             |s: &Slot| s.waiting.is_empty() && !matches!(s.call, Call::Reading | Call::Writing);
--- a/crates/policy/src/claims_page.rs
+++ b/crates/policy/src/claims_page.rs
@@ -1,17 +1,16 @@
-//! Pages of claims as the platform's key-value service stores them.
+//! Pages of claims, as stored in the platform's key-value service.
 
 use std::collections::BTreeMap;
 
 use heathpitch_core::{Incarnation, Millis, Name};
 use serde::{Deserialize, Serialize};
 
-/// Number of pages; a key's digest decides its page.
+/// Number of pages; the digest of a key selects its page.
 pub(crate) const PAGES: u32 = 256;
-/// Claims a page takes before it is full: 143 bytes each, within the megabyte that the platform
-/// stores.
+/// Claims per page: 143 bytes each, within the platform's limit of one megabyte per value.
 pub(crate) const MAX_CLAIMS: usize = 6_500;
-/// Time for which a claim is kept, milliseconds of wall-clock time.
-pub(crate) const KEEP: Millis = 24 * 3_600 * 1_000;
+/// Time for which a claim is kept, by the wall clock.
+pub(crate) const CLAIM_TTL_MS: Millis = 24 * 3_600 * 1_000;
 
 /// Who claimed a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,10 +18,10 @@
     /// Node that claimed it.
     #[serde(rename = "n")]
     pub node: Name,
-    /// Life of the node.
+    /// Incarnation of the node.
     #[serde(rename = "l")]
     pub life: Incarnation,
-    /// Number drawn for this claim.
+    /// Random number that identifies this claim.
     #[serde(rename = "o")]
     pub nonce: u64,
     /// Wall-clock time of the claim, milliseconds.
@@ -33,23 +32,23 @@
     pub body: u64,
 }
 
-/// One stored page: claims by digest of the key.
+/// One stored page of claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ClaimPage {
-    /// Claims by digest.
+    /// Claims by digest of the key.
     pub entries: BTreeMap<Name, ClaimEntry>,
 }
 
 impl ClaimPage {
-    /// Page of a key's digest.
+    /// Page number for the digest of a key.
     pub fn of(digest: &Name) -> u32 {
         let head = digest.as_str().get(..4).and_then(|h| u32::from_str_radix(h, 16).ok());
         head.unwrap_or(0) % PAGES
     }
 
-    /// Drops claims past their time.
+    /// Drops expired claims.
     pub(crate) fn prune(&mut self, wall: Millis) {
-        self.entries.retain(|_, e| wall.saturating_sub(e.at) < KEEP);
+        self.entries.retain(|_, e| wall.saturating_sub(e.at) < CLAIM_TTL_MS);
     }
 }
--- a/crates/policy/src/drain_notices.rs
+++ b/crates/policy/src/drain_notices.rs
@@ -1,9 +1,10 @@
-//! Engines that said in an answer that they leave.
+//! Engines that announced in a response that they drain.
 //!
-//! Such a word binds for the life of the engine, whatever its entry says: the entry may be seconds behind, and
-//! the store away. Nodes tell each other, since one that begins anew, or never asked that engine, knows nothing
-//! of it. A word that was wrong must not cost a service its engine for good: one that is listed as ready long after
-//! is asked, and if it does not say so again, that it stays counts for this node.
+//! A drain notice holds for the incarnation of the engine, whatever its entry says: the entry may be
+//! seconds behind, and the store unreachable. Nodes pass notices on to each other, since one that has
+//! restarted, or has never called that engine, knows nothing of it. A wrong notice must not cost a
+//! service its engine for good: an engine that is still listed as ready long after is asked again, and
+//! if it does not repeat the notice, this node cancels it.
 
 use std::collections::HashMap;
 
@@ -11,24 +12,24 @@
 
 use crate::{EngineIncarnation, notices};
 
-/// Time after which an engine that is still there is asked whether it leaves, milliseconds: engines that do are
-/// gone within some ten seconds.
-const ASK_AFTER: Millis = 30_000;
-/// Time for which such a word is kept, milliseconds: engines are gone long before.
-const KEPT: Millis = 600_000;
-/// Words known at a time, some hundred bytes each; more than the engines of the largest fleet.
-const MOST: usize = 2_048;
+/// Time after which an engine that is still listed is asked whether it drains: draining engines stop
+/// within about 10 s.
+const RECHECK_AFTER_MS: Millis = 30_000;
+/// Time for which a notice is kept: engines stop long before.
+const NOTICE_TTL_MS: Millis = 600_000;
+/// Bounds the notices kept, about 100 bytes each; more than the engines of the largest fleet.
+const MAX_NOTICES: usize = 2_048;
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
-    /// When it said so.
+struct Notice {
+    /// When the engine sent it.
     at: Millis,
-    /// When it was found to stay, if it was.
-    stays: Option<Millis>,
+    /// When it was cancelled, if it was.
+    cancelled: Option<Millis>,
     serial: u64,
 }
 
-/// Engines that said that they leave.
+/// Engines that announced that they drain.
 ///
 /// # Examples
 ///
@@ -36,65 +37,65 @@
 /// use heathpitch_policy::{EngineIncarnation, DrainNotices};
 ///
 /// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
-/// let mut leavers = DrainNotices::default();
-/// assert!(leavers.learn(life.clone(), 0, 10));
-/// assert!(!leavers.learn(life.clone(), 300, 20), "known already");
-/// assert!(leavers.is_draining(&life));
-/// let (told, serial) = leavers.since(0, 16, 500);
-/// assert_eq!(told, [(life, 490)]);
-/// assert!(leavers.since(serial, 16, 500).0.is_empty());
+/// let mut notices = DrainNotices::default();
+/// assert!(notices.learn(life.clone(), 0, 10));
+/// assert!(!notices.learn(life.clone(), 300, 20), "already known");
+/// assert!(notices.is_draining(&life));
+/// let (new, serial) = notices.since(0, 16, 500);
+/// assert_eq!(new, [(life, 490)]);
+/// assert!(notices.since(serial, 16, 500).0.is_empty());
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct DrainNotices {
     serial: u64,
-    known: HashMap<EngineIncarnation, Known>,
+    known: HashMap<EngineIncarnation, Notice>,
 }
 
-/// # Learning
+/// # Updates
 impl DrainNotices {
-    /// Takes an engine's word of `age` ago; gives whether it is new.
+    /// Records a notice that an engine sent `age` ago; returns whether it is new.
     pub fn learn(&mut self, life: EngineIncarnation, age: Millis, now: Millis) -> bool {
         let at = now.saturating_sub(age);
         let known = self.known.get(&life);
-        let stays = known.is_some_and(|k| k.stays.is_some_and(|stays| at <= stays));
-        if age >= KEPT || stays || known.is_some_and(|k| k.stays.is_none()) {
+        let outdated = known.is_some_and(|k| k.cancelled.is_some_and(|cancelled| at <= cancelled));
+        if age >= NOTICE_TTL_MS || outdated || known.is_some_and(|k| k.cancelled.is_none()) {
             return false;
         }
         self.serial += 1;
-        self.known.insert(life, Known { at, stays: None, serial: self.serial });
-        notices::bound(&mut self.known, |k| k.at, MOST);
+        self.known.insert(life, Notice { at, cancelled: None, serial: self.serial });
+        notices::bound(&mut self.known, |k| k.at, MAX_NOTICES);
         true
     }
 
-    /// Takes note that an engine which was asked at `now` did not say so again.
+    /// Cancels the notice of an engine that was asked at `now` and did not repeat it.
     pub fn cancel(&mut self, life: &EngineIncarnation, now: Millis) {
         if let Some(known) = self.known.get_mut(life) {
-            known.stays = Some(now);
+            known.cancelled = Some(now);
         }
     }
 
-    /// Forgets what is old.
+    /// Drops expired notices.
     pub fn expire(&mut self, now: Millis) {
-        self.known.retain(|_, k| now < k.at + KEPT);
+        self.known.retain(|_, k| now < k.at + NOTICE_TTL_MS);
     }
 }
 
-/// # Reading
+/// # Queries
 impl DrainNotices {
-    /// Whether an engine gets no new work for what it said.
+    /// Whether an engine drains, so that it gets no new work.
     pub fn is_draining(&self, life: &EngineIncarnation) -> bool {
-        self.known.get(life).is_some_and(|k| k.stays.is_none())
+        self.known.get(life).is_some_and(|k| k.cancelled.is_none())
     }
 
-    /// Engines to be asked whether they leave, if they are still there.
+    /// Engines to be asked whether they still drain, if they are still listed.
     pub fn due_for_recheck(&self, now: Millis) -> Vec<EngineIncarnation> {
-        let old = |k: &Known| k.stays.is_none() && now >= k.at + ASK_AFTER;
+        let old = |k: &Notice| k.cancelled.is_none() && now >= k.at + RECHECK_AFTER_MS;
         self.known.iter().filter(|(_, k)| old(k)).map(|(life, _)| life.clone()).collect()
     }
 
-    /// At most so many words that came after the one with this serial, with their ages; and the serial up to
-    /// which all is known then.
+    /// At most `most` notices recorded after `serial`, with their ages, and the serial to continue
+    /// from.
     pub fn since(
         &self,
         serial: u64,
@@ -102,7 +103,7 @@
         now: Millis,
     ) -> (Vec<(EngineIncarnation, Millis)>, u64) {
         let (new, upto) = notices::since(&self.known, |k| k.serial, serial, most, self.serial);
-        let told = new.into_iter().filter(|(_, k)| k.stays.is_none());
-        (told.map(|(life, k)| (life.clone(), now.saturating_sub(k.at))).collect(), upto)
+        let active = new.into_iter().filter(|(_, k)| k.cancelled.is_none());
+        (active.map(|(life, k)| (life.clone(), now.saturating_sub(k.at))).collect(), upto)
     }
 }
--- a/crates/policy/src/followers.rs
+++ b/crates/policy/src/followers.rs
@@ -1,4 +1,4 @@
-//! Whom a planner tells, and which of them stand by for it.
+//! Nodes that poll a planner, and which of them are its standbys.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use crate::{STANDBYS, Source};
 
-/// Time after its last question for which a follower counts as there, milliseconds: two questions and an
-/// answer's limit.
-const PRESENT: Millis = 1_200;
-/// Time for which a follower counts for the size of its failure domain, milliseconds: one that is cut
-/// off uses its share of what is agreed for the fleet, and comes back.
-const COUNTED: Millis = 60_000;
+/// Time after its last poll for which a follower counts as present: two polls and the time limit of an
+/// answer.
+const PRESENT_MS: Millis = 1_200;
+/// Time after its last poll for which a follower counts towards the size of its failure domain: one
+/// that is cut off goes on using its share of the limits agreed for the fleet, and comes back.
+const COUNTED_MS: Millis = 60_000;
 
-/// A node that asks this one.
+/// A node that polls this one.
 #[derive(Clone, Debug)]
 struct Follower {
     source: Source,
@@ -32,7 +32,7 @@
 /// let mut followers = Followers::default();
 /// followers.record_poll(source("n2"), false, 0);
 /// followers.record_poll(source("n3"), true, 0);
-/// assert_eq!(followers.standbys(10)[0], source("n3"), "whose VM can carry it");
+/// assert_eq!(followers.standbys(10)[0], source("n3"), "its VM can run a planner");
 /// assert_eq!(followers.count(10), 2);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -41,30 +41,30 @@
     standbys: Vec<Name>,
 }
 
-/// # Changes
+/// # Updates
 impl Followers {
-    /// Takes note that a node asked, whose VM can carry a planner's work or not.
+    /// Records a poll by a node; `able` says whether its VM can run a planner.
     pub fn record_poll(&mut self, source: Source, able: bool, now: Millis) {
         self.seen.insert(source.node.clone(), Follower { source, able, at: now });
     }
 
-    /// Forgets all, when this node ceases to plan.
+    /// Drops all followers, when this node stops being the planner.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// The standbys: able ones first, among these the ones of before, then by name.
+    /// Selects the standbys: able nodes first, then the previous standbys, then by name.
     ///
-    /// They change as little as can be, so that all followers know the same ones.
+    /// The selection changes as little as possible, so that all followers know the same standbys.
     pub fn standbys(&mut self, now: Millis) -> Vec<Source> {
         let mut present: Vec<&Follower> =
-            self.seen.values().filter(|f| now < f.at + PRESENT).collect();
-        let place = |f: &Follower| {
-            let before = self.standbys.iter().position(|n| n == &f.source.node);
-            (!f.able, before.unwrap_or(STANDBYS))
+            self.seen.values().filter(|f| now < f.at + PRESENT_MS).collect();
+        let rank = |f: &Follower| {
+            let previous = self.standbys.iter().position(|n| n == &f.source.node);
+            (!f.able, previous.unwrap_or(STANDBYS))
         };
-        // Sorting keeps the order of names among equals.
-        present.sort_by_key(|f| place(f));
+        // The sort is stable and keeps the order by name.
+        present.sort_by_key(|f| rank(f));
         present.truncate(STANDBYS);
         let chosen: Vec<Source> = present.into_iter().map(|f| f.source.clone()).collect();
         self.standbys = chosen.iter().map(|s| s.node.clone()).collect();
@@ -72,15 +72,15 @@
     }
 }
 
-/// # Reading
+/// # Queries
 impl Followers {
-    /// Nodes that are there now.
+    /// Number of followers that are present.
     pub fn present(&self, now: Millis) -> u32 {
-        self.seen.values().filter(|f| now < f.at + PRESENT).count() as u32
+        self.seen.values().filter(|f| now < f.at + PRESENT_MS).count() as u32
     }
 
-    /// Nodes that have asked within the last minute.
+    /// Number of followers that polled within the last minute.
     pub fn count(&self, now: Millis) -> u32 {
-        self.seen.values().filter(|f| now < f.at + COUNTED).count() as u32
+        self.seen.values().filter(|f| now < f.at + COUNTED_MS).count() as u32
     }
 }
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -1,13 +1,13 @@
-//! Freshness: up to when this node knows what the platform's store held.
+//! Freshness of a node's copy of what the platform's store holds.
 //!
-//! A proof is an answer of the store that shows what a node knows of one thing, the configuration or
-//! the list of engines, to be the newest; it says nothing of the other. It holds for the moment at
-//! which the call was sent, not for that of its answer, so that time lost on the way never makes a
-//! proof look younger than it is.
+//! A proof is an answer of the store which shows that the node's copy of one thing, the configuration
+//! or the list of engines, is current; it says nothing of the other. It holds for the time at which
+//! the call was sent, not for that of its answer, so that latency never makes a proof look younger
+//! than it is.
 
 use heathpitch_core::Millis;
 
-/// The newest proof.
+/// Time of the newest proof.
 ///
 /// # Examples
 ///
@@ -26,22 +26,22 @@
 }
 
 impl Freshness {
-    /// Takes a proof by a call sent at `sent`; older ones change nothing.
+    /// Records a proof from a call sent at `sent`; older ones have no effect.
     pub fn prove(&mut self, sent: Millis) {
         self.proven = self.proven.max(Some(sent));
     }
 
-    /// Whether what was in force `bound` before `at` or later is known.
+    /// Whether the copy is less than `bound` old at `at`.
     pub fn covers(&self, at: Millis, bound: Millis) -> bool {
         self.proven.is_some_and(|proven| at.saturating_sub(proven) < bound)
     }
 
-    /// When the newest proof was sent, if there is one.
+    /// When the call of the newest proof was sent, if there is one.
     pub fn at(&self) -> Option<Millis> {
         self.proven
     }
 
-    /// Age of the proof at `at`, if there is one.
+    /// Age of the newest proof at `at`, if there is one.
     pub fn age(&self, at: Millis) -> Option<Millis> {
         self.proven.map(|proven| at.saturating_sub(proven))
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of heathpitch as state machines.
+//! Routing and control decisions of heathpitch, written as state machines.
 //!
-//! Each module takes typed events and a time and gives typed actions back. None of them reads a
-//! clock, opens a socket, starts a task or draws from an unseeded generator, so a test, a
-//! simulator or another daemon can drive them.
+//! Each module takes typed events and a time and returns typed actions. None of them reads a clock,
+//! opens a socket, spawns a task or uses an unseeded random generator, so that a test, a simulator
+//! or another daemon can drive them.
 
 mod blocks;
 mod bucket;
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -1,8 +1,8 @@
-//! Membership of nodes, as soft state spread by exchange with random peers.
+//! Membership of nodes, as soft state spread by gossip with random peers.
 //!
 //! A node keeps every member of its own failure domain and a few of each other one, and passes on
-//! a bounded number of the freshest in each exchange, so its cost does not grow with the fleet. A
-//! wrong view costs speed, never a promise.
+//! a bounded number of the most recent entries in each exchange, so its cost does not grow with the
+//! fleet. A wrong view costs speed, never correctness.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,29 +11,29 @@
 use rand::seq::IndexedRandom;
 
 /// Members kept of each other failure domain.
-const FOREIGN: usize = 8;
-/// Beats without an advance after which a member counts as dead.
+const MAX_REMOTE_MEMBERS: usize = 8;
+/// Heartbeat periods without news of a member after which it counts as dead.
 const DEAD_AFTER_BEATS: u64 = 30;
 /// One exchange in this many goes to another failure domain.
-const ABROAD: u32 = 5;
+const REMOTE_EXCHANGE_RATIO: u32 = 5;
 
-/// Whether a node takes work.
+/// Whether a node accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberState {
-    /// It does.
+    /// Accepts work.
     Ready,
-    /// It drains.
+    /// Draining.
     Leaving,
 }
 
-/// What a node says of itself.
+/// What a node announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Name of the node.
     pub node: Name,
-    /// Its life.
+    /// Incarnation of the node.
     pub life: Incarnation,
-    /// Heartbeat count of that life.
+    /// Heartbeat count of that incarnation.
     pub beat: u64,
     /// Failure domain.
     pub domain: Name,
@@ -43,78 +43,79 @@
     pub caller: Name,
     /// `ip:port` for operators.
     pub admin: Name,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: MemberState,
-    /// Configuration revision in force there.
+    /// Configuration revision that the node applies.
     pub config: Revision,
-    /// Time since the node said so, milliseconds, as far as the sender knows.
+    /// Time since the node announced this, milliseconds, as far as the sender knows.
     pub age: Millis,
 }
 
 impl Member {
-    /// Lives are ordered by the wall clock at start, so a restart outranks what came before.
+    /// Incarnations are ordered by the wall clock at start, so a restart supersedes earlier ones.
     fn newer(&self, other: &Member) -> bool {
         (self.life, self.beat) > (other.life, other.beat)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct Entry {
     member: Member,
     at: Millis,
 }
 
-/// The nodes this node knows.
+/// Membership table of one node.
 #[derive(Debug)]
 pub struct Members {
     me: Member,
     period: Millis,
-    known: HashMap<Name, Heard>,
+    known: HashMap<Name, Entry>,
     seeds: BTreeSet<Name>,
 }
 
-/// # Construction and reading
+/// # Construction and queries
 impl Members {
-    /// Knows only itself; beats every `period`.
+    /// Table that holds only this node, which sends a heartbeat every `period`.
     pub fn new(me: Member, period: Millis) -> Self {
         Self { me, period, known: HashMap::new(), seeds: BTreeSet::new() }
     }
 
-    /// What this node says of itself.
+    /// Entry of this node.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// Other members that are alive, by name.
+    /// Live members other than this node, sorted by name.
     pub fn alive(&self, now: Millis) -> Vec<&Member> {
         let mut list: Vec<_> =
-            self.known.values().filter(|h| self.lives(h, now)).map(|h| &h.member).collect();
+            self.known.values().filter(|h| self.is_alive(h, now)).map(|h| &h.member).collect();
         list.sort_by(|a, b| a.node.cmp(&b.node));
         list
     }
 
-    /// The live member of this name and life.
+    /// The live member with this name and incarnation.
     pub fn find(&self, node: &str, life: Incarnation, now: Millis) -> Option<&Member> {
-        let heard = self.known.get(node).filter(|h| self.lives(h, now))?;
+        let heard = self.known.get(node).filter(|h| self.is_alive(h, now))?;
         (heard.member.life == life).then_some(&heard.member)
     }
 
-    /// Nodes alive in this failure domain, itself among them.
+    /// Number of live nodes in this failure domain, including this one.
     pub fn domain_size(&self, now: Millis) -> usize {
-        let near = |h: &&Heard| h.member.domain == self.me.domain && self.lives(h, now);
+        let near = |h: &&Entry| h.member.domain == self.me.domain && self.is_alive(h, now);
         1 + self.known.values().filter(near).count()
     }
 
-    /// Itself and the freshest members, at most `most`, to send to a peer.
+    /// This node and the most recently heard members, at most `most`, to send to a peer.
     pub fn freshest(&self, most: usize, now: Millis) -> Vec<Member> {
-        let mut list: Vec<_> = self.known.values().filter(|h| self.lives(h, now)).collect();
+        let mut list: Vec<_> = self.known.values().filter(|h| self.is_alive(h, now)).collect();
         list.sort_by(|a, b| b.at.cmp(&a.at).then_with(|| a.member.node.cmp(&b.member.node)));
-        let aged = |h: &Heard| Member { age: now.saturating_sub(h.at), ..h.member.clone() };
+        let aged = |h: &Entry| Member { age: now.saturating_sub(h.at), ..h.member.clone() };
         let others = list.into_iter().map(aged);
         std::iter::once(self.me.clone()).chain(others).take(most).collect()
     }
 
-    /// A peer to exchange with: mostly a near one, at times a far one or a seed.
+    /// Chooses a peer to exchange with: mostly one of this failure domain, sometimes one of another
+    /// domain or a seed.
     pub fn pick_peer(&self, now: Millis, rng: &mut impl Rng) -> Option<Name> {
         let alive = self.alive(now);
         let near = |m: &&&Member| m.domain == self.me.domain;
@@ -122,9 +123,9 @@
         let near: Vec<&Name> = alive.iter().filter(near).map(|m| &m.peer).collect();
         let unknown: Vec<&Name> =
             self.seeds.iter().filter(|s| !near.contains(s) && !far.contains(s)).collect();
-        let abroad = rng.random_ratio(1, ABROAD);
-        let mut lists = if abroad { [&far, &unknown, &near] } else { [&near, &unknown, &far] };
-        if rng.random_ratio(1, ABROAD) {
+        let remote = rng.random_ratio(1, REMOTE_EXCHANGE_RATIO);
+        let mut lists = if remote { [&far, &unknown, &near] } else { [&near, &unknown, &far] };
+        if rng.random_ratio(1, REMOTE_EXCHANGE_RATIO) {
             lists.swap(0, 1);
         }
         lists.into_iter().find_map(|l| l.choose(rng)).map(|n| (*n).clone())
@@ -133,49 +134,49 @@
 
 /// # Events
 impl Members {
-    /// Counts a heartbeat and forgets the dead.
+    /// Advances the heartbeat and evicts members that have long been dead.
     pub fn beat(&mut self, now: Millis) {
         self.me.beat += 1;
         let forget = self.period * DEAD_AFTER_BEATS * 3;
         self.known.retain(|_, h| now.saturating_sub(h.at) < forget);
     }
 
-    /// Says whether this node takes work, and which configuration is in force.
+    /// Sets whether this node accepts work, and the configuration that it applies.
     pub fn announce(&mut self, state: MemberState, config: Revision) {
         self.me.state = state;
         self.me.config = config;
     }
 
-    /// Peers to try although they have not been heard.
+    /// Sets peers to try although nothing has been received from them.
     pub fn set_seeds(&mut self, peers: impl IntoIterator<Item = Name>) {
         let own = self.me.peer.clone();
         self.seeds = peers.into_iter().filter(|p| *p != own).collect();
     }
 
-    /// Takes members that a peer sent.
+    /// Merges members that a peer sent.
     ///
-    /// A member is as old here as it was there, so that nodes cannot keep a dead one alive by
-    /// telling each other of it.
+    /// An entry keeps the age that it has at the sender, so that nodes cannot keep a dead member
+    /// alive by passing its entry back and forth.
     pub fn merge(&mut self, members: Vec<Member>, now: Millis) {
         for m in members {
             match self.known.get(&m.node) {
                 _ if m.node == self.me.node => {}
                 Some(old) if !m.newer(&old.member) => {}
-                None if self.crowded(&m) => {}
+                None if self.is_domain_full(&m) => {}
                 _ => {
                     let at = now.saturating_sub(m.age);
-                    self.known.insert(m.node.clone(), Heard { member: m, at });
+                    self.known.insert(m.node.clone(), Entry { member: m, at });
                 }
             }
         }
     }
 
-    fn crowded(&self, m: &Member) -> bool {
+    fn is_domain_full(&self, m: &Member) -> bool {
         let same = self.known.values().filter(|h| h.member.domain == m.domain).count();
-        m.domain != self.me.domain && same >= FOREIGN
+        m.domain != self.me.domain && same >= MAX_REMOTE_MEMBERS
     }
 
-    fn lives(&self, h: &Heard, now: Millis) -> bool {
+    fn is_alive(&self, h: &Entry, now: Millis) -> bool {
         now.saturating_sub(h.at) <= self.period * DEAD_AFTER_BEATS
     }
 }
--- a/crates/policy/src/mirror.rs
+++ b/crates/policy/src/mirror.rs
@@ -1,11 +1,11 @@
-//! A copy of items that others follow by what changed since they last asked.
+//! A set of items that other nodes replicate by polling for what changed since their last poll.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-/// Removals remembered; one who follows from before them gets everything.
-const GONE_MOST: usize = 1_024;
+/// Bounds the removals remembered; a follower that is further behind gets a full copy.
+const MAX_REMOVALS: usize = 1_024;
 
 /// Items by key, each with the serial of its last change.
 ///
@@ -27,30 +27,30 @@
 pub struct Mirror<T> {
     serial: u64,
     items: BTreeMap<Arc<str>, Entry<T>>,
-    /// Sum of the items' prints.
+    /// Wrapping sum of the item hashes.
     digest: u64,
     gone: VecDeque<(u64, Arc<str>)>,
-    /// Serial of the last removal that is no longer remembered.
+    /// Serial of the latest removal that is no longer remembered.
     forgotten: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Entry<T> {
     serial: u64,
-    print: u64,
+    hash: u64,
     item: T,
 }
 
 /// What changed since a serial.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delta<T> {
-    /// Serial to ask from next.
+    /// Serial to pass in the next poll.
     pub serial: u64,
-    /// Whether `items` are all there are.
+    /// Whether `items` is a full copy.
     pub whole: bool,
-    /// Items that are new or changed.
+    /// Added or changed items.
     pub items: Vec<T>,
-    /// Keys that are gone.
+    /// Keys that were removed.
     pub gone: Vec<Arc<str>>,
 }
 
@@ -60,27 +60,28 @@
     }
 }
 
-/// # Changes
+/// # Updates
 impl<T> Mirror<T> {
-    /// Takes an item as it stands since `revision` at whoever owns it; nothing if it has that already.
+    /// Inserts or replaces an item, with its `revision` at its owner; no effect if that revision is
+    /// already held.
     pub fn put(&mut self, key: Arc<str>, revision: u64, item: T) {
-        let print = print(&key, revision);
-        if self.items.get(&key).is_some_and(|e| e.print == print) {
+        let hash = item_hash(&key, revision);
+        if self.items.get(&key).is_some_and(|e| e.hash == hash) {
             return;
         }
         self.serial += 1;
-        let entry = Entry { serial: self.serial, print, item };
-        let old = self.items.insert(key, entry).map_or(0, |e| e.print);
-        self.digest = self.digest.wrapping_add(print).wrapping_sub(old);
+        let entry = Entry { serial: self.serial, hash, item };
+        let old = self.items.insert(key, entry).map_or(0, |e| e.hash);
+        self.digest = self.digest.wrapping_add(hash).wrapping_sub(old);
     }
 
-    /// Takes an item off.
+    /// Removes an item.
     pub fn remove(&mut self, key: &str) {
         let Some((key, entry)) = self.items.remove_entry(key) else { return };
         self.serial += 1;
-        self.digest = self.digest.wrapping_sub(entry.print);
+        self.digest = self.digest.wrapping_sub(entry.hash);
         self.gone.push_back((self.serial, key));
-        if self.gone.len() > GONE_MOST {
+        if self.gone.len() > MAX_REMOVALS {
             self.forgotten = self.gone.pop_front().map_or(self.forgotten, |(serial, _)| serial);
         }
     }
@@ -88,9 +89,9 @@
 
 /// # Digest
 impl<T> Mirror<T> {
-    /// Digest of all items: two mirrors with the same one hold the same items.
+    /// Digest of all items: two mirrors with the same digest hold the same items.
     ///
-    /// Lets one who follows another mirror than before go on without being told everything.
+    /// Lets a follower switch to another mirror without a full copy.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -101,16 +102,16 @@
     }
 }
 
-/// Print of an item: no two items in a thousand mirrors of a thousand have the same one.
-fn print(key: &str, revision: u64) -> u64 {
+/// Hash of an item, wide enough to be unique among a thousand mirrors of a thousand items each.
+fn item_hash(key: &str, revision: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
     (key, revision).hash(&mut hasher);
     hasher.finish()
 }
 
-/// # Reading
+/// # Queries
 impl<T: Clone> Mirror<T> {
-    /// What changed since `serial`; everything for 0 and for what is no longer remembered.
+    /// Changes since `serial`; a full copy for 0 and for a serial that is unknown or too old.
     pub fn since(&self, serial: u64) -> Delta<T> {
         let whole = serial == 0 || serial < self.forgotten || serial > self.serial;
         let from = if whole { 0 } else { serial };
--- a/crates/policy/src/probes.rs
+++ b/crates/policy/src/probes.rs
@@ -1,23 +1,23 @@
-//! Which engines to leave after a look at whether they live.
+//! Which engines to avoid after a liveness probe.
 
 use heathpitch_core::Name;
 
-/// What a look at one engine found.
+/// Result of probing one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
     /// It answered.
     Alive,
-    /// It did not answer in time: it hangs, or this node is too busy to hear it.
+    /// It did not answer in time: it hangs, or this node is too busy to process the answer.
     TimedOut,
     /// It cannot be reached.
     Unreachable,
 }
 
-/// Engines to leave.
+/// Engines to stop using.
 ///
-/// An engine that cannot be reached is left in any case. Late answers count only while at least a
-/// third of the engines answered: when nearly all are late, this node is what is slow, and leaving
-/// them all would be an outage of its own making.
+/// An unreachable engine is always among them. Time-outs count only while at most two thirds of the
+/// engines time out: beyond that this node itself is slow, and avoiding them all would cause an
+/// outage.
 ///
 /// # Examples
 ///
@@ -25,19 +25,19 @@
 /// use heathpitch_policy::{ProbeResult, suspects};
 ///
 /// let (a, b, c) = ("a".parse()?, "b".parse()?, "c".parse()?);
-/// let one = suspects(vec![(a, ProbeResult::Alive), (b, ProbeResult::TimedOut), (c, ProbeResult::Alive)]);
-/// assert_eq!(one.len(), 1);
+/// let suspected = suspects(vec![(a, ProbeResult::Alive), (b, ProbeResult::TimedOut), (c, ProbeResult::Alive)]);
+/// assert_eq!(suspected.len(), 1);
 /// let (a, b) = ("a".parse()?, "b".parse()?);
 /// assert!(suspects(vec![(a, ProbeResult::TimedOut), (b, ProbeResult::TimedOut)]).is_empty());
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
-pub fn suspects(looks: Vec<(Name, ProbeResult)>) -> Vec<Name> {
-    let late = looks.iter().filter(|(_, s)| *s == ProbeResult::TimedOut).count();
-    let believed = late * 3 <= looks.len() * 2;
-    let left = |sign: ProbeResult| match sign {
+pub fn suspects(results: Vec<(Name, ProbeResult)>) -> Vec<Name> {
+    let timed_out = results.iter().filter(|(_, s)| *s == ProbeResult::TimedOut).count();
+    let credible = timed_out * 3 <= results.len() * 2;
+    let suspected = |result: ProbeResult| match result {
         ProbeResult::Alive => false,
-        ProbeResult::TimedOut => believed,
+        ProbeResult::TimedOut => credible,
         ProbeResult::Unreachable => true,
     };
-    looks.into_iter().filter(|(_, sign)| left(*sign)).map(|(name, _)| name).collect()
+    results.into_iter().filter(|(_, result)| suspected(*result)).map(|(name, _)| name).collect()
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,33 +1,36 @@
-//! Requests under which engines end, and which of them are sent nowhere any more.
+//! Quarantine of requests that crash engines: which requests are no longer sent to any engine.
 //!
-//! An engine that ends cuts off all that runs there, so one end says next to nothing of one request.
-//! What counts is under whom engines end again and again, over all nodes and under whatever ids a request
-//! comes: nodes tell each other each [`End`], and each node works out the same verdict from them. A verdict
-//! blames as few requests as explain the ends ([`Quarantine::verdict`]), so that those which were moved from
-//! engine to engine beside the one at fault are not held back with it.
+//! An engine that terminates cuts off every request that runs there, so a single termination says
+//! little about any one of them. What counts is which request was running in repeated terminations,
+//! over all nodes and under whatever ids the request comes: nodes send each [`End`] to each other, and
+//! each node derives the same verdict from them. A verdict blames the fewest requests that explain the
+//! terminations ([`Quarantine::verdict`]), so that requests which were rerouted from engine to engine
+//! along with the faulty one are not quarantined with it.
 //!
-//! All that is known of an end only grows: it may be renewed, or become void, so that nodes which are told
-//! in any order, twice or late agree.
+//! The state of an end changes in one direction only: it may be renewed, or become void. So nodes
+//! agree whether updates arrive out of order, twice or late.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 use heathpitch_core::{Millis, Name, RequestPrint};
 
-/// Engines that must have ended under a request before it is held back. Two happen to proper requests: one
-/// that is moved beside the request at fault. What three cost is bounded by what is agreed, three more.
-const ENGINES_TO_HOLD: usize = 3;
-/// Events up to which a request counts as one that its engine had just begun to run: some 0.4 s of a
-/// stream at its usual pace. What ends an engine does so when it begins to run. Where engines end again and
-/// again, many proper ones are as young, 167 of 288 sends cut off on such a day: so that alone blames nobody.
-const BEGUN: u32 = 8;
-/// Time for which an end is known after the request came last, milliseconds: a fleet's engines are mended,
-/// or an operator has looked, within some minutes.
-const KEPT: Millis = 600_000;
-/// Ends known at a time: some hundred bytes each.
-const MOST: usize = 2_048;
-
-/// Whether a request that an engine has brought so many events of had just begun to run there.
+/// Engines that must have terminated under a request before it is quarantined. Two also happen to
+/// harmless requests that are rerouted along with the faulty one. With three, the agreed bound of
+/// three further engines holds.
+const MIN_ENGINES: usize = 3;
+/// Events up to which a request counts as just started on its engine: about 0.4 s of a stream at its
+/// usual rate. A request that crashes an engine does so when it starts. Where engines terminate
+/// repeatedly, many harmless requests are as young (167 of 288 attempts that were cut off in one
+/// recorded day), so this alone does not blame a request.
+const JUST_STARTED_EVENTS: u32 = 8;
+/// Time for which an end is kept after the request was last seen: engines are repaired, or an operator
+/// has intervened, within some minutes.
+const END_TTL_MS: Millis = 600_000;
+/// Bounds the ends kept, about 100 bytes each.
+const MAX_ENDS: usize = 2_048;
+
+/// Whether a request for which an engine has delivered this many events had just started there.
 ///
 /// # Examples
 ///
@@ -36,43 +39,43 @@
 /// assert!(!heathpitch_policy::just_started(40));
 /// ```
 pub fn just_started(events: u32) -> bool {
-    events <= BEGUN
+    events <= JUST_STARTED_EVENTS
 }
 
-/// A life of an engine: one that starts again under its id is another one.
+/// One run of an engine: a restart under the same id is another incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineIncarnation {
-    /// Its id.
+    /// Id of the engine.
     pub engine: Name,
-    /// Unix time of its start, milliseconds, if it tells that.
+    /// Unix time of its start, milliseconds, if the engine reports it.
     pub born: Option<Millis>,
 }
 
-/// The end of an engine while a request that it had just begun ran there.
+/// The termination of an engine while a request was running there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
     /// The request.
     pub print: RequestPrint,
     /// The engine.
     pub life: EngineIncarnation,
-    /// Events that the request had brought there.
+    /// Events that the engine had delivered for the request.
     pub events: u32,
-    /// How often the request came again long after.
+    /// How often the request came again late in its quarantine, which extends it.
     pub renewed: u32,
-    /// Whether it says nothing of the request: that was answered, or the engine lives.
+    /// Whether it no longer counts: the request was answered, or the engine is alive.
     pub void: bool,
 }
 
-/// A request under which enough engines ended.
+/// A request under which enough engines terminated.
 struct Suspect<'a> {
     print: RequestPrint,
     lives: BTreeSet<&'a EngineIncarnation>,
-    /// Events that it had brought, over all of them.
+    /// Events delivered, summed over these engines.
     events: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct EndState {
     events: u32,
     renewed: u32,
     void: bool,
@@ -80,7 +83,7 @@
     serial: u64,
 }
 
-/// What is known of requests under which engines ended.
+/// Known ends and the requests that are quarantined for them.
 ///
 /// # Examples
 ///
@@ -94,7 +97,7 @@
 /// for engine in ["e1", "e2", "e3", "e4"] {
 ///     quarantine.record_end(fatal, life(engine), 0, 10);
 /// }
-/// // It was moved from engine to engine beside the other one.
+/// // This one was rerouted along with the fatal one.
 /// for engine in ["e1", "e2", "e3"] {
 ///     quarantine.record_end(moved, life(engine), 0, 10);
 /// }
@@ -105,14 +108,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     serial: u64,
-    ends: BTreeMap<(RequestPrint, EngineIncarnation), Known>,
+    ends: BTreeMap<(RequestPrint, EngineIncarnation), EndState>,
     held: BTreeSet<RequestPrint>,
 }
 
-/// # Learning
+/// # Updates
 impl Quarantine {
-    /// Takes note that an engine ended which had brought so many events of a request; gives whether that is
-    /// new. It counts only against one that the engine had just begun to run.
+    /// Records that an engine terminated which had delivered `events` events of a request; returns
+    /// whether that is new. It counts only against a request that had just started there.
     pub fn record_end(
         &mut self,
         print: RequestPrint,
@@ -124,16 +127,16 @@
         self.learn(end, 0, now)
     }
 
-    /// Takes what another node tells, known there for `age`; gives whether it says anything new.
+    /// Merges an end that another node has known for `age`; returns whether it changes anything.
     pub fn learn(&mut self, end: End, age: Millis, now: Millis) -> bool {
-        // One of a request whose last end is old too is forgotten with the others.
-        if age >= 2 * KEPT {
+        // `expire` drops old ends only together with all other ends of their request.
+        if age >= 2 * END_TTL_MS {
             return false;
         }
         let at = now.saturating_sub(age);
         let serial = self.serial + 1;
         let End { print, life, events, renewed, void } = end;
-        let told = Known { events, renewed, void, at, serial };
+        let told = EndState { events, renewed, void, at, serial };
         let new = match self.ends.get_mut(&(print, life.clone())) {
             None => {
                 self.ends.insert((print, life), told);
@@ -148,18 +151,19 @@
         new
     }
 
-    /// A request was answered whole: no engine ended by it. Gives whether ends were known of it.
+    /// Voids the ends of a request that was answered completely, so that it crashed no engine; returns
+    /// whether there were any.
     pub fn clear_request(&mut self, print: RequestPrint) -> bool {
         self.make_void(|(p, _)| *p == print)
     }
 
-    /// An engine said to have ended has answered since. Gives whether that changes anything.
+    /// Voids the ends of an engine that has answered since; returns whether there were any.
     pub fn engine_alive(&mut self, life: &EngineIncarnation) -> bool {
         self.make_void(|(_, l)| l == life)
     }
 
-    /// A request that is held back came again: it is held for longer, once half of its time is over. Gives
-    /// whether that was so.
+    /// Extends the quarantine of a request that came again, once half of its time is over; returns
+    /// whether it did.
     pub fn renew(&mut self, print: RequestPrint, now: Millis) -> bool {
         let due = Self::is_renewal_due(self.remaining(print, now));
         if due {
@@ -171,7 +175,7 @@
         due
     }
 
-    /// Forgets what is old, all ends of a request together; gives whether anything was.
+    /// Drops expired ends, all ends of a request together; returns whether there were any.
     pub fn expire(&mut self, now: Millis) -> bool {
         let before = self.ends.len();
         let mut last: HashMap<RequestPrint, Millis> = HashMap::new();
@@ -179,7 +183,7 @@
             let at = last.entry(*print).or_default();
             *at = known.at.max(*at);
         }
-        self.ends.retain(|(print, _), _| now < last[print] + KEPT);
+        self.ends.retain(|(print, _), _| now < last[print] + END_TTL_MS);
         self.ends.len() < before
     }
 
@@ -196,13 +200,13 @@
         new
     }
 
-    /// Forgets what matters least if there is too much: void ends first, those of requests held back
-    /// last, and the oldest among these.
+    /// Evicts the least important end if there are too many: void ends first, those of quarantined
+    /// requests last, and the oldest of each kind first.
     fn make_room(&mut self) {
-        if self.ends.len() <= MOST {
+        if self.ends.len() <= MAX_ENDS {
             return;
         }
-        let worth = |(key, k): (&(RequestPrint, EngineIncarnation), &Known)| {
+        let worth = |(key, k): (&(RequestPrint, EngineIncarnation), &EndState)| {
             (!k.void, self.held.contains(&key.0), k.at)
         };
         let least = self.ends.iter().min_by_key(|e| worth(*e)).map(|(key, _)| key.clone());
@@ -212,23 +216,23 @@
     }
 }
 
-impl Known {
-    /// Whether it counts against its request.
+impl EndState {
+    /// Whether this end counts against its request.
     fn counts(&self) -> bool {
         !self.void && just_started(self.events)
     }
 
-    /// Joins what is told of the same end; gives whether it says anything new.
-    fn join(&mut self, told: Known) -> bool {
+    /// Merges another state of the same end; returns whether it changes anything.
+    fn join(&mut self, told: EndState) -> bool {
         let new = (told.void && !self.void) || told.renewed > self.renewed;
         let at = match told.renewed.cmp(&self.renewed) {
             Ordering::Greater => told.at,
-            // The older one, so that telling it in circles does not make it younger.
+            // The older one, so that passing an end back and forth does not make it younger.
             Ordering::Equal => self.at.min(told.at),
             Ordering::Less => self.at,
         };
         let serial = if new { told.serial } else { self.serial };
-        *self = Known {
+        *self = EndState {
             events: self.events.min(told.events),
             renewed: self.renewed.max(told.renewed),
             void: self.void || told.void,
@@ -241,43 +245,45 @@
 
 /// # Verdict
 impl Quarantine {
-    /// Works out anew which requests are held back; gives those that are now and were not, and those that
-    /// were and are not any more.
+    /// Recomputes which requests are quarantined; returns those that were added and those that were
+    /// released.
     pub fn decide(&mut self) -> (Vec<RequestPrint>, Vec<RequestPrint>) {
         let held = self.verdict();
         let new = held.difference(&self.held).copied().collect();
-        let over = self.held.difference(&held).copied().collect();
+        let released = self.held.difference(&held).copied().collect();
         self.held = held;
-        (new, over)
+        (new, released)
     }
 
     /// The fewest requests that explain the ends.
     ///
-    /// The request under which most engines ended is blamed first, and explains all of these ends; the
-    /// next one needs an end that nobody blamed before explains. Where the same three engines ended under
-    /// two, neither is blamed: the next end tells them apart. With neither rule 13 of 96 000 proper requests
-    /// were held back beside a fatal one in 32 minutes of the model in this module's tests, with both none, and
-    /// no more engines ended.
+    /// The request under which most engines terminated is blamed first and explains all of these ends;
+    /// each further one must have an end that no request blamed before it explains. If the same three
+    /// engines terminated under two requests, neither is blamed: the next end tells them apart. In 32
+    /// minutes of the model in this module's tests, 13 of 96 000 harmless requests were quarantined
+    /// along with a fatal one without the two rules and none with both, and no more engines
+    /// terminated.
     fn verdict(&self) -> BTreeSet<RequestPrint> {
         let suspects = self.suspects();
         let mut explained: BTreeSet<&EngineIncarnation> = BTreeSet::new();
         let mut blamed = BTreeSet::new();
         loop {
-            let open = |s: &Suspect<'_>| s.lives.difference(&explained).count();
-            let left = suspects.iter().filter(|s| !blamed.contains(&s.print) && open(s) > 0);
-            let Some(worst) = left.clone().max_by_key(|s| (open(s), Reverse(s.events), s.print))
+            let unexplained = |s: &Suspect<'_>| s.lives.difference(&explained).count();
+            let left = suspects.iter().filter(|s| !blamed.contains(&s.print) && unexplained(s) > 0);
+            let Some(worst) =
+                left.clone().max_by_key(|s| (unexplained(s), Reverse(s.events), s.print))
             else {
                 return blamed;
             };
-            let alike = |s: &Suspect<'_>| s.print != worst.print && s.lives == worst.lives;
-            if worst.lives.len() > ENGINES_TO_HOLD || !left.clone().any(alike) {
+            let same_lives = |s: &Suspect<'_>| s.print != worst.print && s.lives == worst.lives;
+            if worst.lives.len() > MIN_ENGINES || !left.clone().any(same_lives) {
                 blamed.insert(worst.print);
             }
             explained.extend(&worst.lives);
         }
     }
 
-    /// Requests under which enough engines ended.
+    /// Requests under which enough engines terminated.
     fn suspects(&self) -> Vec<Suspect<'_>> {
         let mut suspects: BTreeMap<RequestPrint, Suspect<'_>> = BTreeMap::new();
         for ((print, life), known) in self.ends.iter().filter(|(_, k)| k.counts()) {
@@ -286,23 +292,23 @@
             suspect.lives.insert(life);
             suspect.events += known.events;
         }
-        suspects.into_values().filter(|s| s.lives.len() >= ENGINES_TO_HOLD).collect()
+        suspects.into_values().filter(|s| s.lives.len() >= MIN_ENGINES).collect()
     }
 }
 
-/// # Reading
+/// # Queries
 impl Quarantine {
-    /// Whether a request is held back.
+    /// Whether a request is quarantined.
     pub fn holds(&self, print: RequestPrint) -> bool {
         self.held.contains(&print)
     }
 
-    /// Requests held back.
+    /// Quarantined requests.
     pub fn held(&self) -> impl Iterator<Item = RequestPrint> {
         self.held.iter().copied()
     }
 
-    /// Ends that count against a request, with their ages.
+    /// Ends that count against a request: incarnation, events delivered and age.
     pub fn evidence(
         &self,
         print: RequestPrint,
@@ -312,7 +318,7 @@
         of.map(move |((_, life), k)| (life, k.events, now.saturating_sub(k.at)))
     }
 
-    /// How many ends count against each request.
+    /// Number of ends that count against each request.
     pub fn counts(&self) -> HashMap<RequestPrint, u32> {
         let mut counts = HashMap::new();
         for (print, _) in self.ends.iter().filter(|(_, k)| k.counts()).map(|(key, _)| key) {
@@ -321,27 +327,27 @@
         counts
     }
 
-    /// Engines that have ended, as far as is known.
+    /// Engine incarnations known to have terminated.
     pub fn ended_engines(&self) -> HashSet<EngineIncarnation> {
         let ends = self.ends.iter().filter(|(_, k)| !k.void);
         ends.map(|((_, life), _)| life.clone()).collect()
     }
 
-    /// How long a request is still held back if it does not come again.
+    /// Remaining quarantine of a request if it does not come again.
     pub fn remaining(&self, print: RequestPrint, now: Millis) -> Millis {
         let youngest = self.evidence(print, now).map(|(.., age)| age).min();
-        KEPT.saturating_sub(youngest.unwrap_or(KEPT))
+        END_TTL_MS.saturating_sub(youngest.unwrap_or(END_TTL_MS))
     }
 
-    /// How often a request came again long after its last end.
+    /// How often the quarantine of a request was extended.
     pub fn renewed(&self, print: RequestPrint) -> u32 {
         let of = self.ends.iter().filter(|((p, _), _)| *p == print);
         of.map(|(_, k)| k.renewed).max().unwrap_or(0)
     }
 
-    /// Whether a request that is held back for so much longer is to be renewed if it comes.
+    /// Whether a request with this much quarantine remaining is extended if it comes again.
     pub fn is_renewal_due(left: Millis) -> bool {
-        left <= KEPT / 2
+        left <= END_TTL_MS / 2
     }
 
     /// Serial of the last change.
@@ -349,17 +355,17 @@
         self.serial
     }
 
-    /// What became known after `serial`, with its age, in the order in which it did: `most` of it, and all
-    /// that became known together with the last; and the serial to go on from.
+    /// Ends that changed after `serial`, in order of change, with their ages, and the serial to continue
+    /// from. At most `most`, plus all that changed together with the last one.
     pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<(End, Millis)>, u64) {
         let mut new: Vec<_> = self.ends.iter().filter(|(_, k)| k.serial > serial).collect();
         new.sort_by_key(|(_, k)| k.serial);
         let last = new.get(most.saturating_sub(1)).map_or(self.serial, |(_, k)| k.serial);
-        let told = new.iter().take_while(|(_, k)| k.serial <= last).map(|((print, life), k)| {
+        let ends = new.iter().take_while(|(_, k)| k.serial <= last).map(|((print, life), k)| {
             let (print, life, events) = (*print, life.clone(), k.events);
             let end = End { print, life, events, renewed: k.renewed, void: k.void };
             (end, now.saturating_sub(k.at))
         });
-        (told.collect(), last)
+        (ends.collect(), last)
     }
 }
