--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -16,8 +16,8 @@
 use heathpitch_core::{Millis, Name, RequestPrint};
 
 /// Engines that must have terminated under a request before it is quarantined. Two also happen to
-/// harmless requests that are rerouted along with the faulty one. With three, the agreed bound of
-/// three further engines holds.
+/// harmless requests that are rerouted along with the faulty one. Three keeps the
+/// cost within the agreed bound of three further engines.
 const MIN_ENGINES: usize = 3;
 /// Events up to which a request counts as just started on its engine: about 0.4 s of a stream at its
 /// usual rate. A request that crashes an engine does so when it starts. Where engines terminate
@@ -129,7 +129,7 @@
 
     /// Merges an end that another node has known for `age`; returns whether it changes anything.
     pub fn learn(&mut self, end: End, age: Millis, now: Millis) -> bool {
-        // `expire` drops old ends only together with all other ends of their request.
+        // An old end is kept as long as a later one of its request; at twice the TTL all have expired.
         if age >= 2 * END_TTL_MS {
             return false;
         }
