--- a/crates/heathpitchd/src/gateway/control/tell.rs
+++ b/crates/heathpitchd/src/gateway/control/tell.rs
@@ -153,8 +153,8 @@
         return Ok(FeedEngines::default());
     }
     let delta = mirror.since(serial);
-    if !delta.whole {
-        return Ok(FeedEngines::Changes { items: delta.items, gone: delta.gone });
+    if !delta.full {
+        return Ok(FeedEngines::Changes { items: delta.items, gone: delta.removed });
     }
     let mut kept = control.large.engines.borrow_mut();
     match &*kept {
--- a/crates/policy/src/mirror.rs
+++ b/crates/policy/src/mirror.rs
@@ -17,11 +17,11 @@
 /// let mut mirror = Mirror::default();
 /// mirror.put("a".into(), 7, 1);
 /// let first = mirror.since(0);
-/// assert_eq!((first.whole, first.items), (true, vec![1]));
+/// assert_eq!((first.full, first.items), (true, vec![1]));
 /// mirror.put("b".into(), 8, 2);
 /// mirror.remove("a");
 /// let next = mirror.since(first.serial);
-/// assert_eq!((next.whole, next.items, next.gone), (false, vec![2], vec!["a".into()]));
+/// assert_eq!((next.full, next.items, next.removed), (false, vec![2], vec!["a".into()]));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Mirror<T> {
@@ -29,7 +29,7 @@
     items: BTreeMap<Arc<str>, Entry<T>>,
     /// Wrapping sum of the item hashes.
     digest: u64,
-    gone: VecDeque<(u64, Arc<str>)>,
+    removed: VecDeque<(u64, Arc<str>)>,
     /// Serial of the latest removal that is no longer remembered.
     forgotten: u64,
 }
@@ -47,16 +47,22 @@
     /// Serial to pass in the next poll.
     pub serial: u64,
     /// Whether `items` is a full copy.
-    pub whole: bool,
+    pub full: bool,
     /// Added or changed items.
     pub items: Vec<T>,
     /// Keys that were removed.
-    pub gone: Vec<Arc<str>>,
+    pub removed: Vec<Arc<str>>,
 }
 
 impl<T> Default for Mirror<T> {
     fn default() -> Self {
-        Self { serial: 0, items: BTreeMap::new(), digest: 0, gone: VecDeque::new(), forgotten: 0 }
+        Self {
+            serial: 0,
+            items: BTreeMap::new(),
+            digest: 0,
+            removed: VecDeque::new(),
+            forgotten: 0,
+        }
     }
 }
 
@@ -80,9 +86,9 @@
         let Some((key, entry)) = self.items.remove_entry(key) else { return };
         self.serial += 1;
         self.digest = self.digest.wrapping_sub(entry.hash);
-        self.gone.push_back((self.serial, key));
-        if self.gone.len() > MAX_REMOVALS {
-            self.forgotten = self.gone.pop_front().map_or(self.forgotten, |(serial, _)| serial);
+        self.removed.push_back((self.serial, key));
+        if self.removed.len() > MAX_REMOVALS {
+            self.forgotten = self.removed.pop_front().map_or(self.forgotten, |(serial, _)| serial);
         }
     }
 }
@@ -113,15 +119,15 @@
 impl<T: Clone> Mirror<T> {
     /// Changes since `serial`; a full copy for 0 and for a serial that is unknown or too old.
     pub fn since(&self, serial: u64) -> Delta<T> {
-        let whole = serial == 0 || serial < self.forgotten || serial > self.serial;
-        let from = if whole { 0 } else { serial };
+        let full = serial == 0 || serial < self.forgotten || serial > self.serial;
+        let from = if full { 0 } else { serial };
         let items = self.items.values().filter(|e| e.serial > from).map(|e| e.item.clone());
-        let gone = self.gone.iter().filter(|(s, k)| !whole && *s > from && !self.holds(k));
+        let removed = self.removed.iter().filter(|(s, k)| !full && *s > from && !self.holds(k));
         Delta {
             serial: self.serial,
-            whole,
+            full,
             items: items.collect(),
-            gone: gone.map(|(_, key)| key.clone()).collect(),
+            removed: removed.map(|(_, key)| key.clone()).collect(),
         }
     }
 
--- a/crates/policy/tests/mirror.rs
+++ b/crates/policy/tests/mirror.rs
@@ -9,10 +9,10 @@
 
 /// Applies a delta whose items carry their own keys.
 fn apply(copy: &mut Copy, delta: Delta<(String, u32)>) -> u64 {
-    if delta.whole {
+    if delta.full {
         copy.clear();
     }
-    copy.retain(|key, _| !delta.gone.iter().any(|gone| **gone == **key));
+    copy.retain(|key, _| !delta.removed.iter().any(|removed| **removed == **key));
     copy.extend(delta.items);
     delta.serial
 }
@@ -56,7 +56,7 @@
         mirror.remove(&key);
     }
     let delta = mirror.since(early);
-    assert!(delta.whole);
+    assert!(delta.full);
     assert_eq!(delta.items, [0]);
 }
 
@@ -64,7 +64,7 @@
 fn a_serial_of_another_incarnation_gets_a_full_copy() {
     let mut mirror = Mirror::default();
     mirror.put("a".into(), 1, 1);
-    assert!(mirror.since(77).whole);
+    assert!(mirror.since(77).full);
 }
 
 /// When a source dies, its followers switch to another one, whose serials mean nothing to them: they
