--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -1,9 +1,9 @@
 //! Claims on idempotency keys, by compare-and-swap in the platform's key-value service.
 //!
-//! A key is claimed once, by one incarnation of one node, and a claim is never taken over, so a paused
-//! owner does no harm and no upstream needs to check a fence. Claims on the same page are committed
-//! together. A lost answer to a write is resolved by reading the page back: a claim is granted only
-//! once its own nonce has been read from the page.
+//! A key is claimed once, by one incarnation of one node, and a claim is never taken over, so a
+//! paused owner does no harm and no upstream needs to check a fence. Claims on the same page are
+//! committed together. A lost answer to a write is resolved by reading the page back: a claim is
+//! granted only once its own nonce has been read from the page.
 
 use std::collections::{HashMap, VecDeque};
 
--- a/crates/policy/src/drain_notices.rs
+++ b/crates/policy/src/drain_notices.rs
@@ -1,10 +1,10 @@
 //! Engines that announced in a response that they drain.
 //!
-//! A drain notice holds for the incarnation of the engine, whatever its entry says: the entry may be
-//! seconds behind, and the store unreachable. Nodes pass notices on to each other, since one that has
-//! restarted, or has never called that engine, knows nothing of it. A wrong notice must not cost a
-//! service its engine for good: an engine that is still listed as ready long after is asked again, and
-//! if it does not repeat the notice, this node cancels it.
+//! A drain notice holds for the incarnation of the engine, whatever its entry says: the entry may
+//! be seconds behind, and the store unreachable. Nodes pass notices on to each other, since one
+//! that has restarted, or has never called that engine, knows nothing of it. A wrong notice must
+//! not cost a service its engine for good: an engine that is still listed as ready long after is
+//! asked again, and if it does not repeat the notice, this node cancels it.
 
 use std::collections::HashMap;
 
@@ -12,8 +12,8 @@
 
 use crate::{EngineIncarnation, notices};
 
-/// Time after which an engine that is still listed is asked whether it drains: draining engines stop
-/// within about 10 s.
+/// Time after which an engine that is still listed is asked whether it drains: draining engines
+/// stop within about 10 s.
 const RECHECK_AFTER_MS: Millis = 30_000;
 /// Time for which a notice is kept: engines stop long before.
 const NOTICE_TTL_MS: Millis = 600_000;
--- a/crates/policy/src/followers.rs
+++ b/crates/policy/src/followers.rs
@@ -6,8 +6,8 @@
 
 use crate::{STANDBYS, Source};
 
-/// Time after its last poll for which a follower counts as present: two polls and the time limit of an
-/// answer.
+/// Time after its last poll for which a follower counts as present: two polls and the time limit of
+/// an answer.
 const PRESENT_MS: Millis = 1_200;
 /// Time after its last poll for which a follower counts towards the size of its failure domain: one
 /// that is cut off goes on using its share of the limits agreed for the fleet, and comes back.
@@ -28,7 +28,10 @@
 /// ```
 /// use heathpitch_policy::{Followers, Source};
 ///
-/// let source = |node: &str| Source { node: node.parse().unwrap(), address: ([10, 0, 0, 1], 1).into() };
+/// let source = |node: &str| Source {
+///     node: node.parse().unwrap(),
+///     address: ([10, 0, 0, 1], 1).into(),
+/// };
 /// let mut followers = Followers::default();
 /// followers.record_poll(source("n2"), false, 0);
 /// followers.record_poll(source("n3"), true, 0);
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -1,9 +1,9 @@
 //! Freshness of a node's copy of what the platform's store holds.
 //!
-//! A proof is an answer of the store which shows that the node's copy of one thing, the configuration
-//! or the list of engines, is current; it says nothing of the other. It holds for the time at which
-//! the call was sent, not for that of its answer, so that latency never makes a proof look younger
-//! than it is.
+//! A proof is an answer of the store which shows that the node's copy of one thing, the
+//! configuration or the list of engines, is current; it says nothing of the other. It holds for the
+//! time at which the call was sent, not for that of its answer, so that latency never makes a proof
+//! look younger than it is.
 
 use heathpitch_core::Millis;
 
--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -64,7 +64,8 @@
         recency
     }
 
-    /// Unix time of the start of an engine's newest incarnation, milliseconds, if it ever reported one.
+    /// Unix time of the start of an engine's newest incarnation, milliseconds, if it ever reported
+    /// one.
     pub fn born(&self, engine: &Name) -> Option<Millis> {
         self.known.get(engine).map(|l| l.born)
     }
--- a/crates/policy/src/notices.rs
+++ b/crates/policy/src/notices.rs
@@ -1,4 +1,5 @@
-//! Notices that nodes pass on to each other, each with a serial: which to send next and which to evict.
+//! Notices that nodes pass on to each other, each with a serial: which to send next and which to
+//! evict.
 
 use std::collections::HashMap;
 use std::hash::Hash;
--- a/crates/policy/src/probes.rs
+++ b/crates/policy/src/probes.rs
@@ -25,7 +25,12 @@
 /// use heathpitch_policy::{ProbeResult, suspects};
 ///
 /// let (a, b, c) = ("a".parse()?, "b".parse()?, "c".parse()?);
-/// let suspected = suspects(vec![(a, ProbeResult::Alive), (b, ProbeResult::TimedOut), (c, ProbeResult::Alive)]);
+/// let results = vec![
+///     (a, ProbeResult::Alive),
+///     (b, ProbeResult::TimedOut),
+///     (c, ProbeResult::Alive),
+/// ];
+/// let suspected = suspects(results);
 /// assert_eq!(suspected.len(), 1);
 /// let (a, b) = ("a".parse()?, "b".parse()?);
 /// assert!(suspects(vec![(a, ProbeResult::TimedOut), (b, ProbeResult::TimedOut)]).is_empty());
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -2,10 +2,10 @@
 //!
 //! An engine that terminates cuts off every request that runs there, so a single termination says
 //! little about any one of them. What counts is which request was running in repeated terminations,
-//! over all nodes and under whatever ids the request comes: nodes send each [`End`] to each other, and
-//! each node derives the same verdict from them. A verdict blames the fewest requests that explain the
-//! terminations ([`Quarantine::verdict`]), so that requests which were rerouted from engine to engine
-//! along with the faulty one are not quarantined with it.
+//! over all nodes and under whatever ids the request comes: nodes send each [`End`] to each other,
+//! and each node derives the same verdict from them. A verdict blames the fewest requests that
+//! explain the terminations ([`Quarantine::verdict`]), so that requests which were rerouted from
+//! engine to engine along with the faulty one are not quarantined with it.
 //!
 //! The state of an end changes in one direction only: it may be renewed, or become void. So nodes
 //! agree whether updates arrive out of order, twice or late.
@@ -16,16 +16,16 @@
 use heathpitch_core::{Millis, Name, RequestPrint};
 
 /// Engines that must have terminated under a request before it is quarantined. Two also happen to
-/// harmless requests that are rerouted along with the faulty one. Three keeps the
-/// cost within the agreed bound of three further engines.
+/// harmless requests that are rerouted along with the faulty one. Three keeps the cost within the
+/// agreed bound of three further engines.
 const MIN_ENGINES: usize = 3;
-/// Events up to which a request counts as just started on its engine: about 0.4 s of a stream at its
-/// usual rate. A request that crashes an engine does so when it starts. Where engines terminate
+/// Events up to which a request counts as just started on its engine: about 0.4 s of a stream at
+/// its usual rate. A request that crashes an engine does so when it starts. Where engines terminate
 /// repeatedly, many harmless requests are as young (167 of 288 attempts that were cut off in one
 /// recorded day), so this alone does not blame a request.
 const JUST_STARTED_EVENTS: u32 = 8;
-/// Time for which an end is kept after the request was last seen: engines are repaired, or an operator
-/// has intervened, within some minutes.
+/// Time for which an end is kept after the request was last seen: engines are repaired, or an
+/// operator has intervened, within some minutes.
 const END_TTL_MS: Millis = 600_000;
 /// Bounds the ends kept, about 100 bytes each.
 const MAX_ENDS: usize = 2_048;
@@ -129,7 +129,8 @@
 
     /// Merges an end that another node has known for `age`; returns whether it changes anything.
     pub fn learn(&mut self, end: End, age: Millis, now: Millis) -> bool {
-        // An old end is kept as long as a later one of its request; at twice the TTL all have expired.
+        // An old end is kept as long as a later one of its request; at twice the TTL all have
+        // expired.
         if age >= 2 * END_TTL_MS {
             return false;
         }
@@ -151,8 +152,8 @@
         new
     }
 
-    /// Voids the ends of a request that was answered completely, so that it crashed no engine; returns
-    /// whether there were any.
+    /// Voids the ends of a request that was answered completely, so that it crashed no engine;
+    /// returns whether there were any.
     pub fn clear_request(&mut self, print: RequestPrint) -> bool {
         self.make_void(|(p, _)| *p == print)
     }
@@ -257,12 +258,12 @@
 
     /// The fewest requests that explain the ends.
     ///
-    /// The request under which most engines terminated is blamed first and explains all of these ends;
-    /// each further one must have an end that no request blamed before it explains. If the same three
-    /// engines terminated under two requests, neither is blamed: the next end tells them apart. In 32
-    /// minutes of the model in this module's tests, 13 of 96 000 harmless requests were quarantined
-    /// along with a fatal one without the two rules and none with both, and no more engines
-    /// terminated.
+    /// The request under which most engines terminated is blamed first and explains all of these
+    /// ends; each further one must have an end that no request blamed before it explains. If the
+    /// same three engines terminated under two requests, neither is blamed: the next end tells them
+    /// apart. In 32 minutes of the model in this module's tests, 13 of 96 000 harmless requests
+    /// were quarantined along with a fatal one without the two rules and none with both, and no
+    /// more engines terminated.
     fn verdict(&self) -> BTreeSet<RequestPrint> {
         let suspects = self.suspects();
         let mut explained: BTreeSet<&EngineIncarnation> = BTreeSet::new();
@@ -356,8 +357,8 @@
         self.serial
     }
 
-    /// Ends that changed after `serial`, in order of change, with their ages, and the serial to continue
-    /// from. At most `most`, plus all that changed together with the last one.
+    /// Ends that changed after `serial`, in order of change, with their ages, and the serial to
+    /// continue from. At most `most`, plus all that changed together with the last one.
     pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<(End, Millis)>, u64) {
         let mut new: Vec<_> = self.ends.iter().filter(|(_, k)| k.serial > serial).collect();
         new.sort_by_key(|(_, k)| k.serial);
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -1,13 +1,14 @@
 //! Which nodes a node polls for the content of the platform's store, and when it may read the store
 //! itself.
 //!
-//! In each failure domain one node, its planner, reads the store, and a few others, its standbys, read
-//! it when the planner has no fresh data. All other nodes poll these, then the planners of other
-//! failure domains, and read the store only after a randomized wait. So the loss of one planner costs
-//! the store a few calls rather than those of a whole domain.
+//! In each failure domain one node, its planner, reads the store, and a few others, its standbys,
+//! read it when the planner has no fresh data. All other nodes poll these, then the planners of
+//! other failure domains, and read the store only after a randomized wait. So the loss of one
+//! planner costs the store a few calls rather than those of a whole domain.
 //!
-//! This needs no agreement between nodes. Data keeps its true age whoever passes it on; two planners or
-//! a wrong order of standbys cost calls, never a wrong answer; and all of this state may be lost.
+//! This needs no agreement between nodes. Data keeps its true age whoever passes it on; two
+//! planners or a wrong order of standbys cost calls, never a wrong answer; and all of this state
+//! may be lost.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,29 +19,29 @@
 use crate::Mechanism;
 use crate::switch::on;
 
-/// Standbys of a failure domain. A store that refuses a third of all nodes refuses all three in one of
-/// 27 cases, and then the planners of other domains provide the data.
+/// Standbys of a failure domain. A store that refuses a third of all nodes refuses all three in one
+/// of 27 cases, and then the planners of other domains provide the data.
 pub const STANDBYS: usize = 3;
 /// Time for which a source that did not answer is not polled: three times the limit of an answer.
 const NO_ANSWER_BACKOFF_MS: Millis = 1_000;
-/// The same for a source that declined, at first and at most; doubled each time. Standbys have read the
-/// store about 20 ms after they begin.
+/// The same for a source that declined, at first and at most; doubled each time. Standbys have read
+/// the store about 20 ms after they begin.
 const DECLINED_BACKOFF_MS: (Millis, Millis) = (50, 400);
-/// Time without a source after which the planners of other failure domains are polled. Standbys take
-/// over sooner, and polling them causes no traffic between domains.
+/// Time without a source after which the planners of other failure domains are polled. Standbys
+/// take over sooner, and polling them causes no traffic between domains.
 const REMOTE_SOURCES_AFTER_MS: Millis = 300;
 /// Time for which a node without a source waits before it may read the store: the planners of other
 /// domains have answered by then.
 const SOURCE_GRACE_MS: Millis = 700;
-/// Mean time between two reads by the nodes of a failure domain: two calls a second, whatever the
+/// Time between two reads by the nodes of a failure domain: two calls a second, whatever the
 /// number of nodes.
 const READ_SLOT_MS: Millis = 500;
-/// Time that a standby leaves to the preceding one to take a free lease: many times the latency of the
-/// store.
+/// Time that a standby leaves to the preceding one to take a free lease: many times the latency of
+/// the store.
 const CLAIM_STAGGER_MS: Millis = 100;
 
-/// Delay before a node on a small VM first looks up the planner's lease when the whole fleet starts for
-/// the first time, and the random spread added to it: larger nodes are planners by then.
+/// Delay before a node on a small VM first looks up the planner's lease when the whole fleet starts
+/// for the first time, and the random spread added to it: larger nodes are planners by then.
 const FIRST_LOOKUP_MS: (Millis, Millis) = (250, 250);
 /// The same for a node that polls seeds: they name a planner after some rounds.
 const FIRST_LOOKUP_SEEDED_MS: (Millis, Millis) = (2_000, 8_000);
@@ -134,8 +135,9 @@
     /// The source that last sent data, until no source is left or this node reads the store itself.
     active: Option<Name>,
     /// Since when there is no active source.
-    silent: Option<Millis>,
-    /// When this node may read the store although it is no standby; `None` while a source is active.
+    silent_since: Option<Millis>,
+    /// When this node may read the store although it is no standby; `None` while a source is
+    /// active.
     read_at: Option<Millis>,
     /// When it may look up the planner's lease; `None` while a source of its own domain is active.
     claim_at: Option<Millis>,
@@ -154,7 +156,7 @@
             standbys: Vec::new(),
             backoffs: HashMap::new(),
             active: None,
-            silent: Some(now),
+            silent_since: Some(now),
             read_at: None,
             claim_at: Some(now),
             vacant: false,
@@ -164,7 +166,8 @@
 
 /// # Topology
 impl Sources {
-    /// Records the planner of a failure domain unless a newer one is known; returns whether it is new.
+    /// Records the planner of a failure domain unless a newer one is known; returns whether it is
+    /// new.
     pub fn learn_planner(&mut self, domain: Name, planner: DomainPlanner) -> bool {
         let known = self.planners.get(&domain);
         let new = known.is_none_or(|k| planner.revision > k.revision);
@@ -230,7 +233,7 @@
         let available = |s: &&Source| {
             s.node != self.own && self.backoffs.get(&s.node).is_none_or(|r| now >= r.until)
         };
-        let overdue = self.silent.is_none_or(|since| now >= since + REMOTE_SOURCES_AFTER_MS);
+        let overdue = self.silent_since.is_none_or(|since| now >= since + REMOTE_SOURCES_AFTER_MS);
         let remote = overdue && !(reachable && self.standby_rank().is_some());
         self.local().chain(self.remote().filter(|_| remote)).find(available)
     }
@@ -254,7 +257,7 @@
             PollOutcome::Fresh => {
                 self.backoffs.remove(node);
                 self.active = Some(node.clone());
-                (self.silent, self.read_at) = (None, None);
+                (self.silent_since, self.read_at) = (None, None);
                 if self.is_local(node) && !self.vacant {
                     self.claim_at = None;
                 }
@@ -271,7 +274,7 @@
     /// Records that no source is left to poll.
     pub fn sources_exhausted(&mut self, now: Millis, domain_size: u32, rng: &mut impl Rng) {
         self.active = None;
-        self.silent.get_or_insert(now);
+        self.silent_since.get_or_insert(now);
         self.schedule(now, domain_size, rng);
     }
 
@@ -287,8 +290,8 @@
 
     /// Schedules the first lookup in the store by a node that starts.
     ///
-    /// When the whole fleet starts, one call by each node is most of the load on the store. A node on a
-    /// small VM can avoid it: it waits until a larger one is the planner and a seed names it.
+    /// When the whole fleet starts, one call by each node is most of the load on the store. A node
+    /// on a small VM can avoid it: it waits until a larger one is the planner and a seed names it.
     pub fn schedule_first_lookup(&mut self, start: FleetStart, now: Millis, rng: &mut impl Rng) {
         let (delay, spread) = match start {
             FleetStart { able: true, .. } => (0, 0),
@@ -310,16 +313,16 @@
     /// Lets this node read the store until a source sends data.
     pub fn allow_reads(&mut self, now: Millis) {
         self.active = None;
-        self.silent.get_or_insert(now);
+        self.silent_since.get_or_insert(now);
         self.read_at = Some(now);
     }
 
-    /// Whether a list that `node` proved at `proven` may replace one proven at `own`; `same` says that
-    /// their contents are equal.
+    /// Whether a list that `node` proved at `proven` may replace one proven at `own`; `same` says
+    /// that their contents are equal.
     ///
-    /// The previous source may have had newer data, and an engine that has left would be listed again.
-    /// A list with the same content is accepted at any age; otherwise a node that reads the store
-    /// itself would never return to a source.
+    /// The previous source may have had newer data, and an engine that has left would be listed
+    /// again. A list with the same content is accepted at any age; otherwise a node that reads the
+    /// store itself would never return to a source.
     pub fn accepts(&self, node: &Name, proven: Millis, own: Option<Millis>, same: bool) -> bool {
         same || self.active.as_ref() == Some(node)
             || own.is_none_or(|own| proven >= own)
@@ -339,8 +342,8 @@
         self.claim_at.is_some_and(|at| now >= at)
     }
 
-    /// Sources of this failure domain: the planner, then the standbys; a standby polls only those that
-    /// precede it.
+    /// Sources of this failure domain: the planner, then the standbys; a standby polls only those
+    /// that precede it.
     fn local(&self) -> impl Iterator<Item = &Source> {
         let preceding = self.standby_rank().unwrap_or(self.standbys.len());
         let planner = self.planners.get(&self.domain).map(|p| &p.source);
@@ -362,7 +365,8 @@
         }
     }
 
-    /// Schedules the store read and the lease lookup that this node needs and has not scheduled yet.
+    /// Schedules the store read and the lease lookup that this node needs and has not scheduled
+    /// yet.
     fn schedule(&mut self, now: Millis, domain_size: u32, rng: &mut impl Rng) {
         if self.active.is_none() && self.read_at.is_none() {
             self.read_at = Some(now + read_wait(domain_size, rng));
@@ -381,7 +385,8 @@
     }
 }
 
-/// Random wait before a node may read the store, so that reads of a failure domain are spread evenly.
+/// Random wait before a node may read the store, so that reads of a failure domain are spread
+/// evenly.
 fn read_wait(domain_size: u32, rng: &mut impl Rng) -> Millis {
     if !on(Mechanism::DrawnTurns) {
         return SOURCE_GRACE_MS;
--- a/crates/policy/tests/fleet_start.rs
+++ b/crates/policy/tests/fleet_start.rs
@@ -1,9 +1,9 @@
 //! Load on the store when the whole fleet starts, and how soon each node has its data.
 //!
-//! Every node of a fleet starts within 0.3 s, for the first time or after all were killed. Ten nodes of
-//! each of five failure domains run on VMs that are large enough for a planner; the number of the others
-//! grows with the fleet. If each of those looked up the store once, that would be the largest part of a
-//! day's calls.
+//! Every node of a fleet starts within 0.3 s, for the first time or after all were killed. Ten
+//! nodes of each of five failure domains run on VMs that are large enough for a planner; the number
+//! of the others grows with the fleet. If each of those looked up the store once, that would be the
+//! largest part of a day's calls.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Lists the planners. If the lease is free, schedules a claim; if another node holds it, defers the
-    /// claim so that this planner can answer first.
+    /// Lists the planners. If the lease is free, schedules a claim; if another node holds it,
+    /// defers the claim so that this planner can answer first.
     fn look_up(&mut self, i: usize, now: Millis) {
         self.calls += 1;
         self.list(i);
--- a/crates/policy/tests/incarnations.rs
+++ b/crates/policy/tests/incarnations.rs
@@ -18,10 +18,12 @@
 }
 
 proptest! {
-    /// In whatever order messages of several incarnations arrive, the newest incarnation seen is the
-    /// current one, and each starts at most once.
+    /// In whatever order messages of several incarnations arrive, the newest incarnation seen is
+    /// the current one, and each starts at most once.
     #[test]
-    fn the_newest_incarnation_seen_is_current(starts in proptest::collection::vec(0_u64..6, 1..60)) {
+    fn the_newest_incarnation_seen_is_current(
+        starts in proptest::collection::vec(0_u64..6, 1..60),
+    ) {
         let engine = name("i-1");
         let mut incarnations = Incarnations::default();
         let mut newest = None;
@@ -35,7 +37,10 @@
             prop_assert_eq!(incarnations.observe(&engine, Some(born), now), expected);
             newest = newest.max(Some(born));
             prop_assert_eq!(incarnations.born(&engine), newest);
-            prop_assert_eq!(incarnations.restarted_since(&engine, now), expected == Recency::Restarted);
+            prop_assert_eq!(
+                incarnations.restarted_since(&engine, now),
+                expected == Recency::Restarted
+            );
         }
     }
 }
--- a/crates/policy/tests/mirror.rs
+++ b/crates/policy/tests/mirror.rs
@@ -67,8 +67,8 @@
     assert!(mirror.since(77).full);
 }
 
-/// When a source dies, its followers switch to another one, whose serials mean nothing to them: they
-/// need a full copy unless the digests are equal.
+/// When a source dies, its followers switch to another one, whose serials mean nothing to them:
+/// they need a full copy unless the digests are equal.
 #[test]
 fn mirrors_with_the_same_items_have_the_same_digest_in_any_order_of_arrival() {
     let (mut one, mut other) = (Mirror::default(), Mirror::default());
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -248,9 +248,9 @@
 }
 
 /// Simulates one minute of the first engines of failure domains with the load of a recorded day: 70
-/// streams a second of about 4 s each, engines that are back 3 s after they terminate, two sends per
-/// try, and callers that retry once, 0.2 s later. Every second a fatal request comes, or one engine in
-/// `faults` terminates by itself.
+/// streams a second of about 4 s each, engines that are back 3 s after they terminate, two sends
+/// per try, and callers that retry once, 0.2 s later. Every second a fatal request comes, or one
+/// engine in `faults` terminates by itself.
 fn minute(seed: u64, engines: usize, fatal: bool, faults: Option<u32>) -> Outcome {
     const STEP_MS: Millis = 10;
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -309,8 +309,8 @@
     outcome
 }
 
-/// Runs 32 minutes for each number of engines. If the verdict did not blame the fewest requests that
-/// explain the ends, harmless requests would be quarantined along with the fatal one.
+/// Runs 32 minutes for each number of engines. If the verdict did not blame the fewest requests
+/// that explain the ends, harmless requests would be quarantined along with the fatal one.
 #[test]
 fn harmless_requests_are_not_quarantined_along_with_a_fatal_one() {
     for engines in [3, 6, 24] {
--- a/crates/policy/tests/sources.rs
+++ b/crates/policy/tests/sources.rs
@@ -18,7 +18,8 @@
     DomainPlanner { source: source(node), revision: Revision(revision) }
 }
 
-/// A node of a domain `mem` with planner `p` and standbys `s1` to `s3`, and a planner `q` elsewhere.
+/// A node of a domain `mem` with planner `p` and standbys `s1` to `s3`, and a planner `q`
+/// elsewhere.
 fn follower(node: &str) -> Sources {
     let mut sources = Sources::new(name(node), name("mem"), 0);
     sources.learn_planner(name("mem"), planner("p", 1));
@@ -83,7 +84,8 @@
     }
     let mut readers = 0;
     for (node, sources) in nodes.iter().zip(&mut fleet) {
-        // The planner declines for lack of fresh data; standbys answer once they have read the store.
+        // The planner declines for lack of fresh data; standbys answer once they have read the
+        // store.
         assert_eq!(poll(sources, PollOutcome::Declined, 1_500, &mut rng).as_deref(), Some("p"));
         while let Some(next) = sources.next(1_500, true).map(|s| s.node.to_string()) {
             let outcome =
@@ -101,8 +103,8 @@
     assert_eq!(readers, 3);
 }
 
-/// The store does not answer for 8 s, or a domain is cut off from it: nodes that are neither planner nor
-/// standby together try it at a rate of about two a second, whatever their number.
+/// The store does not answer for 8 s, or a domain is cut off from it: nodes that are neither
+/// planner nor standby together try it at a rate of about two a second, whatever their number.
 #[test]
 fn store_reads_of_a_domain_come_at_the_same_rate_whatever_its_size() {
     for nodes in [3_u32, 60, 400] {
