--- a/crates/heathpitchd/src/gateway/control/tell.rs
+++ b/crates/heathpitchd/src/gateway/control/tell.rs
@@ -67,7 +67,7 @@
         return near_reports(control, known);
     }
     let follower = Source { node: ask.node.clone(), address: ask.address };
-    control.followers.borrow_mut().asked(follower, ask.able, control.now());
+    control.followers.borrow_mut().record_poll(follower, ask.able, control.now());
     let mut told = nodes(control);
     if let Err(e) = fill(control, &ask, known, &mut told) {
         log::error!("what is told cannot be packed: {e}");
@@ -86,7 +86,7 @@
 fn nodes(control: &Control) -> FeedTold {
     if control.plans() {
         let standbys = control.followers.borrow_mut().standbys(control.now());
-        control.sources.borrow_mut().stand_by(standbys);
+        control.sources.borrow_mut().set_standbys(standbys);
     }
     let sources = control.sources.borrow();
     let planners = sources.planners().map(|(domain, p)| FeedPlanner {
@@ -153,8 +153,8 @@
         return Ok(FeedEngines::default());
     }
     let delta = mirror.since(serial);
-    if !delta.whole {
-        return Ok(FeedEngines::Changes { items: delta.items, gone: delta.gone });
+    if !delta.full {
+        return Ok(FeedEngines::Changes { items: delta.items, gone: delta.removed });
     }
     let mut kept = control.large.engines.borrow_mut();
     match &*kept {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of heathpitch as state machines.
+//! Routing and control decisions of heathpitch, written as state machines.
 //!
-//! Each module takes typed events and a time and gives typed actions back. None of them reads a
-//! clock, opens a socket, starts a task or draws from an unseeded generator, so a test, a
-//! simulator or another daemon can drive them.
+//! Each module takes typed events and a time and returns typed actions. None of them reads a clock,
+//! opens a socket, spawns a task or uses an unseeded random generator, so that a test, a simulator
+//! or another daemon can drive them.
 
 mod account_limiter;
 mod admission;
@@ -16,6 +16,7 @@
 mod claims_page;
 mod clocks;
 mod demand;
+mod drain_notices;
 mod engine;
 mod engine_limit;
 mod engine_stats;
@@ -25,21 +26,21 @@
 mod gauge;
 mod health;
 mod idempotency;
+mod incarnations;
 mod layout;
 mod layout_copies;
 mod layout_deal;
 mod layout_repair;
-mod leavers;
 mod limit_record;
 mod limits;
-mod lives;
 mod members;
 mod mirror;
-mod news;
+mod notices;
 mod occupancy;
 mod placement;
 mod predict;
 mod prefix;
+mod probes;
 mod quarantine;
 mod relay;
 mod replica;
@@ -51,7 +52,6 @@
 mod sources;
 mod split;
 mod stall_detector;
-mod suspects;
 mod switch;
 mod ticket;
 
@@ -67,6 +67,7 @@
 pub use claims_page::{ClaimEntry, ClaimPage};
 pub use clocks::{Clocks, SuspensionDetector};
 pub use demand::Demand;
+pub use drain_notices::DrainNotices;
 pub use engine::{EngineReport, EngineRole};
 pub use engine_limit::{EngineLimit, Right};
 pub use engine_stats::EngineStats;
@@ -76,13 +77,12 @@
 pub use gauge::Gauge;
 pub use health::{Health, HealthEvent, HealthStatus};
 pub use idempotency::{IdempotencyTable, KeyState, StoredAnswer};
+pub use incarnations::{Incarnations, Recency};
 pub use layout::{
     Assignment, LayoutReason, Worker, copy_counts, layer_gaps, plan_layout, primaries,
 };
-pub use leavers::Leavers;
 pub use limit_record::{LimitEntry, LimitRecord, LimitRecorder};
 pub use limits::{LimitUpdate, Limits};
-pub use lives::{Lives, Word};
 pub use members::{Member, MemberState, Members};
 pub use mirror::{Delta, Mirror};
 pub use occupancy::Occupancy;
@@ -91,7 +91,8 @@
 };
 pub use predict::{Need, predict};
 pub use prefix::{BlockEvent, PrefixIndex};
-pub use quarantine::{End, EngineLife, Quarantine, has_just_begun};
+pub use probes::{ProbeResult, suspects};
+pub use quarantine::{End, EngineIncarnation, Quarantine, just_started};
 pub use relay::{Broken, EndReason, Relay, RelayAction, RelayEvent, RelayPlan, Repeat};
 pub use replica::{Adoption, Replica};
 pub use retry_schedule::RetrySchedule;
@@ -99,10 +100,9 @@
 pub use rights::{Grant, Rights};
 pub use router::{NoPath, PathRequest, choose};
 pub use shared_polling::SharedPolling;
-pub use sources::{DomainPlanner, FleetStart, Heard, STANDBYS, Source, Sources};
+pub use sources::{DomainPlanner, FleetStart, PollOutcome, STANDBYS, Source, Sources};
 pub use split::{EngineCapacity, Split, split};
 pub use stall_detector::StallDetector;
-pub use suspects::{Sign, suspects};
 pub use switch::Mechanism;
 #[cfg(feature = "switches")]
 pub use switch::without;
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -10,7 +10,7 @@
 
 use heathpitch_core::{Millis, Rate};
 
-use crate::EngineLife;
+use crate::EngineIncarnation;
 
 /// Least interval between writes while the stored record is less strict than the current limits, milliseconds.
 const TIGHTEN_INTERVAL_MS: Millis = 1_000;
@@ -39,9 +39,9 @@
 ///
 /// ```
 /// use heathpitch_core::Rate;
-/// use heathpitch_policy::{EngineLife, LimitEntry, LimitRecord};
+/// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord};
 ///
-/// let life = EngineLife { engine: "i-1".parse()?, born: Some(17) };
+/// let life = EngineIncarnation { engine: "i-1".parse()?, born: Some(17) };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
 /// let record = LimitRecord::of([(life, limit)]);
 /// assert_eq!(record.text(), "i-1 17 3.6 calls\n");
@@ -51,12 +51,12 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LimitRecord {
-    limits: BTreeMap<EngineLife, LimitEntry>,
+    limits: BTreeMap<EngineIncarnation, LimitEntry>,
 }
 
 impl LimitRecord {
     /// Builds a record of these limits.
-    pub fn of(limits: impl IntoIterator<Item = (EngineLife, LimitEntry)>) -> Self {
+    pub fn of(limits: impl IntoIterator<Item = (EngineIncarnation, LimitEntry)>) -> Self {
         Self { limits: limits.into_iter().take(RECORD_MAX_ENGINES).collect() }
     }
 
@@ -81,20 +81,20 @@
     }
 
     /// Entries of the record.
-    pub fn limits(&self) -> impl Iterator<Item = (&EngineLife, LimitEntry)> {
+    pub fn limits(&self) -> impl Iterator<Item = (&EngineIncarnation, LimitEntry)> {
         self.limits.iter().map(|(life, limit)| (life, *limit))
     }
 
     /// Whether nodes that know only this record could exceed a limit of `current`.
     fn exceeds(&self, current: &Self) -> bool {
-        let exceeded = |(life, limit): (&EngineLife, LimitEntry)| {
+        let exceeded = |(life, limit): (&EngineIncarnation, LimitEntry)| {
             self.limits.get(life).is_none_or(|l| l.rate > limit.rate)
         };
         current.limits().any(exceeded)
     }
 }
 
-fn read_line(line: &str) -> Option<(EngineLife, LimitEntry)> {
+fn read_line(line: &str) -> Option<(EngineIncarnation, LimitEntry)> {
     let mut words = line.split(' ');
     let engine = words.next()?.parse().ok()?;
     let born = words.next()?.parse().ok()?;
@@ -105,7 +105,7 @@
         _ => return None,
     };
     let born = Some(born).filter(|b| *b > 0);
-    Some((EngineLife { engine, born }, LimitEntry { rate, in_probes }))
+    Some((EngineIncarnation { engine, born }, LimitEntry { rate, in_probes }))
 }
 
 /// Schedules the planner's writes of the record of a failure domain.
@@ -114,9 +114,9 @@
 ///
 /// ```
 /// use heathpitch_core::Rate;
-/// use heathpitch_policy::{EngineLife, LimitEntry, LimitRecord, LimitRecorder};
+/// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord, LimitRecorder};
 ///
-/// let life = EngineLife { engine: "i-1".parse()?, born: None };
+/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
 /// let named = LimitRecord::of([(life, limit)]);
 /// let mut recorder = LimitRecorder::default();
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -8,7 +8,7 @@
 
 use heathpitch_core::{Millis, Rate};
 
-use crate::{EngineLife, LimitEntry, news};
+use crate::{EngineIncarnation, LimitEntry, notices};
 
 /// Time for which the lifting of a limit is announced, milliseconds; all reachable nodes know of it by then.
 const LIFTED_TTL_MS: Millis = 10_000;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitUpdate {
     /// Engine.
-    pub life: EngineLife,
+    pub life: EngineIncarnation,
     /// Limit; `None` if lifted.
     pub rate: Option<Rate>,
     /// Age of this state, milliseconds.
@@ -39,9 +39,9 @@
 ///
 /// ```
 /// use heathpitch_core::Rate;
-/// use heathpitch_policy::{EngineLife, Limits};
+/// use heathpitch_policy::{EngineIncarnation, Limits};
 ///
-/// let life = EngineLife { engine: "i-1".parse()?, born: None };
+/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let rate = Some(Rate::from_thousandths(3_600));
 /// let mut limits = Limits::default();
 /// assert!(limits.learn(life.clone(), rate, 100));
@@ -54,14 +54,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     serial: u64,
-    known: HashMap<EngineLife, Known>,
+    known: HashMap<EngineIncarnation, Known>,
     /// Engines whose probe responses state a limit, according to a stored record.
-    in_probes: HashSet<EngineLife>,
+    in_probes: HashSet<EngineIncarnation>,
 }
 
 impl Limits {
     /// Applies an update observed at `at`; returns whether it changes the known state.
-    pub fn learn(&mut self, life: EngineLife, rate: Option<Rate>, at: Millis) -> bool {
+    pub fn learn(&mut self, life: EngineIncarnation, rate: Option<Rate>, at: Millis) -> bool {
         let known = self.known.get(&life);
         let same = known.map_or(rate.is_none(), |k| k.rate == rate);
         if same || known.is_some_and(|k| at < k.at) {
@@ -69,14 +69,14 @@
         }
         self.serial += 1;
         self.known.insert(life, Known { rate, at, serial: self.serial });
-        news::bound(&mut self.known, |k| k.at, MAX_LIMITS);
+        notices::bound(&mut self.known, |k| k.at, MAX_LIMITS);
         true
     }
 
     /// Applies the limit of an engine from a stored record; returns whether the engine was unknown.
     ///
     /// The age of the record is unknown, so it counts as older than any update that nodes still announce.
-    pub fn restore(&mut self, life: EngineLife, limit: LimitEntry, now: Millis) -> bool {
+    pub fn restore(&mut self, life: EngineIncarnation, limit: LimitEntry, now: Millis) -> bool {
         if limit.in_probes {
             self.in_probes.insert(life.clone());
         }
@@ -85,30 +85,30 @@
     }
 
     /// Whether probe responses of an engine state its limit, according to a stored record.
-    pub fn is_in_probes(&self, life: &EngineLife) -> bool {
+    pub fn is_in_probes(&self, life: &EngineIncarnation) -> bool {
         self.in_probes.contains(life)
     }
 
     /// Limit of an engine and the time it was observed, if there is one.
-    pub fn of(&self, life: &EngineLife) -> Option<(Rate, Millis)> {
+    pub fn of(&self, life: &EngineIncarnation) -> Option<(Rate, Millis)> {
         self.known.get(life).and_then(|k| Some((k.rate?, k.at)))
     }
 
     /// Engines with a limit in force.
-    pub fn named(&self) -> impl Iterator<Item = (EngineLife, Rate)> {
+    pub fn named(&self) -> impl Iterator<Item = (EngineIncarnation, Rate)> {
         self.known.iter().filter_map(|(life, k)| Some((life.clone(), k.rate?)))
     }
 
     /// Removes engines that `keep` rejects, and lifted limits whose announcement has expired.
-    pub fn retain(&mut self, keep: impl Fn(&EngineLife) -> bool, now: Millis) {
+    pub fn retain(&mut self, keep: impl Fn(&EngineIncarnation) -> bool, now: Millis) {
         self.known.retain(|life, k| keep(life) && (k.rate.is_some() || now < k.at + LIFTED_TTL_MS));
         self.in_probes.retain(|life| self.known.contains_key(life));
     }
 
     /// At most `most` updates after `serial`, and the serial up to which they are complete.
     pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<LimitUpdate>, u64) {
-        let (new, upto) = news::since(&self.known, |k| k.serial, serial, most, self.serial);
-        let told = |(life, k): (&EngineLife, &Known)| LimitUpdate {
+        let (new, upto) = notices::since(&self.known, |k| k.serial, serial, most, self.serial);
+        let told = |(life, k): (&EngineIncarnation, &Known)| LimitUpdate {
             life: life.clone(),
             rate: k.rate,
             age: now.saturating_sub(k.at),
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -9,7 +9,7 @@
 
 use heathpitch_core::{Millis, Name, Rate};
 
-use crate::{Bucket, EngineLife};
+use crate::{Bucket, EngineIncarnation};
 
 /// Least rate, requests per second: an engine with a limit near 0 still gets a request now and then, which shows whether
 /// the limit still applies.
@@ -65,9 +65,9 @@
 ///
 /// ```
 /// use heathpitch_core::Rate;
-/// use heathpitch_policy::{EngineLife, Rights};
+/// use heathpitch_policy::{EngineIncarnation, Rights};
 ///
-/// let life = EngineLife { engine: "i-1".parse()?, born: None };
+/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let limit = Rate::from_thousandths(4_000);
 /// let (a, b) = ("n1".parse()?, "n2".parse()?);
 /// let mut rights = Rights::default();
@@ -79,14 +79,14 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Rights {
-    engines: HashMap<EngineLife, Issued>,
+    engines: HashMap<EngineIncarnation, Issued>,
 }
 
 impl Rights {
     /// Issues up to `wanted` rights for an engine to a node; `draw`, from 0 to 1, adds jitter to the wait.
     pub fn issue(
         &mut self,
-        engine: &EngineLife,
+        engine: &EngineIncarnation,
         limit: Rate,
         node: &Name,
         wanted: u16,
@@ -123,12 +123,12 @@
     }
 
     /// Whether demand for an engine exceeded its limit for some time since the limit applies.
-    pub fn binds(&self, engine: &EngineLife) -> bool {
+    pub fn binds(&self, engine: &EngineIncarnation) -> bool {
         self.engines.get(engine).is_some_and(|h| h.binding)
     }
 
     /// Removes an engine whose limit was lifted.
-    pub fn remove(&mut self, engine: &EngineLife) {
+    pub fn remove(&mut self, engine: &EngineIncarnation) {
         self.engines.remove(engine);
     }
 
--- a/crates/policy/tests/engine_limit.rs
+++ b/crates/policy/tests/engine_limit.rs
@@ -8,7 +8,7 @@
 
 use common::name;
 use heathpitch_core::Rate;
-use heathpitch_policy::{Backpressure, EngineLife, EngineLimit, Limits, Right};
+use heathpitch_policy::{Backpressure, EngineIncarnation, EngineLimit, Limits, Right};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -68,7 +68,7 @@
     assert!(limit.learn(Some(rate(1.0)), 450));
     assert!(!limit.learn(Some(rate(9.0)), 440), "older");
     assert!(limit.learn(None, 600));
-    let life = EngineLife { engine: name("i-1"), born: Some(5) };
+    let life = EngineIncarnation { engine: name("i-1"), born: Some(5) };
     let mut limits = Limits::default();
     assert!(!limits.learn(life.clone(), None, 10), "nothing to lift");
     assert!(
@@ -136,47 +136,47 @@
 }
 
 proptest! {
-    /// An engine alternates between limits and none; its responses arrive up to half a second late and out of order. While
-    /// it states limits, a node never applies a higher one than it stated recently, and once its state is constant
-    /// the node applies that.
-    #[test]
+/// An engine alternates between limits and none; its responses arrive up to half a second late and out of order. While
+/// it states limits, a node never applies a higher one than it stated recently, and once its state is constant
+/// the node applies that.
+#[test]
     fn limits_converge_whatever_order_responses_arrive_in(
         states in prop::collection::vec((prop::option::of(1_u64..9), 200_u64..3_000), 1..6),
         seed in any::<u64>(),
     ) {
-        let mut rng = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
         let end: u64 = states.iter().map(|(_, time)| time).sum::<u64>() + 3_000;
         let state_at = |at: u64| {
             let mut from = 0;
             let state = states.iter().find(|(_, time)| { from += time; at < from });
             state.unwrap_or(states.last().unwrap()).0
         };
-        let mut begin = 0;
+    let mut begin = 0;
         let spans: Vec<(u64, u64, Option<u64>)> = states.iter().enumerate().map(|(i, (state, time))| {
             let from = begin;
             begin += time;
             (from, if i + 1 == states.len() { u64::MAX } else { begin }, *state)
         }).collect();
-        let mut answers: Vec<(u64, u64, Option<u64>)> = (0..end / 20).map(|i| {
+    let mut answers: Vec<(u64, u64, Option<u64>)> = (0..end / 20).map(|i| {
             let sent = i * 20;
             let given = sent + rng.random_range(1..200);
             (given + rng.random_range(1..300), sent, state_at(given))
         }).collect();
         answers.sort_unstable();
         let backpressure = Arc::<Backpressure>::default();
-        for (now, sent, state) in answers {
+    for (now, sent, state) in answers {
             match state {
                 Some(limit) => backpressure.limit().observe(rate(limit as f64), sent, now),
                 None => backpressure.limit().observe_none(sent, now),
             };
-            // Everything that it stated in that time, however briefly.
-            let from = now.saturating_sub(1_100);
+// Everything that it stated in that time, however briefly.
+let from = now.saturating_sub(1_100);
             let recent = spans.iter().filter(|(begin, end, _)| *begin <= now && *end > from);
             let recent: Vec<Option<u64>> = recent.map(|(.., state)| *state).collect();
             if let Some(most) = recent.iter().copied().collect::<Option<Vec<u64>>>() {
                 let most = rate(*most.iter().max().unwrap() as f64);
                 prop_assert!(now < 600 || backpressure.limit().rate().is_some_and(|r| r <= most), "at {now}");
-            }
+    }
         }
         prop_assert_eq!(backpressure.limit().rate(), state_at(end).map(|l| rate(l as f64)));
     }
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -16,8 +16,8 @@
 use common::name;
 use heathpitch_core::{Name, Rate};
 use heathpitch_policy::{
-    Backpressure, Bucket, EngineLife, EngineLimit, LimitEntry, LimitRecord, LimitRecorder, Limits,
-    Right, Rights,
+    Backpressure, Bucket, EngineIncarnation, EngineLimit, LimitEntry, LimitRecord, LimitRecorder,
+    Limits, Right, Rights,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -100,7 +100,7 @@
     signals: Vec<Arc<Backpressure>>,
     equal: Vec<Bucket>,
     rights: Rights,
-    life: EngineLife,
+    life: EngineIncarnation,
     /// The planner's limits, its write schedule, and the stored record.
     limits: Limits,
     recorder: LimitRecorder,
@@ -131,7 +131,7 @@
             signals: (0..load.nodes).map(|_| Arc::default()).collect(),
             equal: (0..load.nodes).map(bucket).collect(),
             rights: Rights::default(),
-            life: EngineLife { engine: name("i-1"), born: None },
+            life: EngineIncarnation { engine: name("i-1"), born: None },
             limits: Limits::default(),
             recorder: LimitRecorder::default(),
             record: String::new(),
