--- a/crates/core/src/request_print.rs
+++ b/crates/core/src/request_fingerprint.rs
@@ -18,24 +18,24 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_core::RequestPrint;
+/// use heathpitch_core::RequestFingerprint;
 ///
-/// let print = RequestPrint::of("POST", "/tell/x", Some("desk"), b"prompt");
-/// assert_eq!(print, RequestPrint::of("POST", "/tell/x", Some("desk"), b"prompt"));
-/// assert_ne!(print, RequestPrint::of("POST", "/tell/x", Some("floor"), b"prompt"));
+/// let print = RequestFingerprint::new("POST", "/tell/x", Some("desk"), b"prompt");
+/// assert_eq!(print, RequestFingerprint::new("POST", "/tell/x", Some("desk"), b"prompt"));
+/// assert_ne!(print, RequestFingerprint::new("POST", "/tell/x", Some("floor"), b"prompt"));
 /// assert_eq!(print.to_string().parse(), Ok(print));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestPrint(pub u64);
+pub struct RequestFingerprint(pub u64);
 
 /// Text is no print.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a request's print: 16 hexadecimal digits are expected")]
-pub struct PrintError;
+pub struct FingerprintError;
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// The print of a request.
-    pub fn of(method: &str, target: &str, account: Option<&str>, body: &[u8]) -> Self {
+    pub fn new(method: &str, target: &str, account: Option<&str>, body: &[u8]) -> Self {
         let parts = [method.as_bytes(), target.as_bytes(), account.unwrap_or("").as_bytes(), body];
         let mut hasher = Sha256::new();
         for part in parts {
@@ -47,24 +47,24 @@
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl FromStr for RequestPrint {
-    type Err = PrintError;
+impl FromStr for RequestFingerprint {
+    type Err = FingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, PrintError> {
+    fn from_str(text: &str) -> Result<Self, FingerprintError> {
         match u64::from_str_radix(text, 16) {
             Ok(print) if text.len() == DIGITS => Ok(Self(print)),
-            Ok(_) | Err(_) => Err(PrintError),
+            Ok(_) | Err(_) => Err(FingerprintError),
         }
     }
 }
 
-impl Serialize for RequestPrint {
+impl Serialize for RequestFingerprint {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
     }
--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, OnceLock};
 
-use heathpitch_core::{CallRoute, Catalog, Holder, Millis, RequestPrint, ServiceSpec};
+use heathpitch_core::{CallRoute, Catalog, Holder, Millis, RequestFingerprint, ServiceSpec};
 use heathpitch_net::{BodyError, CallBody, CallHead, read};
 use heathpitch_policy::Quarantine;
 use hyper::Request;
@@ -32,7 +32,7 @@
     pub(crate) holder: Option<Holder>,
     pub(crate) received: Millis,
     pub(crate) until: Millis,
-    print: OnceLock<RequestPrint>,
+    print: OnceLock<RequestFingerprint>,
 }
 
 impl Call {
@@ -42,11 +42,11 @@
     }
 
     /// Its print; worked out when it is first asked for, which most calls never are.
-    pub(crate) fn print(&self) -> RequestPrint {
+    pub(crate) fn print(&self) -> RequestFingerprint {
         *self.print.get_or_init(|| {
             let account = self.holder.as_ref().map(|h| h.account.as_str());
             let body = &self.body;
-            RequestPrint::of(body.method.as_str(), &body.target, account, &body.content)
+            RequestFingerprint::new(body.method.as_str(), &body.target, account, &body.content)
         })
     }
 
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use heathpitch_core::{EngineEntry, Millis, Name, RequestPrint, Revision};
+use heathpitch_core::{EngineEntry, Millis, Name, RequestFingerprint, Revision};
 use heathpitch_net::{FeedEnd, Item, StoreError, Write};
 use heathpitch_policy::{End, EngineLife, has_just_begun};
 
@@ -46,7 +46,7 @@
 /// Entries of the store, as far as this node knows: revision, and how often the request had come again.
 #[derive(Debug, Default)]
 pub(super) struct Entries {
-    known: HashMap<RequestPrint, Entry>,
+    known: HashMap<RequestFingerprint, Entry>,
 }
 
 impl Entries {
@@ -84,7 +84,7 @@
     }
 
     /// A request under which engines ended was answered whole.
-    pub(super) fn answered(&self, print: RequestPrint) {
+    pub(super) fn answered(&self, print: RequestFingerprint) {
         if self.quarantine.borrow_mut().answered(print) {
             self.decide("it was answered");
         }
@@ -98,7 +98,7 @@
     }
 
     /// A request that is held back came again.
-    pub(super) fn came_again(&self, print: RequestPrint) {
+    pub(super) fn came_again(&self, print: RequestFingerprint) {
         if self.quarantine.borrow_mut().came(print, self.now()) {
             self.decide("it came again");
         }
@@ -216,12 +216,12 @@
     }
 }
 
-fn due(control: &Control) -> Vec<RequestPrint> {
+fn due(control: &Control) -> Vec<RequestFingerprint> {
     let (quarantine, entries) = (control.quarantine.borrow(), control.quarantined.borrow());
     let own = control.domain();
     let first = control.sources.borrow().planners().all(|(domain, _)| own <= *domain);
     let now = control.now();
-    let wanted = |print: &RequestPrint| {
+    let wanted = |print: &RequestFingerprint| {
         let known = entries.known.get(print).map(|e| e.renewed);
         let held = quarantine.against(*print, now).map(|(.., age)| age).min().unwrap_or(0);
         known.is_none_or(|known| known < quarantine.renewed(*print))
@@ -230,7 +230,7 @@
     quarantine.held().filter(wanted).collect()
 }
 
-async fn write(control: &Control, print: RequestPrint) -> Result<(), StoreError> {
+async fn write(control: &Control, print: RequestFingerprint) -> Result<(), StoreError> {
     let lease = control.call("grant", control.edges.store.grant(ENTRY_TTL)).await?;
     let key = format!("{PREFIX}{print}");
     let known = control.quarantined.borrow().known.get(&print).copied();
@@ -262,7 +262,11 @@
 }
 
 /// The text of an entry: a line for each engine, with its start and the events that the request brought.
-fn entry(quarantine: &heathpitch_policy::Quarantine, print: RequestPrint, now: Millis) -> Bytes {
+fn entry(
+    quarantine: &heathpitch_policy::Quarantine,
+    print: RequestFingerprint,
+    now: Millis,
+) -> Bytes {
     let line = |(life, events, _): (&EngineLife, u32, Millis)| {
         format!("{} {} {events}\n", life.engine, life.born.unwrap_or(0))
     };
@@ -272,7 +276,7 @@
 
 /// Takes an entry of the store.
 pub(super) fn take(control: &Control, item: &Item) {
-    let print = item.key.strip_prefix(PREFIX).and_then(|p| p.parse::<RequestPrint>().ok());
+    let print = item.key.strip_prefix(PREFIX).and_then(|p| p.parse::<RequestFingerprint>().ok());
     let (Some(print), Ok(text)) = (print, std::str::from_utf8(&item.value)) else {
         return log::warn!("entry {} of a request that is held back cannot be read", item.key);
     };
@@ -292,7 +296,7 @@
     }
 }
 
-fn read_line(print: RequestPrint, line: &str) -> Option<End> {
+fn read_line(print: RequestFingerprint, line: &str) -> Option<End> {
     let mut words = line.split(' ');
     let engine = words.next()?.parse().ok()?;
     let born = words.next()?.parse().ok().filter(|born| *born > 0);
@@ -308,7 +312,7 @@
     }
 }
 
-fn removed(control: &Control, print: RequestPrint) {
+fn removed(control: &Control, print: RequestFingerprint) {
     let known = control.quarantined.borrow_mut().known.remove(&print).is_some();
     if known && control.quarantine.borrow_mut().answered(print) {
         control.decide("its entry was taken from the store");
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -1,6 +1,6 @@
 //! Events of a gateway's log, each with a stable name.
 
-use heathpitch_core::{LayerRange, Millis, Name, Path, Rate, RequestPrint, Revision};
+use heathpitch_core::{LayerRange, Millis, Name, Path, Rate, RequestFingerprint, Revision};
 use heathpitch_policy::LayoutReason;
 use serde::Serialize;
 
@@ -93,7 +93,7 @@
         /// Events passed on so far.
         events: u64,
         /// Print of the request, if it may have run there: the same for calls that are the same request.
-        print: Option<RequestPrint>,
+        print: Option<RequestFingerprint>,
     },
     /// A running call was moved to other engines.
     CallRerouted {
@@ -204,7 +204,7 @@
         /// Calls of this node that were lost with it.
         calls: usize,
         /// Those that had brought least: their prints and events, at most sixteen.
-        youngest: Vec<(RequestPrint, u32)>,
+        youngest: Vec<(RequestFingerprint, u32)>,
     },
     /// Another node told of engines that ended under requests.
     EndsHeard {
@@ -216,7 +216,7 @@
     /// A request is sent nowhere any more.
     RequestHeldBack {
         /// Print of the request.
-        print: RequestPrint,
+        print: RequestFingerprint,
         /// Engines that ended under it: events it had brought, and how long ago that became known.
         ends: Vec<(Name, u32, Millis)>,
         /// What decided it.
@@ -225,7 +225,7 @@
     /// A request that was held back may be sent again.
     RequestLetThrough {
         /// Print of the request.
-        print: RequestPrint,
+        print: RequestFingerprint,
         /// What decided it.
         why: &'static str,
     },
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use heathpitch_core::{Catalog, EngineEntry, GatewaySettings, Millis, Name, RequestPrint};
+use heathpitch_core::{Catalog, EngineEntry, GatewaySettings, Millis, Name, RequestFingerprint};
 use heathpitch_net::{Dialect, Orders, Pool, Store};
 use heathpitch_policy::{EngineLife, Freshness};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -33,13 +33,13 @@
     /// A call's connection to an engine was lost.
     Lost(LostSend),
     /// A request under which engines ended was answered whole.
-    Answered(RequestPrint),
+    Answered(RequestFingerprint),
     /// An engine that is said to have ended answered a call sent after that.
     Lives(EngineLife),
     /// An engine says that it leaves.
     Leaves(EngineLife),
     /// A request that is held back came again.
-    HeldBack(RequestPrint),
+    HeldBack(RequestFingerprint),
     /// An engine named another limit than before, or none any more.
     Limited(EngineLife),
     /// A call wants to be sent to an engine that names a limit.
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct LostSend {
     pub(crate) engine: Arc<EngineEntry>,
-    pub(crate) print: RequestPrint,
+    pub(crate) print: RequestFingerprint,
     /// Events that this send brought.
     pub(crate) events: u32,
 }
--- a/crates/heathpitchd/src/gateway/suspicion.rs
+++ b/crates/heathpitchd/src/gateway/suspicion.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-use heathpitch_core::{EngineEntry, Millis, Name, RequestPrint};
+use heathpitch_core::{EngineEntry, Millis, Name, RequestFingerprint};
 use heathpitch_policy::{EngineLife, has_just_begun};
 use serde::Serialize;
 
@@ -11,16 +11,16 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspicion {
     /// How many engines ended under each request.
-    pub(crate) counts: HashMap<RequestPrint, u32>,
+    pub(crate) counts: HashMap<RequestFingerprint, u32>,
     /// Those that are sent nowhere.
-    pub(crate) held: HashMap<RequestPrint, HeldBack>,
+    pub(crate) held: HashMap<RequestFingerprint, HeldBack>,
     /// Engines that have ended.
     pub(crate) ended: HashSet<EngineLife>,
 }
 
 impl Suspicion {
     /// Why a request is sent nowhere; its print is worked out only if any is.
-    pub(crate) fn held(&self, print: impl FnOnce() -> RequestPrint) -> Option<&HeldBack> {
+    pub(crate) fn held(&self, print: impl FnOnce() -> RequestFingerprint) -> Option<&HeldBack> {
         if self.held.is_empty() {
             return None;
         }
@@ -32,19 +32,24 @@
     /// Not if it had just begun, and another engine ended so before: a third one would end in the
     /// call that ended the second, with some fifty streams, where all that a proper request needs is
     /// that its caller comes back.
-    pub(crate) fn allows_again(&self, events: u32, print: impl FnOnce() -> RequestPrint) -> bool {
+    pub(crate) fn allows_again(
+        &self,
+        events: u32,
+        print: impl FnOnce() -> RequestFingerprint,
+    ) -> bool {
         !has_just_begun(events) || !self.names(print)
     }
 
     /// Whether engines ended under a request; its print is worked out only if any did under one.
-    pub(crate) fn names(&self, print: impl FnOnce() -> RequestPrint) -> bool {
+    pub(crate) fn names(&self, print: impl FnOnce() -> RequestFingerprint) -> bool {
         !self.counts.is_empty() && self.counts.contains_key(&print())
     }
 
     /// The requests that are sent nowhere.
     pub(crate) fn rows(&self, now: Millis) -> Vec<HeldRow<'_>> {
-        let row =
-            |(print, held): (&RequestPrint, &'_ HeldBack)| (*print, held.until.saturating_sub(now));
+        let row = |(print, held): (&RequestFingerprint, &'_ HeldBack)| {
+            (*print, held.until.saturating_sub(now))
+        };
         let mut rows: Vec<_> = self.held.iter().map(row).collect();
         rows.sort_unstable();
         let row =
@@ -61,7 +66,7 @@
 /// A request that is sent nowhere, as operators see it.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct HeldRow<'a> {
-    print: RequestPrint,
+    print: RequestFingerprint,
     engines: &'a [Name],
     left_ms: Millis,
 }
--- a/crates/net/src/feed_codec.rs
+++ b/crates/net/src/feed_codec.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use capnp::message::{Builder, ReaderOptions};
-use heathpitch_core::{Name, Rate, RequestPrint, Revision};
+use heathpitch_core::{Name, Rate, RequestFingerprint, Revision};
 
 use crate::deflate::{deflate_bytes, inflate_bytes};
 use crate::feed_capnp::{
@@ -242,7 +242,7 @@
 
 fn read_end(from: end::Reader<'_>) -> capnp::Result<FeedEnd> {
     Ok(FeedEnd {
-        print: RequestPrint(from.get_print()),
+        print: RequestFingerprint(from.get_print()),
         engine: name(from.get_engine()?)?,
         born: Some(from.get_born()).filter(|born| *born > 0),
         events: from.get_events(),
--- a/crates/net/src/feed_message.rs
+++ b/crates/net/src/feed_message.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use heathpitch_core::{Millis, Name, Rate, RequestPrint, Revision};
+use heathpitch_core::{Millis, Name, Rate, RequestFingerprint, Revision};
 
 use crate::Item;
 
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedEnd {
     /// The request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// The engine.
     pub engine: Name,
     /// Unix time of the engine's start, milliseconds, if it tells that.
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -12,7 +12,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-use heathpitch_core::{Millis, Name, RequestPrint};
+use heathpitch_core::{Millis, Name, RequestFingerprint};
 
 /// Engines that must have ended under a request before it is held back. Two happen to proper requests: one
 /// that is moved beside the request at fault. What three cost is bounded by what is agreed, three more.
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
     /// The request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// The engine.
     pub life: EngineLife,
     /// Events that the request had brought there.
@@ -65,7 +65,7 @@
 
 /// A request under which enough engines ended.
 struct Suspect<'a> {
-    print: RequestPrint,
+    print: RequestFingerprint,
     lives: BTreeSet<&'a EngineLife>,
     /// Events that it had brought, over all of them.
     events: u32,
@@ -85,11 +85,11 @@
 /// # Examples
 ///
 /// ```
-/// use heathpitch_core::RequestPrint;
+/// use heathpitch_core::RequestFingerprint;
 /// use heathpitch_policy::{EngineLife, Quarantine};
 ///
 /// let mut quarantine = Quarantine::default();
-/// let (fatal, moved) = (RequestPrint(1), RequestPrint(2));
+/// let (fatal, moved) = (RequestFingerprint(1), RequestFingerprint(2));
 /// let life = |engine: &str| EngineLife { engine: engine.parse().unwrap(), born: None };
 /// for engine in ["e1", "e2", "e3", "e4"] {
 ///     quarantine.ended(fatal, life(engine), 0, 10);
@@ -105,8 +105,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     serial: u64,
-    ends: BTreeMap<(RequestPrint, EngineLife), Known>,
-    held: BTreeSet<RequestPrint>,
+    ends: BTreeMap<(RequestFingerprint, EngineLife), Known>,
+    held: BTreeSet<RequestFingerprint>,
 }
 
 /// # Learning
@@ -115,7 +115,7 @@
     /// new. It counts only against one that the engine had just begun to run.
     pub fn ended(
         &mut self,
-        print: RequestPrint,
+        print: RequestFingerprint,
         life: EngineLife,
         events: u32,
         now: Millis,
@@ -149,7 +149,7 @@
     }
 
     /// A request was answered whole: no engine ended by it. Gives whether ends were known of it.
-    pub fn answered(&mut self, print: RequestPrint) -> bool {
+    pub fn answered(&mut self, print: RequestFingerprint) -> bool {
         self.make_void(|(p, _)| *p == print)
     }
 
@@ -160,7 +160,7 @@
 
     /// A request that is held back came again: it is held for longer, once half of its time is over. Gives
     /// whether that was so.
-    pub fn came(&mut self, print: RequestPrint, now: Millis) -> bool {
+    pub fn came(&mut self, print: RequestFingerprint, now: Millis) -> bool {
         let due = Self::is_renewed(self.left(print, now));
         if due {
             self.serial += 1;
@@ -174,7 +174,7 @@
     /// Forgets what is old, all ends of a request together; gives whether anything was.
     pub fn expire(&mut self, now: Millis) -> bool {
         let before = self.ends.len();
-        let mut last: HashMap<RequestPrint, Millis> = HashMap::new();
+        let mut last: HashMap<RequestFingerprint, Millis> = HashMap::new();
         for ((print, _), known) in &self.ends {
             let at = last.entry(*print).or_default();
             *at = known.at.max(*at);
@@ -183,7 +183,7 @@
         self.ends.len() < before
     }
 
-    fn make_void(&mut self, of: impl Fn(&(RequestPrint, EngineLife)) -> bool) -> bool {
+    fn make_void(&mut self, of: impl Fn(&(RequestFingerprint, EngineLife)) -> bool) -> bool {
         let serial = self.serial + 1;
         let mut new = false;
         for (_, known) in self.ends.iter_mut().filter(|(key, k)| !k.void && of(key)) {
@@ -202,7 +202,7 @@
         if self.ends.len() <= MOST {
             return;
         }
-        let worth = |(key, k): (&(RequestPrint, EngineLife), &Known)| {
+        let worth = |(key, k): (&(RequestFingerprint, EngineLife), &Known)| {
             (!k.void, self.held.contains(&key.0), k.at)
         };
         let least = self.ends.iter().min_by_key(|e| worth(*e)).map(|(key, _)| key.clone());
@@ -243,7 +243,7 @@
 impl Quarantine {
     /// Works out anew which requests are held back; gives those that are now and were not, and those that
     /// were and are not any more.
-    pub fn decide(&mut self) -> (Vec<RequestPrint>, Vec<RequestPrint>) {
+    pub fn decide(&mut self) -> (Vec<RequestFingerprint>, Vec<RequestFingerprint>) {
         let held = self.verdict();
         let new = held.difference(&self.held).copied().collect();
         let over = self.held.difference(&held).copied().collect();
@@ -258,7 +258,7 @@
     /// two, neither is blamed: the next end tells them apart. With neither rule 13 of 96 000 proper requests
     /// were held back beside a fatal one in 32 minutes of the model in this module's tests, with both none, and
     /// no more engines ended.
-    fn verdict(&self) -> BTreeSet<RequestPrint> {
+    fn verdict(&self) -> BTreeSet<RequestFingerprint> {
         let suspects = self.suspects();
         let mut explained: BTreeSet<&EngineLife> = BTreeSet::new();
         let mut blamed = BTreeSet::new();
@@ -279,7 +279,7 @@
 
     /// Requests under which enough engines ended.
     fn suspects(&self) -> Vec<Suspect<'_>> {
-        let mut suspects: BTreeMap<RequestPrint, Suspect<'_>> = BTreeMap::new();
+        let mut suspects: BTreeMap<RequestFingerprint, Suspect<'_>> = BTreeMap::new();
         for ((print, life), known) in self.ends.iter().filter(|(_, k)| k.counts()) {
             let fresh = || Suspect { print: *print, lives: BTreeSet::new(), events: 0 };
             let suspect = suspects.entry(*print).or_insert_with(fresh);
@@ -293,19 +293,19 @@
 /// # Reading
 impl Quarantine {
     /// Whether a request is held back.
-    pub fn holds(&self, print: RequestPrint) -> bool {
+    pub fn holds(&self, print: RequestFingerprint) -> bool {
         self.held.contains(&print)
     }
 
     /// Requests held back.
-    pub fn held(&self) -> impl Iterator<Item = RequestPrint> {
+    pub fn held(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.held.iter().copied()
     }
 
     /// Ends that count against a request, with their ages.
     pub fn against(
         &self,
-        print: RequestPrint,
+        print: RequestFingerprint,
         now: Millis,
     ) -> impl Iterator<Item = (&EngineLife, u32, Millis)> {
         let of = self.ends.iter().filter(move |((p, _), k)| *p == print && k.counts());
@@ -313,7 +313,7 @@
     }
 
     /// How many ends count against each request.
-    pub fn counts(&self) -> HashMap<RequestPrint, u32> {
+    pub fn counts(&self) -> HashMap<RequestFingerprint, u32> {
         let mut counts = HashMap::new();
         for (print, _) in self.ends.iter().filter(|(_, k)| k.counts()).map(|(key, _)| key) {
             *counts.entry(*print).or_default() += 1;
@@ -328,13 +328,13 @@
     }
 
     /// How long a request is still held back if it does not come again.
-    pub fn left(&self, print: RequestPrint, now: Millis) -> Millis {
+    pub fn left(&self, print: RequestFingerprint, now: Millis) -> Millis {
         let youngest = self.against(print, now).map(|(.., age)| age).min();
         KEPT.saturating_sub(youngest.unwrap_or(KEPT))
     }
 
     /// How often a request came again long after its last end.
-    pub fn renewed(&self, print: RequestPrint) -> u32 {
+    pub fn renewed(&self, print: RequestFingerprint) -> u32 {
         let of = self.ends.iter().filter(|((p, _), _)| *p == print);
         of.map(|(_, k)| k.renewed).max().unwrap_or(0)
     }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -2,20 +2,20 @@
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
-use heathpitch_core::{Millis, RequestPrint};
+use heathpitch_core::{Millis, RequestFingerprint};
 use heathpitch_policy::{End, EngineLife, Quarantine};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const FATAL: RequestPrint = RequestPrint(7);
-const OTHER: RequestPrint = RequestPrint(8);
+const FATAL: RequestFingerprint = RequestFingerprint(7);
+const OTHER: RequestFingerprint = RequestFingerprint(8);
 
 fn life(engine: u32) -> EngineLife {
     EngineLife { engine: format!("e{engine}").parse().unwrap(), born: None }
 }
 
-fn after(ends: &[(RequestPrint, u32, u32)]) -> Quarantine {
+fn after(ends: &[(RequestFingerprint, u32, u32)]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (print, engine, events) in ends {
         quarantine.ended(*print, life(*engine), *events, 0);
@@ -149,7 +149,7 @@
 fn memory_is_bounded_and_those_held_back_are_forgotten_last() {
     let mut quarantine = after(&[1, 2, 3].map(|e| (FATAL, e, 0)));
     for flood in 100..10_100 {
-        quarantine.ended(RequestPrint(flood), life(flood as u32), 0, flood);
+        quarantine.ended(RequestFingerprint(flood), life(flood as u32), 0, flood);
     }
     assert!(quarantine.since(0, usize::MAX, 20_000).0.len() <= 2_048);
     quarantine.decide();
@@ -200,10 +200,10 @@
             now += 10_000;
             let node = &mut nodes[usize::from(second)];
             match step {
-                Step::Ended(p, e, n) => { node.ended(RequestPrint(p), life(e), n, now); }
-                Step::Answered(p) => { node.answered(RequestPrint(p)); }
+                Step::Ended(p, e, n) => { node.ended(RequestFingerprint(p), life(e), n, now); }
+                Step::Answered(p) => { node.answered(RequestFingerprint(p)); }
                 Step::Lives(e) => { node.lives(&life(e)); }
-                Step::Came(p) => { node.came(RequestPrint(p), now); }
+                Step::Came(p) => { node.came(RequestFingerprint(p), now); }
             }
         }
         let [mut a, mut b] = nodes;
@@ -222,7 +222,7 @@
 /// A request as the model runs it.
 #[derive(Clone, Debug)]
 struct Run {
-    print: RequestPrint,
+    print: RequestFingerprint,
     begun: Millis,
     /// Sends of this try, and tries left.
     sends: u32,
@@ -256,7 +256,7 @@
         for _ in 0..rng.random_range(0..2) {
             next += 1;
             outcome.proper += 1;
-            let print = RequestPrint(next);
+            let print = RequestFingerprint(next);
             waiting.push((now, Run { print, begun: 0, sends: 0, tries: 1 }));
         }
         if fatal && now % 1_000 == 0 {
--- a/crates/proof/src/telling/ends.rs
+++ b/crates/proof/src/telling/ends.rs
@@ -1,6 +1,6 @@
 //! What nodes of the world tell each other of engines that ended.
 
-use heathpitch_core::{Millis, RequestPrint};
+use heathpitch_core::{Millis, RequestFingerprint};
 use heathpitch_policy::EngineLife;
 
 use super::node::{index, name, node};
@@ -37,7 +37,7 @@
     pub(super) fn end_engine(&mut self, at: usize, print: u64) -> EngineLife {
         self.ended += 1;
         let life = EngineLife { engine: name(at), born: Some(self.ended) };
-        let (print, now) = (RequestPrint(print), self.now);
+        let (print, now) = (RequestFingerprint(print), self.now);
         self.nodes[at].quarantine.ended(print, life.clone(), 0, now);
         life
     }
