--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -7,7 +7,7 @@
 
 /// A consistency rule of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Violation {
+pub enum Invariant {
     /// Tokens leave in order, none twice, none missing.
     TokenOrder,
     /// Only the newest attempt emits.
@@ -28,7 +28,7 @@
     OpenCount,
 }
 
-impl fmt::Display for Violation {
+impl fmt::Display for Invariant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Debug::fmt(self, f)
     }
@@ -40,6 +40,6 @@
 ///
 /// In debug builds, if `holds` is false; the message names the rule.
 #[track_caller]
-pub fn check(rule: Violation, holds: bool) {
+pub fn check(rule: Invariant, holds: bool) {
     debug_assert!(holds, "invariant violated: {rule}");
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -45,7 +45,7 @@
 pub use gateway_settings::{Agreed, GatewaySettings, VmSize};
 pub use ids::{Attempt, Epoch, Incarnation, Millis, RequestId, Revision};
 pub use index::Index;
-pub use invariant::{Violation, check};
+pub use invariant::{Invariant, check};
 pub use labels::Labels;
 pub use layers::LayerRange;
 pub use model::Model;
--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use heathpitch_core::{Millis, Revision, Violation, check};
+use heathpitch_core::{Millis, Revision, Invariant, check};
 use heathpitch_net::{Found, Item, ItemChange, StoreError, Write};
 
 use super::engine_list;
@@ -159,7 +159,7 @@
         Some(_) | None => {}
     }
     *control.document.borrow_mut() = Some(item.clone());
-    check(Violation::RevisionOrder, !same || before.is_none_or(|b| catalog.revision > b));
+    check(Invariant::RevisionOrder, !same || before.is_none_or(|b| catalog.revision > b));
     control.shared.metrics.config.set(catalog.version as i64);
     GatewayEvent::ConfigAdopted {
         version: catalog.version,
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use heathpitch_core::{EngineEntry, LayerRange, LayeredModel, Millis, Violation, check};
+use heathpitch_core::{EngineEntry, LayerRange, LayeredModel, Millis, Invariant, check};
 use heathpitch_net::{EdgeError, EngineStatus, Ordered, Release};
 use heathpitch_policy::{Assignment, LayoutReason};
 use tokio::task::spawn_local;
@@ -78,7 +78,7 @@
     let Assignment { layers, reason, .. } = assignment;
     let card = engine.card.as_ref().and_then(|c| model.card(c.as_str()));
     let fits = card.is_some_and(|c| f64::from(layers.count()) * model.layer_mb <= c.memory_mb);
-    check(Violation::LayerMemory, fits);
+    check(Invariant::LayerMemory, fits);
     if !fits || layers.end > model.layers {
         log::error!("layers {layers} do not fit engine {}: not ordered", engine.id);
         return;
--- a/crates/policy/src/gate.rs
+++ b/crates/policy/src/gate.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use heathpitch_core::{Account, Name, Priority, Violation, check};
+use heathpitch_core::{Account, Name, Priority, Invariant, check};
 
 /// Part of the capacity above which accounts are held to their shares.
 const CONTENDED: f64 = 0.5;
@@ -83,7 +83,7 @@
 
     /// Counts a request out.
     pub fn leave(&mut self, account: &Name) {
-        check(Violation::OpenCount, self.open > 0);
+        check(Invariant::OpenCount, self.open > 0);
         self.open = self.open.saturating_sub(1);
         match self.uses.get_mut(account) {
             Some(used) if used.open > 1 => used.open -= 1,
@@ -91,7 +91,7 @@
                 self.weights = self.weights.saturating_sub(used.weight.into());
                 self.uses.remove(account);
             }
-            None => check(Violation::OpenCount, false),
+            None => check(Invariant::OpenCount, false),
         }
     }
 
--- a/crates/policy/src/gauge.rs
+++ b/crates/policy/src/gauge.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
 
-use heathpitch_core::{Millis, Violation, check};
+use heathpitch_core::{Millis, Invariant, check};
 
 /// Time for which a failure keeps new work away, milliseconds.
 const SUSPECT_MS: Millis = 3_000;
@@ -25,7 +25,7 @@
     /// Counts a request closed.
     pub fn close(&self) {
         let before = self.open.fetch_sub(1, Relaxed);
-        check(Violation::OpenCount, before > 0);
+        check(Invariant::OpenCount, before > 0);
     }
 
     /// Requests open now.
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use heathpitch_core::{Millis, Name, Revision, Violation, Vm, VmRole, VmState, check};
+use heathpitch_core::{Millis, Name, Revision, Invariant, Vm, VmRole, VmState, check};
 
 use crate::switch::{Mechanism, on};
 use crate::{EngineReport, Fleet, Gauge, ServiceView, Upstream};
@@ -113,7 +113,7 @@
     pub fn fleet(&self, now: Millis) -> Fleet {
         let mut fleet = Fleet::default();
         for e in self.entries.values().filter(|e| e.standing(now) == Standing::Up) {
-            check(Violation::LeavingEngine, e.vm.state == VmState::Live);
+            check(Invariant::LeavingEngine, e.vm.state == VmState::Live);
             let Some(report) = &e.report else { continue };
             match &report.model {
                 Some(model) => {
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use crate::switch::{Mechanism, on};
-use heathpitch_core::{Millis, Name, NotRun, Outcome, Violation, check};
+use heathpitch_core::{Millis, Name, NotRun, Outcome, Invariant, check};
 
 /// Time an answer is kept, milliseconds.
 const KEEP: Millis = 600_000;
@@ -198,7 +198,7 @@
         let Some(e) = self.entries.get_mut(key) else {
             return;
         };
-        check(Violation::AtMostOnce, matches!(e.state, State::Dispatched));
+        check(Invariant::AtMostOnce, matches!(e.state, State::Dispatched));
         self.bytes += record.body.len();
         e.state = State::Finished(record);
         self.ended.push_back((now, key.clone()));
--- a/crates/policy/src/relay.rs
+++ b/crates/policy/src/relay.rs
@@ -3,7 +3,7 @@
 //! The relay lets one attempt at a time emit tokens, drops frames of older attempts, resumes at
 //! the first token not yet sent, and says of a request only what its evidence proves.
 
-use heathpitch_core::{Attempt, Evidence, Name, Outcome, Path, Violation, check};
+use heathpitch_core::{Attempt, Evidence, Name, Outcome, Path, Invariant, check};
 
 use crate::switch::{Mechanism, on};
 
@@ -230,7 +230,7 @@
 
     fn dispatch(&mut self, path: Path) -> Vec<RelayAction> {
         check(
-            Violation::AtMostOnce,
+            Invariant::AtMostOnce,
             self.plan.repeat == Repeat::Allowed || self.seen.not_run().is_some(),
         );
         self.attempt = self.attempt.next();
@@ -254,9 +254,9 @@
                 || !on(Mechanism::Positions) =>
             {
                 self.sent.push(token);
-                check(Violation::OneAttempt, attempt == self.attempt);
-                check(Violation::LayerCoverage, layers == self.plan.layers);
-                check(Violation::TokenOrder, self.sent.len() as u32 == position + 1);
+                check(Invariant::OneAttempt, attempt == self.attempt);
+                check(Invariant::LayerCoverage, layers == self.plan.layers);
+                check(Invariant::TokenOrder, self.sent.len() as u32 == position + 1);
                 vec![RelayAction::Emit(token)]
             }
             _ => {
@@ -333,7 +333,7 @@
     fn give_up(&mut self) -> Vec<RelayAction> {
         self.phase = Phase::Over;
         let outcome = self.seen.outcome();
-        check(Violation::NotRunTruth, outcome != Outcome::NotRun || self.sent.is_empty());
+        check(Invariant::NotRunTruth, outcome != Outcome::NotRun || self.sent.is_empty());
         vec![RelayAction::GiveUp(outcome)]
     }
 }
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use crate::switch::{Mechanism, on};
-use heathpitch_core::{ConfigError, Index, Revision, Violation, check, parse_document};
+use heathpitch_core::{ConfigError, Index, Revision, Invariant, check, parse_document};
 
 /// What became of an offered revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
             Ok(doc) => {
                 self.index = Arc::new(Index::new(revision, &doc));
                 self.text = Arc::from(text);
-                check(Violation::RevisionOrder, self.revision() > before);
+                check(Invariant::RevisionOrder, self.revision() > before);
                 Adoption::Adopted
             }
             Err(e) => {
