--- a/crates/core/src/gateway_settings.rs
+++ b/crates/core/src/gateway_settings.rs
@@ -35,23 +35,23 @@
     pub first_start: bool,
     /// What the VM can carry.
     #[serde(default)]
-    pub vm: VmSize,
+    pub vm: VmCapacity,
     /// Bounds agreed with the platform.
     #[serde(default)]
-    pub bounds: Agreed,
+    pub bounds: PlatformBounds,
 }
 
 /// What a VM can carry.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct VmSize {
+pub struct VmCapacity {
     /// Rate of its link, Mbit/s.
     pub link_mbps: f64,
     /// Share of a core.
     pub cpu_share: f64,
 }
 
-impl Default for VmSize {
+impl Default for VmCapacity {
     fn default() -> Self {
         Self { link_mbps: 1_000.0, cpu_share: 1.0 }
     }
@@ -60,7 +60,7 @@
 /// Bounds agreed with the platform.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Agreed {
+pub struct PlatformBounds {
     /// Time from the acceptance of a key's removal after which it may not work anywhere.
     pub revoke_ms: Millis,
     /// Time for which a leaving engine may still be sent work.
@@ -79,7 +79,7 @@
     pub contact_ms: Millis,
 }
 
-impl Default for Agreed {
+impl Default for PlatformBounds {
     fn default() -> Self {
         Self {
             revoke_ms: 5_000,
--- a/crates/heathpitchd/src/gateway/control/tell.rs
+++ b/crates/heathpitchd/src/gateway/control/tell.rs
@@ -7,7 +7,7 @@
 use std::cell::RefCell;
 
 use bytes::Bytes;
-use heathpitch_core::{Millis, Revision, VmSize};
+use heathpitch_core::{Millis, Revision, VmCapacity};
 use heathpitch_net::{
     EdgeError, FeedAsk, FeedEngines, FeedKnown, FeedPlanner, FeedTold, Item, deflate_bytes, pack,
 };
@@ -31,7 +31,7 @@
 
 impl Large {
     /// For a VM of this size.
-    pub(super) fn new(vm: VmSize, now: Millis) -> Self {
+    pub(super) fn new(vm: VmCapacity, now: Millis) -> Self {
         let rate = vm.link_mbps * MBIT * LINK_SHARE;
         Self {
             // What was begun is finished, and owed: the room for one is enough to begin.
