--- a/crates/core/src/call_route.rs
+++ b/crates/core/src/call_route.rs
@@ -24,7 +24,7 @@
 
 impl CallKind {
     /// Whether a call that may have run can be sent again.
-    pub fn repeatable(self) -> bool {
+    pub fn retryable(self) -> bool {
         match self {
             CallKind::Idempotent => true,
             CallKind::AtMostOnce => false,
@@ -63,7 +63,7 @@
     /// Longest time a request may be held.
     pub timeout_ms: Millis,
     /// Time within which an answer, or a stream's first event, is worth most.
-    pub target_ms: Millis,
+    pub latency_target_ms: Millis,
     /// Longest pause between events that a caller takes well.
     pub pause_ms: Option<Millis>,
     /// Engines that one request may be sent to.
--- a/crates/core/src/catalog.rs
+++ b/crates/core/src/catalog.rs
@@ -100,7 +100,11 @@
     /// # Errors
     ///
     /// [`LookupError::Key`].
-    pub fn authenticate(&self, route: &CallRoute, key: Option<&str>) -> Result<Option<&KeyHolder>, LookupError> {
+    pub fn authenticate(
+        &self,
+        route: &CallRoute,
+        key: Option<&str>,
+    ) -> Result<Option<&KeyHolder>, LookupError> {
         match (&self.holders, key) {
             (None, _) => Ok(None),
             (Some(holders), Some(key)) if holders.contains_key(key) => Ok(holders.get(key)),
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -46,7 +46,7 @@
     /// nine years.
     const NUMBER: u32 = 48;
     /// Highest era that can be told apart.
-    pub const ERA_MOST: u64 = (1 << (64 - Self::NUMBER)) - 1;
+    pub const MAX_ERA: u64 = (1 << (64 - Self::NUMBER)) - 1;
 
     /// The store's number within an era: how often the store has come back from an older copy of itself.
     ///
@@ -57,12 +57,12 @@
     /// ```
     /// use heathpitch_core::Revision;
     ///
-    /// assert!(Revision::of(2, 90) > Revision::of(1, 140));
-    /// assert_eq!(Revision::of(0, 7), Revision(7));
+    /// assert!(Revision::new(2, 90) > Revision::new(1, 140));
+    /// assert_eq!(Revision::new(0, 7), Revision(7));
     /// ```
-    pub fn of(era: u64, number: u64) -> Self {
+    pub fn new(era: u64, number: u64) -> Self {
         let number = number.min((1 << Self::NUMBER) - 1);
-        Self(era.min(Self::ERA_MOST) << Self::NUMBER | number)
+        Self(era.min(Self::MAX_ERA) << Self::NUMBER | number)
     }
 
     /// The era.
--- a/crates/core/src/index.rs
+++ b/crates/core/src/index.rs
@@ -47,7 +47,7 @@
     /// The first model route that serves the request.
     pub fn route(&self, account: &Account, model: &Name, at: Priority) -> Option<&Arc<Route>> {
         let fits =
-            |r: &&Arc<Route>| r.kind == RouteKind::Model && r.select.serves(account, model, at);
+            |r: &&Arc<Route>| r.kind == RouteKind::Model && r.select.matches(account, model, at);
         self.routes.iter().find(fits)
     }
 
@@ -59,7 +59,7 @@
 
     /// Whether a VM with these labels is in a pool of `route`.
     pub fn admits(&self, route: &Route, labels: &crate::Labels) -> bool {
-        let chosen = |p: &&Pool| route.pools.chooses(&p.name, &p.labels);
+        let chosen = |p: &&Pool| route.pools.matches(&p.name, &p.labels);
         self.pools.iter().filter(chosen).any(|p| labels.covers(&p.members))
     }
 }
--- a/crates/core/src/selector.rs
+++ b/crates/core/src/selector.rs
@@ -18,7 +18,7 @@
 
 impl Match {
     /// Whether a thing of this name and these labels is chosen.
-    pub fn chooses(&self, name: &Name, labels: &Labels) -> bool {
+    pub fn matches(&self, name: &Name, labels: &Labels) -> bool {
         (self.names.is_empty() || self.names.contains(name)) && labels.covers(&self.labels)
     }
 }
@@ -40,8 +40,8 @@
 
 impl Selector {
     /// Whether a request of `account` for `model` at `priority` is served.
-    pub fn serves(&self, account: &Account, model: &Name, priority: Priority) -> bool {
-        self.accounts.chooses(&account.name, &account.labels)
+    pub fn matches(&self, account: &Account, model: &Name, priority: Priority) -> bool {
+        self.accounts.matches(&account.name, &account.labels)
             && (self.models.is_empty() || self.models.contains(model))
             && (self.priorities.is_empty() || self.priorities.contains(&priority))
     }
--- a/crates/core/src/validate.rs
+++ b/crates/core/src/validate.rs
@@ -43,7 +43,7 @@
 }
 
 fn any_pool(doc: &Document, path: &str, want: &Match) -> Result<(), ConfigError> {
-    match doc.pools.iter().any(|p| want.chooses(&p.name, &p.labels)) {
+    match doc.pools.iter().any(|p| want.matches(&p.name, &p.labels)) {
         true => Ok(()),
         false => {
             Err(ConfigError::new(ErrorKind::MatchesNothing, path, "the selector matches no pool"))
--- a/crates/heathpitchd/src/filters/service.rs
+++ b/crates/heathpitchd/src/filters/service.rs
@@ -24,7 +24,7 @@
     let (name, path) = rest.find(['/', '?']).map_or((rest, "/"), |at| rest.split_at(at));
     let index = cx.traffic.shared.index.load_full();
     let at = priority(&head.headers)?;
-    let found = index.service(name).filter(|r| r.select.serves(&account, &r.name, at));
+    let found = index.service(name).filter(|r| r.select.matches(&account, &r.name, at));
     let Some(found) = found.cloned() else {
         let message = "no such service route for this account and priority";
         return Err(Refusal::not_run(RefusalKind::NoRoute, message));
--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -138,7 +138,7 @@
                 }
                 Err(failure) => kind = self.note(&view, &failure),
             }
-            if !self.call.route.kind.repeatable() && self.seen.not_run().is_none() {
+            if !self.call.route.kind.retryable() && self.seen.not_run().is_none() {
                 return Err(Ended::Refused(kind));
             }
         }
@@ -195,7 +195,7 @@
         if let Some(full) = &choice.full {
             return Err(full.to_string());
         }
-        let target = self.call.route.target_ms as f64;
+        let target = self.call.route.latency_target_ms as f64;
         let wait = choice.view.tally.wait_ms(self.traffic.shared.now());
         let share = (wait / target - SHED_FROM) / SHED_SPAN;
         match share > 0.0 && rand::rng().random_bool(share.min(SHED_MOST)) {
--- a/crates/heathpitchd/src/gateway/call/relay.rs
+++ b/crates/heathpitchd/src/gateway/call/relay.rs
@@ -139,7 +139,7 @@
     async fn replace(&mut self) {
         let why = "the first engine of the path does not answer";
         let live = self.flow.live.clone();
-        let repeatable = self.flow.call.route.kind.repeatable();
+        let repeatable = self.flow.call.route.kind.retryable();
         let (shared, until) = (self.flow.traffic.shared.clone(), self.flow.call.until);
         let replaced = match repeatable {
             true => shared.before(until, self.flow.replace(why)).await.flatten(),
@@ -157,7 +157,7 @@
 
     /// Takes the stream up at another engine.
     async fn resume(&mut self) -> bool {
-        if !self.flow.call.route.kind.repeatable() {
+        if !self.flow.call.route.kind.retryable() {
             return false;
         }
         let (shared, until) = (self.flow.traffic.shared.clone(), self.flow.call.until);
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -100,7 +100,7 @@
     let &Target { view, behind, .. } = target;
     let ended = traffic.shared.suspicion.load().has_ended(&view.entry);
     let mut rights = rights::seek(traffic, view, behind).await.map_err(Failure::NoRight)?;
-    let reuse = if call.route.kind.repeatable() { Reuse::Idle } else { Reuse::Never };
+    let reuse = if call.route.kind.retryable() { Reuse::Idle } else { Reuse::Never };
     let mut answer = once(traffic, call, target, &mut rights, reuse).await;
     if matches!(answer, Err(Failure::Unsent(_))) && reuse == Reuse::Idle {
         // The engine closed an idle connection: nothing was sent, and a new one can be made.
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -114,7 +114,7 @@
             }
         }
         trace.avoid.push(view.entry.id.clone());
-        if !call.route.kind.repeatable() && trace.seen.not_run().is_none() {
+        if !call.route.kind.retryable() && trace.seen.not_run().is_none() {
             return Err(kind);
         }
     }
--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use heathpitch_core::{Millis, Revision, Invariant, check};
+use heathpitch_core::{Invariant, Millis, Revision, check};
 use heathpitch_net::{Found, Item, ItemChange, StoreError, Write};
 
 use super::engine_list;
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use heathpitch_core::{EngineEntry, LayerRange, LayeredModel, Millis, Invariant, check};
+use heathpitch_core::{EngineEntry, Invariant, LayerRange, LayeredModel, Millis, check};
 use heathpitch_net::{EdgeError, EngineStatus, Ordered, Release};
 use heathpitch_policy::{Assignment, LayoutReason};
 use tokio::task::spawn_local;
--- a/crates/heathpitchd/tests/reference.rs
+++ b/crates/heathpitchd/tests/reference.rs
@@ -7,7 +7,8 @@
 use std::path::{Path, PathBuf};
 
 use heathpitch_core::{
-    PlatformBounds, GatewaySettings, RouteSettings, Timing, VmCapacity, parse_document, parse_settings,
+    GatewaySettings, PlatformBounds, RouteSettings, Timing, VmCapacity, parse_document,
+    parse_settings,
 };
 use heathpitchd::{Event, GATEWAY_METRICS, GatewayEvent, METRICS};
 use serde_json::Value;
@@ -50,7 +51,8 @@
         "metrics": "127.0.0.1:3", "store": "127.0.0.1:4" }"#;
     let settings = GatewaySettings::parse(text).unwrap();
     let top = keys(&settings).into_iter().map(|k| format!("gateway.{k}"));
-    let bounds = keys(&PlatformBounds::default()).into_iter().map(|k| format!("gateway.bounds.{k}"));
+    let bounds =
+        keys(&PlatformBounds::default()).into_iter().map(|k| format!("gateway.bounds.{k}"));
     let vm = keys(&VmCapacity::default()).into_iter().map(|k| format!("gateway.vm.{k}"));
     let missing: Vec<String> = top.chain(bounds).chain(vm).filter(|k| !named.contains(k)).collect();
     assert_eq!(missing, Vec::<String>::new());
--- a/crates/policy/src/gate.rs
+++ b/crates/policy/src/gate.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use heathpitch_core::{Account, Name, Priority, Invariant, check};
+use heathpitch_core::{Account, Invariant, Name, Priority, check};
 
 /// Part of the capacity above which accounts are held to their shares.
 const CONTENDED: f64 = 0.5;
--- a/crates/policy/src/gauge.rs
+++ b/crates/policy/src/gauge.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
 
-use heathpitch_core::{Millis, Invariant, check};
+use heathpitch_core::{Invariant, Millis, check};
 
 /// Time for which a failure keeps new work away, milliseconds.
 const SUSPECT_MS: Millis = 3_000;
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use heathpitch_core::{Millis, Name, Revision, Invariant, Vm, VmRole, VmState, check};
+use heathpitch_core::{Invariant, Millis, Name, Revision, Vm, VmRole, VmState, check};
 
 use crate::switch::{Mechanism, on};
 use crate::{EngineReport, Fleet, Gauge, ServiceView, Upstream};
--- a/crates/policy/src/relay.rs
+++ b/crates/policy/src/relay.rs
@@ -3,7 +3,7 @@
 //! The relay lets one attempt at a time emit tokens, drops frames of older attempts, resumes at
 //! the first token not yet sent, and says of a request only what its evidence proves.
 
-use heathpitch_core::{Attempt, Evidence, Name, Outcome, Path, Invariant, check};
+use heathpitch_core::{Attempt, Evidence, Invariant, Name, Outcome, Path, check};
 
 use crate::switch::{Mechanism, on};
 
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use crate::switch::{Mechanism, on};
-use heathpitch_core::{ConfigError, Index, Revision, Invariant, check, parse_document};
+use heathpitch_core::{ConfigError, Index, Invariant, Revision, check, parse_document};
 
 /// What became of an offered revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
