--- a/crates/core/src/service_spec.rs
+++ b/crates/core/src/service_spec.rs
@@ -23,15 +23,15 @@
     /// Memory for layers and requests, megabytes.
     pub memory_mb: f64,
     /// Factor on the time of token steps.
-    pub pace: f64,
+    pub step_factor: f64,
     /// Factor on the time of reading prompts.
-    pub read: f64,
+    pub prefill_factor: f64,
 }
 
 impl Card {
     /// What orders cards by speed, fastest first: the factors on steps and on reading together.
     pub fn speed(&self) -> f64 {
-        self.pace + self.read
+        self.step_factor + self.prefill_factor
     }
 }
 
@@ -64,17 +64,17 @@
     /// Time that each token held by a batch adds to such a step, milliseconds.
     pub context_ms: f64,
     /// Prompt tokens read a second through all layers on a card of factor 1.
-    pub read_rate: f64,
+    pub prefill_rate: f64,
     /// Time to load all layers, milliseconds.
     pub load_ms: Millis,
     /// Loads that run at full speed at the same time.
-    pub loads: u32,
+    pub parallel_loads: u32,
     /// How late an engine's report of itself is, milliseconds.
-    pub report_ms: Millis,
+    pub report_lag_ms: Millis,
     /// Usual tokens of a prompt.
-    pub usual_prompt: f64,
+    pub typical_prompt: f64,
     /// Usual tokens of an answer.
-    pub usual_answer: f64,
+    pub typical_answer: f64,
     /// Accelerator kinds.
     pub cards: Vec<Card>,
     /// Delays between failure domains.
@@ -93,25 +93,25 @@
     }
 
     /// Tokens that a request holds on average while it runs.
-    pub fn usual_tokens(&self) -> f64 {
-        self.usual_prompt + self.usual_answer / 2.0
+    pub fn mean_tokens(&self) -> f64 {
+        self.typical_prompt + self.typical_answer / 2.0
     }
 
     /// Time of a token step through all layers on a card of pace 1, with a batch that holds `tokens`
     /// tokens, milliseconds.
-    pub fn step_with(&self, tokens: f64) -> f64 {
-        let requests = tokens / self.usual_tokens().max(1.0);
+    pub fn step_time_ms(&self, tokens: f64) -> f64 {
+        let requests = tokens / self.mean_tokens().max(1.0);
         self.step_ms + self.request_ms * requests + self.context_ms * tokens
     }
 
     /// Tokens of requests that fit beside `count` layers on a card.
-    pub fn room(&self, card: &Card, count: u32) -> f64 {
+    pub fn token_capacity(&self, card: &Card, count: u32) -> f64 {
         let free = (card.memory_mb - f64::from(count) * self.layer_mb) * 1e6;
         free / (self.token_layer_bytes() * f64::from(count.max(1)))
     }
 
     /// Most layers a card holds beside the requests of `tokens` tokens.
-    pub fn fits(&self, card: &Card, tokens: f64) -> u32 {
+    pub fn max_layers(&self, card: &Card, tokens: f64) -> u32 {
         let layer = self.layer_mb + tokens * self.token_layer_bytes() / 1e6;
         (card.memory_mb / layer).floor() as u32
     }
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -25,7 +25,7 @@
             let model = catalog.services.get(&e.service).and_then(|s| s.model.as_ref());
             let card = model.zip(e.card.as_ref()).and_then(|(m, card)| m.card(card.as_str()));
             if let Some(card) = card.filter(|_| holds && !self.is_lost(&e.id)) {
-                let pace = card.pace * self.slowness(&e.id);
+                let pace = card.step_factor * self.slowness(&e.id);
                 holders.entry((&e.service, &e.domain)).or_default().push((&e.id, pace, e.layers));
             }
         }
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -114,7 +114,8 @@
     let share = |e: &Arc<EngineEntry>| {
         let view = table.view(e.id.as_str())?;
         let service = control.service(&e.service)?;
-        let room = service.model.as_ref()?.room(view.card.as_ref()?, e.layers.count()).max(1.0);
+        let room =
+            service.model.as_ref()?.token_capacity(view.card.as_ref()?, e.layers.count()).max(1.0);
         Some(view.tally.occupancy().held(table.beside, now) / room)
     };
     let shares = used(control).into_iter().filter_map(|e| Some((share(&e)?, e)));
@@ -140,8 +141,8 @@
 fn take(control: &Control, engine: &EngineEntry, status: &EngineStatus) {
     let service = control.service(&engine.service);
     let model = service.as_ref().and_then(|s| s.model.as_ref());
-    let late = model.map_or(0, |m| m.report_ms);
-    let usual = model.map_or(0.0, LayeredModel::usual_tokens);
+    let late = model.map_or(0, |m| m.report_lag_ms);
+    let usual = model.map_or(0.0, LayeredModel::mean_tokens);
     let held = status.held(usual).unwrap_or(0.0);
     let at = control.now().saturating_sub(late);
     // All of a round are published together.
--- a/crates/heathpitchd/src/gateway/engine_table.rs
+++ b/crates/heathpitchd/src/gateway/engine_table.rs
@@ -95,10 +95,10 @@
             let card = s.card.clone()?;
             let kept = wanted.keeps(&s.entry.id);
             let need = if kept { 0.0 } else { wanted.tokens };
-            let room = model.room(&card, s.entry.layers.count()).max(1.0);
+            let room = model.token_capacity(&card, s.entry.layers.count()).max(1.0);
             let held = s.tally.occupancy().held(self.beside, now);
             let share = (held + need) / room;
-            let card = Card { pace: card.pace * s.tally.pace(now), ..card };
+            let card = Card { step_factor: card.step_factor * s.tally.pace(now), ..card };
             // One that is all but empty takes a request that fits it at all.
             let taken = held > room * (1.0 - ROOM_SHARE) || need > room;
             let full = !kept && taken && share > ROOM_SHARE;
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -240,7 +240,7 @@
             path.stages().iter().any(|s| s.engine == link.entry.id && s.layers == part)
         });
         let bonus = if kept { KEPT } else { 0.0 };
-        model.step_ms * link.card.pace * share - bonus
+        model.step_ms * link.card.step_factor * share - bonus
     }
 
     fn best(&self) -> Option<Vec<Stage>> {
--- a/crates/policy/src/layout_deal.rs
+++ b/crates/policy/src/layout_deal.rs
@@ -33,7 +33,7 @@
     let place = |w: &Worker| (w.layers.count() == 0, w.layers.first, w.layers.end);
     order.sort_by(|a, b| place(a).cmp(&place(b)).then(a.engine.cmp(&b.engine)));
     let counts = |room: u32| -> Vec<u32> {
-        order.iter().map(|w| model.fits(&w.card, f64::from(room))).collect()
+        order.iter().map(|w| model.max_layers(&w.card, f64::from(room))).collect()
     };
     let mut rooms = (ROOM_LEAST..=ROOM_MOST).rev().step_by(ROOM_STEP as usize).map(counts);
     let Some(mut counts) = rooms.find(|c| c.iter().sum::<u32>() >= model.layers) else {
@@ -41,7 +41,7 @@
     };
     let mut excess = counts.iter().sum::<u32>() - model.layers;
     while excess > 0 {
-        let slow = |i: &usize| (order[*i].card.pace * f64::from(counts[*i])) as u64;
+        let slow = |i: &usize| (order[*i].card.step_factor * f64::from(counts[*i])) as u64;
         let Some(slowest) = (0..counts.len()).filter(|i| counts[*i] > 0).max_by_key(slow) else {
             break;
         };
@@ -123,7 +123,7 @@
 fn fill_last(model: &LayeredModel, workers: &[&Worker], chain: &mut [Assignment]) {
     let Some(last) = chain.last_mut() else { return };
     let Some(w) = workers.iter().find(|w| w.engine == last.engine) else { return };
-    let most = model.fits(&w.card, f64::from(ROOM_MOST)).max(last.layers.count());
+    let most = model.max_layers(&w.card, f64::from(ROOM_MOST)).max(last.layers.count());
     last.layers.first = last.layers.end.saturating_sub(most);
 }
 
@@ -134,12 +134,13 @@
 /// third of the layers on the slowest cards, requests stayed 4.6 s in place of 2.6 s with 85 000.
 fn rate(model: &LayeredModel, workers: &[&Worker], (room, plan): &(u32, Vec<Assignment>)) -> f64 {
     let room = f64::from(*room);
-    let step = model.step_with(room);
+    let step = model.step_time_ms(room);
     let part = |a: &Assignment| {
-        let pace = workers.iter().find(|w| w.engine == a.engine).map_or(1.0, |w| w.card.pace);
+        let pace =
+            workers.iter().find(|w| w.engine == a.engine).map_or(1.0, |w| w.card.step_factor);
         HOP + step * pace * f64::from(a.layers.count()) / f64::from(model.layers.max(1))
     };
-    room / model.usual_tokens().max(1.0) / plan.iter().map(part).sum::<f64>()
+    room / model.mean_tokens().max(1.0) / plan.iter().map(part).sum::<f64>()
 }
 
 /// Covers the model with the first workers of `order`, leaving `spares` of them.
@@ -153,7 +154,7 @@
     let mut at = 0;
     let mut plan = Vec::new();
     for w in &order[..usable] {
-        let count = model.fits(&w.card, f64::from(room)).min(model.layers - at);
+        let count = model.max_layers(&w.card, f64::from(room)).min(model.layers - at);
         if count == 0 {
             continue;
         }
--- a/crates/policy/src/layout_repair.rs
+++ b/crates/policy/src/layout_repair.rs
@@ -122,7 +122,7 @@
             let take = |h: &Holder| {
                 let w = &self.workers[h.index];
                 let spare =
-                    self.model.fits(&w.card, f64::from(room)).saturating_sub(h.part.count());
+                    self.model.max_layers(&w.card, f64::from(room)).saturating_sub(h.part.count());
                 let extra = if w.free { spare.min(missing) } else { 0 };
                 missing -= extra;
                 (*h, extra)
@@ -239,7 +239,7 @@
 
     /// Most layers that a worker holds beside the room wanted.
     pub(crate) fn most(&self, index: usize) -> u32 {
-        self.model.fits(&self.workers[index].card, f64::from(self.wanted))
+        self.model.max_layers(&self.workers[index].card, f64::from(self.wanted))
     }
 
     /// Whether the domain has memory for two copies beside more room than repairs leave.
@@ -253,14 +253,14 @@
     }
 
     fn room(&self, w: &Worker, layers: LayerRange) -> f64 {
-        self.model.room(&w.card, layers.count())
+        self.model.token_capacity(&w.card, layers.count())
     }
 
     /// Workers that hold nothing, or only what the others hold as well.
     fn dispensable(&self, room: u32) -> Vec<Taker> {
         let mut left = self.workers.clone();
         let mut takers = Vec::new();
-        let held = self.workers.iter().map(|w| (&w.engine, w.card.pace, w.layers));
+        let held = self.workers.iter().map(|w| (&w.engine, w.card.step_factor, w.layers));
         let mains = mains(self.model.layers, held);
         let main = |w: &Worker| mains.contains(&&w.engine);
         let mut order: Vec<usize> = (0..self.workers.len()).collect();
@@ -268,7 +268,7 @@
         order.sort_by_key(|i| (rank(&self.workers[*i]), *i));
         for index in order {
             let w = &self.workers[index];
-            let most = self.model.fits(&w.card, f64::from(room));
+            let most = self.model.max_layers(&w.card, f64::from(room));
             if w.free && most > 0 && redundant(&left, index) {
                 left[index].layers = LayerRange::new(0, 0);
                 takers.push(Taker { index, most });
@@ -301,7 +301,7 @@
 /// for two copies and more.
 fn wanted(model: &LayeredModel, workers: &[Worker]) -> u32 {
     let copies = |room: u32| -> f64 {
-        let fits = workers.iter().map(|w| model.fits(&w.card, f64::from(room)));
+        let fits = workers.iter().map(|w| model.max_layers(&w.card, f64::from(room)));
         f64::from(fits.sum::<u32>()) / f64::from(model.layers.max(1))
     };
     let mut rooms = (ROOM_REPAIR..=ROOM_MOST).rev().step_by(ROOM_STEP as usize);
--- a/crates/policy/tests/chain.rs
+++ b/crates/policy/tests/chain.rs
@@ -20,12 +20,12 @@
         step_ms: 1.0,
         request_ms: 0.004_59,
         context_ms: 0.000_006_15,
-        read_rate: 1e5,
+        prefill_rate: 1e5,
         load_ms: 1_000,
-        loads: 2,
-        report_ms: 200,
-        usual_prompt: 100.0,
-        usual_answer: 100.0,
+        parallel_loads: 2,
+        report_lag_ms: 200,
+        typical_prompt: 100.0,
+        typical_answer: 100.0,
         cards: Vec::new(),
         delays: vec![Delay { a: name("east"), b: name("west"), ms: 0.4 }],
     }
@@ -43,7 +43,8 @@
         layers: LayerRange::new(layers.0, layers.1),
         born: None,
     };
-    let card = Card { name: name("card"), memory_mb: 9_000.0, pace, read: pace };
+    let card =
+        Card { name: name("card"), memory_mb: 9_000.0, step_factor: pace, prefill_factor: pace };
     Link {
         entry: Arc::new(entry),
         card,
@@ -170,7 +171,7 @@
         for to in at + 1..=range.end.min(layers) {
             let used = [used, &[i]].concat();
             let Some(rest) = cheapest(links, to, layers, &used) else { continue };
-            let work = l.card.pace * f64::from(to - at) / f64::from(layers);
+            let work = l.card.step_factor * f64::from(to - at) / f64::from(layers);
             let cost = 0.2 + l.penalty + work + rest;
             best = Some(best.map_or(cost, |b| b.min(cost)));
         }
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -11,7 +11,12 @@
 
 /// The cards of the users' deployments.
 fn cards() -> Vec<Card> {
-    let card = |n: &str, memory_mb, pace, read| Card { name: name(n), memory_mb, pace, read };
+    let card = |n: &str, memory_mb, pace, read| Card {
+        name: name(n),
+        memory_mb,
+        step_factor: pace,
+        prefill_factor: read,
+    };
     vec![
         card("h100", 72_000.0, 1.4, 1.0),
         card("a100s", 36_000.0, 3.1, 3.2),
@@ -29,12 +34,12 @@
         step_ms: 0.85,
         request_ms: 0.004_59,
         context_ms: 0.000_006_15,
-        read_rate: 196_000.0,
+        prefill_rate: 196_000.0,
         load_ms: 14_000,
-        loads: 6,
-        report_ms: 200,
-        usual_prompt: 772.0,
-        usual_answer: 172.0,
+        parallel_loads: 6,
+        report_lag_ms: 200,
+        typical_prompt: 772.0,
+        typical_answer: 172.0,
         cards: cards(),
         delays: Vec::new(),
     }
@@ -88,7 +93,7 @@
 
 fn least_room(workers: &[Worker]) -> f64 {
     let held = workers.iter().filter(|w| w.layers.count() > 0);
-    held.map(|w| model().room(&w.card, w.layers.count())).fold(f64::MAX, f64::min)
+    held.map(|w| model().token_capacity(&w.card, w.layers.count())).fold(f64::MAX, f64::min)
 }
 
 #[test]
@@ -185,7 +190,8 @@
 fn a_gap_is_closed_by_workers_that_nothing_runs_through() {
     let mut workers = workers(BIRMINGHAM);
     settle(&mut workers);
-    let held: Vec<_> = workers.iter().map(|w| (w.engine.clone(), w.card.pace, w.layers)).collect();
+    let held: Vec<_> =
+        workers.iter().map(|w| (w.engine.clone(), w.card.step_factor, w.layers)).collect();
     let mains = mains(80, held.iter().map(|(e, p, l)| (e, *p, *l)));
     let lost = workers.iter().position(|w| w.card.name == name("l4")).unwrap();
     workers.remove(lost);
@@ -219,7 +225,7 @@
 
 fn least_room_large(workers: &[Worker]) -> f64 {
     let held = workers.iter().filter(|w| w.layers.count() > 0);
-    held.map(|w| large_model().room(&w.card, w.layers.count())).fold(f64::MAX, f64::min)
+    held.map(|w| large_model().token_capacity(&w.card, w.layers.count())).fold(f64::MAX, f64::min)
 }
 
 #[test]
@@ -325,7 +331,7 @@
                 }
             }
             settle(&mut workers);
-            let most: u32 = workers.iter().map(|w| model().fits(&w.card, 5_000.0)).sum();
+            let most: u32 = workers.iter().map(|w| model().max_layers(&w.card, 5_000.0)).sum();
             if most >= 80 {
                 prop_assert_eq!(gaps(&workers), []);
             }
--- a/crates/policy/tests/layout_large_domain.rs
+++ b/crates/policy/tests/layout_large_domain.rs
@@ -19,7 +19,12 @@
 const USUAL_TOKENS: f64 = 90_000.0;
 
 fn cards() -> [Card; 4] {
-    let card = |n: &str, memory_mb, pace, read| Card { name: name(n), memory_mb, pace, read };
+    let card = |n: &str, memory_mb, pace, read| Card {
+        name: name(n),
+        memory_mb,
+        step_factor: pace,
+        prefill_factor: read,
+    };
     [
         card("h100", 72_000.0, 1.4, 1.0),
         card("a100s", 36_000.0, 3.1, 3.2),
@@ -37,12 +42,12 @@
         step_ms: 0.85,
         request_ms: 0.004_59,
         context_ms: 0.000_006_15,
-        read_rate: 236_000.0,
+        prefill_rate: 236_000.0,
         load_ms: 14_000,
-        loads: 486,
-        report_ms: 200,
-        usual_prompt: 764.0,
-        usual_answer: 174.0,
+        parallel_loads: 486,
+        report_lag_ms: 200,
+        typical_prompt: 764.0,
+        typical_answer: 174.0,
         cards: cards().to_vec(),
         delays: Vec::new(),
     }
--- a/crates/policy/tests/layout_whole_fleet.rs
+++ b/crates/policy/tests/layout_whole_fleet.rs
@@ -25,7 +25,12 @@
 const DOMAINS: [[usize; 3]; 3] = [[2, 15, 12], [4, 6, 14], [2, 9, 22]];
 
 fn cards() -> [Card; 3] {
-    let card = |n: &str, memory_mb, pace, read| Card { name: name(n), memory_mb, pace, read };
+    let card = |n: &str, memory_mb, pace, read| Card {
+        name: name(n),
+        memory_mb,
+        step_factor: pace,
+        prefill_factor: read,
+    };
     [
         card("a100", 72_000.0, 2.4, 3.2),
         card("l40s", 43_200.0, 5.6, 2.7),
@@ -42,12 +47,12 @@
         step_ms: 1.02,
         request_ms: 0.004_59,
         context_ms: 0.000_006_15,
-        read_rate: 164_000.0,
+        prefill_rate: 164_000.0,
         load_ms: 14_000,
-        loads: 14,
-        report_ms: 200,
-        usual_prompt: 764.0,
-        usual_answer: 232.0,
+        parallel_loads: 14,
+        report_lag_ms: 200,
+        typical_prompt: 764.0,
+        typical_answer: 232.0,
         cards: cards().to_vec(),
         delays: Vec::new(),
     }
@@ -121,7 +126,7 @@
         let model = model();
         let link = |w: &Worker| {
             let held = self.held.get(&w.engine).copied().unwrap_or(0.0);
-            let share = (held + tokens) / model.room(&w.card, w.layers.count());
+            let share = (held + tokens) / model.token_capacity(&w.card, w.layers.count());
             let entry = EngineEntry {
                 id: w.engine.clone(),
                 service: name("llm"),
@@ -150,7 +155,7 @@
     /// Whether a stream that comes at `now` finds a path with room; it runs if it does.
     fn admit(&mut self, now: f64) -> bool {
         let model = model();
-        let tokens = model.usual_prompt + model.usual_answer / 2.0;
+        let tokens = model.typical_prompt + model.typical_answer / 2.0;
         self.end(now, tokens);
         let (home, service) = (name("home"), name("llm"));
         let search = Search { model: &model, name: &service, home: &home, current: None };
@@ -163,9 +168,9 @@
         let step = |s: &heathpitch_core::Stage| {
             let held = self.held.get(&s.engine).copied().unwrap_or(0.0);
             let share = f64::from(s.layers.count()) / f64::from(LAYERS);
-            model.step_with(held + tokens) * of(&s.engine).card.pace * share + 0.2
+            model.step_time_ms(held + tokens) * of(&s.engine).card.step_factor * share + 0.2
         };
-        let lasts = model.usual_answer * path.stages().iter().map(step).sum::<f64>() / 1e3;
+        let lasts = model.typical_answer * path.stages().iter().map(step).sum::<f64>() / 1e3;
         for s in path.stages() {
             *self.held.entry(s.engine.clone()).or_default() += tokens;
         }
@@ -201,7 +206,7 @@
         assert!(empty(&workers) <= most, "{counts:?}: {} empty", empty(&workers));
         let fewest = fewest_copies(&workers);
         assert!(fewest >= 2, "{counts:?}: a layer has {fewest} copies");
-        let held = workers.iter().map(|w| (&w.engine, w.card.pace, w.layers));
+        let held = workers.iter().map(|w| (&w.engine, w.card.step_factor, w.layers));
         let used = mains(LAYERS, held).len();
         assert!(used * 3 > workers.len(), "{counts:?}: requests run through {used}");
     }
@@ -297,7 +302,7 @@
     let start = std::time::Instant::now();
     let plan = lay_out(&model(), &workers);
     let repair = start.elapsed();
-    let held = workers.iter().map(|w| (&w.engine, w.card.pace, w.layers));
+    let held = workers.iter().map(|w| (&w.engine, w.card.step_factor, w.layers));
     let start = std::time::Instant::now();
     let used = mains(LAYERS, held).len();
     println!("fresh {fresh:?}, repair of {plan:?} {repair:?}, {used} mains {:?}", start.elapsed());
