--- a/crates/core/src/call_route.rs
+++ b/crates/core/src/call_route.rs
@@ -65,7 +65,7 @@
     /// Target latency of a response, or of a stream's first event.
     pub latency_target_ms: Millis,
     /// Longest acceptable pause between events of a stream.
-    pub pause_ms: Option<Millis>,
+    pub max_pause_ms: Option<Millis>,
     /// Most engines that one request may be sent to.
     pub attempts: u32,
     /// Priority rank; 0 comes first.
--- a/crates/core/src/catalog.rs
+++ b/crates/core/src/catalog.rs
@@ -9,18 +9,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest request head, bytes.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Largest request body, bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Longest time for a request's head to arrive.
-    pub head_ms: Millis,
+    pub head_timeout_ms: Millis,
     /// Longest time an idle connection is kept open.
-    pub idle_ms: Millis,
+    pub idle_timeout_ms: Millis,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
-        Self { head: 16 << 10, body: 4 << 20, head_ms: 3_000, idle_ms: 15_000 }
+        Self {
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            head_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000,
+        }
     }
 }
 
@@ -45,7 +50,7 @@
     /// Services by name.
     pub services: HashMap<Name, Arc<ServiceSpec>>,
     routes: HashMap<Arc<str>, Vec<Arc<CallRoute>>>,
-    holders: Option<HashMap<Arc<str>, KeyHolder>>,
+    keys: Option<HashMap<Arc<str>, KeyHolder>>,
 }
 
 /// Why a lookup for a request failed.
@@ -61,14 +66,14 @@
 
 /// # Construction
 impl Catalog {
-    /// Builds a configuration; with `holders` set to `None`, no keys are required.
+    /// Builds a configuration; with `keys` set to `None`, no keys are required.
     pub fn new(
         revision: Revision,
         version: u64,
         limits: CallerLimits,
         services: Vec<ServiceSpec>,
         routes: Vec<CallRoute>,
-        holders: Option<HashMap<Arc<str>, KeyHolder>>,
+        keys: Option<HashMap<Arc<str>, KeyHolder>>,
     ) -> Self {
         let mut hosts: HashMap<Arc<str>, Vec<Arc<CallRoute>>> = HashMap::new();
         for route in routes {
@@ -78,7 +83,7 @@
             routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         }
         let services = services.into_iter().map(|s| (s.name.clone(), Arc::new(s))).collect();
-        Self { revision, version, limits, services, routes: hosts, holders }
+        Self { revision, version, limits, services, routes: hosts, keys }
     }
 }
 
@@ -108,9 +113,9 @@
         route: &CallRoute,
         key: Option<&str>,
     ) -> Result<Option<&KeyHolder>, LookupError> {
-        match (&self.holders, key) {
+        match (&self.keys, key) {
             (None, _) => Ok(None),
-            (Some(holders), Some(key)) if holders.contains_key(key) => Ok(holders.get(key)),
+            (Some(keys), Some(key)) if keys.contains_key(key) => Ok(keys.get(key)),
             (Some(_), _) if route.public => Ok(None),
             (Some(_), _) => Err(LookupError::Key),
         }
--- a/crates/core/src/service_spec.rs
+++ b/crates/core/src/service_spec.rs
@@ -8,9 +8,9 @@
     /// Name of the service.
     pub name: Name,
     /// Path of its health check.
-    pub health: String,
+    pub health_path: String,
     /// Connections that one engine accepts in total, from all its clients.
-    pub connections: u32,
+    pub max_connections: u32,
     /// The model of its engines, if they run a layered one.
     pub model: Option<LayeredModel>,
 }
--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -132,11 +132,11 @@
         return Ok(bytes::Bytes::new());
     }
     let limits = catalog.limits;
-    let time = std::time::Duration::from_millis(limits.idle_ms);
-    match tokio::time::timeout(time, read(body, limits.body)).await {
+    let time = std::time::Duration::from_millis(limits.idle_timeout_ms);
+    match tokio::time::timeout(time, read(body, limits.max_body_bytes)).await {
         Ok(Ok(content)) => Ok(content),
         Ok(Err(BodyError::TooLarge)) => {
-            let detail = format!("the body has more than {} bytes", limits.body);
+            let detail = format!("the body has more than {} bytes", limits.max_body_bytes);
             Err(Refused::unsent(RefusedKind::TooLarge, id, detail))
         }
         Ok(Err(e @ BodyError::CutOff)) => {
--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -271,7 +271,7 @@
         self.head = Some(view.entry.id.clone());
         self.live = path.map(|p| {
             let request = self.call.head.id.clone();
-            let (need, pause) = (pick::need(&self.call), self.call.route.pause_ms);
+            let (need, pause) = (pick::need(&self.call), self.call.route.max_pause_ms);
             LiveStream::new(request, self.call.service.name.clone(), p.clone(), need, pause, now)
         });
         self.seen.sent();
--- a/crates/heathpitchd/src/gateway/control/wishes.rs
+++ b/crates/heathpitchd/src/gateway/control/wishes.rs
@@ -161,7 +161,7 @@
         return;
     }
     let Some(service) = control.service(&entry.service) else { return };
-    match control.check(&entry, &service.health).await {
+    match control.check(&entry, &service.health_path).await {
         Some(Ok(answer)) if answer.said && !answer.wish.leaves => {}
         Some(Ok(_)) | None => return,
         Some(Err(e)) => return log::info!("engine {} does not answer its check: {e}", entry.id),
