--- a/crates/fakes/examples/cost.rs
+++ b/crates/fakes/examples/cost.rs
@@ -11,7 +11,7 @@
 use heathpitch_fakes::{
     Answer, Caller, Deployment, EngineSetup, Fault, NodeProcess, node_binary, sample,
 };
-use heathpitch_net::{Client, EngineEdge, Frame, GenerateCall, Hop, HttpEngine};
+use heathpitch_net::{Client, EngineClient, Frame, GenerateCall, Hop, HttpEngine};
 use tokio::task::JoinSet;
 
 const LAYERS: u32 = 4;
--- a/crates/fakes/src/checker.rs
+++ b/crates/fakes/src/checker.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use heathpitch_core::Name;
-use heathpitch_net::{self as body, Client, EdgeError};
+use heathpitch_net::{self as body, Client, RpcError};
 use http_body_util::BodyExt;
 use hyper::Request;
 use serde_json::{Value, json};
@@ -49,7 +49,7 @@
 }
 
 /// Why a call gave no response.
-pub type CallError = EdgeError;
+pub type CallError = RpcError;
 
 /// # Calls
 impl Caller {
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// [`EdgeError`] if there is none.
+    /// [`RpcError`] if there is none.
     pub async fn post(
         &self,
         node: SocketAddr,
@@ -76,7 +76,7 @@
         let after = response.headers().get("retry-after").and_then(|v| v.to_str().ok());
         let retry_after = after.and_then(|v| v.parse().ok());
         let bytes = body::read(response.into_body(), MAX_ANSWER).await;
-        let bytes = bytes.map_err(|e| EdgeError::Lost(e.to_string()))?;
+        let bytes = bytes.map_err(|e| RpcError::Lost(e.to_string()))?;
         let json = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
         Ok(Reply { status, retry_after, json })
     }
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// [`EdgeError`] if no response comes.
+    /// [`RpcError`] if no response comes.
     pub async fn stream(
         &self,
         node: SocketAddr,
@@ -137,7 +137,7 @@
         for (name, value) in headers {
             builder = builder.header(*name, *value);
         }
-        builder.body(body::full(content)).map_err(|e| EdgeError::Malformed(e.to_string()))
+        builder.body(body::full(content)).map_err(|e| RpcError::Malformed(e.to_string()))
     }
 }
 
--- a/crates/fakes/src/deployment.rs
+++ b/crates/fakes/src/deployment.rs
@@ -11,7 +11,7 @@
 use heathpitch_core::{
     Document, Labels, LayerRange, Name, NameError, Revision, Vm, VmRole, VmState,
 };
-use heathpitch_net::{Client, HttpPlatform, PlatformEdge, PutError};
+use heathpitch_net::{Client, HttpPlatform, PlatformClient, PutError};
 use parking_lot::Mutex;
 use serde_json::{Value, json};
 
--- a/crates/fakes/src/engine_http.rs
+++ b/crates/fakes/src/engine_http.rs
@@ -249,7 +249,7 @@
 pub(crate) fn broken() -> Response<Body> {
     let (lines, content) = body::channel(1);
     tokio::spawn(async move {
-        let _ = lines.send(Err(BodyError::CutOff)).await;
+        let _ = lines.send(Err(BodyError::Truncated)).await;
     });
     Response::new(content)
 }
--- a/crates/fakes/src/stage.rs
+++ b/crates/fakes/src/stage.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use heathpitch_core::{Attempt, LayerRange, Name, Priority};
-use heathpitch_net::{EdgeError, Hop, Refusal, RefusalKind};
+use heathpitch_net::{Hop, Refusal, RefusalKind, RpcError};
 use heathpitch_policy::BLOCK;
 use hyper::Method;
 use parking_lot::Mutex;
@@ -140,7 +140,7 @@
         if let Some(next) = next {
             let uri = format!("http://{}/v1/stage/close", next.address);
             let call = (request, attempt);
-            let answer: Result<(), EdgeError> =
+            let answer: Result<(), RpcError> =
                 self.client.call(Method::POST, &uri, Some(&call), NEXT).await;
             drop(answer);
         }
--- a/crates/heathpitch/src/command/error.rs
+++ b/crates/heathpitch/src/command/error.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use heathpitch_core::{Change, ConfigError, Revision, nearest};
-use heathpitch_net::EdgeError;
+use heathpitch_net::RpcError;
 
 use super::arguments::COMMANDS;
 
@@ -46,10 +46,10 @@
     Empty,
     /// The platform or a node cannot be reached.
     #[error("{what} cannot be reached: {source}")]
-    Unreached { what: &'static str, source: EdgeError },
+    Unreached { what: &'static str, source: RpcError },
     /// It is not known whether the change was stored.
     #[error("not known whether change {id} was stored: {source}; run `heathpitch get` later")]
-    Unknown { id: String, source: EdgeError },
+    Unknown { id: String, source: RpcError },
     /// The revision is not in force everywhere in time.
     #[error("revision {revision} is in force on {current} of {nodes} nodes after {seconds} s")]
     Late { revision: u64, current: usize, nodes: usize, seconds: u64 },
--- a/crates/heathpitch/src/command/fleet.rs
+++ b/crates/heathpitch/src/command/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use heathpitch_net::{Client, EdgeError};
+use heathpitch_net::{Client, RpcError};
 use hyper::Method;
 use serde::{Deserialize, Serialize};
 
@@ -196,7 +196,7 @@
     Ok(FleetStatus { nodes: nodes.into_values().collect(), upstreams })
 }
 
-async fn ask(client: &Client, address: &str) -> Result<NodeStatus, EdgeError> {
+async fn ask(client: &Client, address: &str) -> Result<NodeStatus, RpcError> {
     client.call(Method::GET, &format!("http://{address}/status"), None::<&()>, LIMIT).await
 }
 
--- a/crates/heathpitch/src/command/store.rs
+++ b/crates/heathpitch/src/command/store.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{Document, Name, Revision, diff, parse_document};
-use heathpitch_net::{Client, EdgeError, HttpPlatform, PlatformEdge, PutError, Stored};
+use heathpitch_net::{Client, HttpPlatform, PlatformClient, PutError, RpcError, Stored};
 
 use super::arguments::Arguments;
 use super::error::CommandError;
@@ -44,7 +44,7 @@
 
     /// The document that stands; an empty one at revision 0 if none does.
     pub(crate) async fn read(&self) -> Result<Standing, CommandError> {
-        let mut last = EdgeError::Lost("not tried".to_owned());
+        let mut last = RpcError::Lost("not tried".to_owned());
         for _ in 0..TRIES {
             match self.0.get(KEY).await {
                 Ok(Some(stored)) => return standing(&stored),
@@ -79,12 +79,12 @@
             source,
         })?;
         let mut unsure = false;
-        let mut last = EdgeError::Lost("not tried".to_owned());
+        let mut last = RpcError::Lost("not tried".to_owned());
         for _ in 0..TRIES {
             match self.0.put(KEY, base.revision, text.clone()).await {
                 Ok(revision) => return Ok(revision),
                 Err(PutError::Conflict(_)) => return self.settle(base, &id, unsure).await,
-                Err(PutError::Refused(e @ EdgeError::Status(400..=428 | 430..=499))) => {
+                Err(PutError::Refused(e @ RpcError::Status(400..=428 | 430..=499))) => {
                     return Err(CommandError::Unreached { what: "the platform", source: e });
                 }
                 Err(PutError::Refused(e)) => last = e,
@@ -102,7 +102,7 @@
     }
 
     /// Every answer was lost: the change is stored if it is found; if not, it may yet come.
-    async fn look_up(&self, id: &Name, last: EdgeError) -> Result<Revision, CommandError> {
+    async fn look_up(&self, id: &Name, last: RpcError) -> Result<Revision, CommandError> {
         match self.read().await {
             Ok(now) if now.document.changes.contains(id) => Ok(now.revision),
             _ => Err(CommandError::Unknown { id: id.to_string(), source: last }),
--- a/crates/heathpitchd/src/control/claims.rs
+++ b/crates/heathpitchd/src/control/claims.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use heathpitch_core::{Name, Revision};
-use heathpitch_net::{EdgeError, PutError};
+use heathpitch_net::{PutError, RpcError};
 use heathpitch_policy::{ClaimAction, ClaimEvent, ClaimPage, Verdict};
 use rand::Rng;
 use tokio::sync::oneshot;
@@ -74,7 +74,7 @@
     let answer = control.edges.platform.put(&key(page), expect, text).await;
     let counted = match &answer {
         Ok(_) | Err(PutError::Conflict(_)) => Ok(()),
-        Err(PutError::Refused(e) | PutError::Unsure(e)) => Err::<(), EdgeError>(e.clone()),
+        Err(PutError::Refused(e) | PutError::Unsure(e)) => Err::<(), RpcError>(e.clone()),
     };
     note(&control, "claims_write", &counted);
     let event = match answer {
--- a/crates/heathpitchd/src/control/config.rs
+++ b/crates/heathpitchd/src/control/config.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{Revision, Vm};
-use heathpitch_net::{EdgeError, Packed, VmList, deflate, inflate};
+use heathpitch_net::{Packed, RpcError, VmList, deflate, inflate};
 use heathpitch_policy::{Adoption, HealthEvent};
 
 use super::health;
@@ -96,7 +96,7 @@
 }
 
 /// Counts a call on the platform; logs when it begins or ceases to answer.
-pub(super) fn note<T>(control: &Control, call: &str, answer: &Result<T, EdgeError>) {
+pub(super) fn note<T>(control: &Control, call: &str, answer: &Result<T, RpcError>) {
     let result = if answer.is_ok() { "ok" } else { "error" };
     control.shared.metrics.platform.with_label_values(&[call, result]).inc();
     let reachable = answer.is_ok();
--- a/crates/heathpitchd/src/control/mod.rs
+++ b/crates/heathpitchd/src/control/mod.rs
@@ -17,7 +17,7 @@
 use std::thread;
 use std::time::Duration;
 
-use heathpitch_net::{Client, EngineEdge, PeerServer, PlatformEdge};
+use heathpitch_net::{Client, EngineClient, PeerServer, PlatformClient};
 use tokio::net::TcpListener;
 use tokio::runtime::Builder;
 use tokio::sync::{mpsc, watch};
@@ -41,8 +41,8 @@
 /// Edges that the controllers use.
 #[derive(Clone)]
 pub(crate) struct Edges {
-    pub(crate) engine: Arc<dyn EngineEdge>,
-    pub(crate) platform: Arc<dyn PlatformEdge>,
+    pub(crate) engine: Arc<dyn EngineClient>,
+    pub(crate) platform: Arc<dyn PlatformClient>,
     pub(crate) client: Client,
 }
 
--- a/crates/heathpitchd/src/filters/arrival.rs
+++ b/crates/heathpitchd/src/filters/arrival.rs
@@ -1,7 +1,7 @@
 //! What arrives from an engine, as the relay takes it.
 
 use heathpitch_core::{Attempt, Name};
-use heathpitch_net::{EdgeError, Frame, RefusalKind, SendError};
+use heathpitch_net::{Frame, RefusalKind, RpcError, SendError};
 use heathpitch_policy::{Broken, EndReason, RelayEvent};
 
 /// An event of an attempt, with what goes along with it.
@@ -23,7 +23,7 @@
                 (Broken::Refused, Some(said.engine.clone()), unfit.then_some(said.engine))
             }
             SendError::Fault(engine) => (Broken::Lost, Some(engine), None),
-            SendError::Edge(EdgeError::Connect(_)) => (Broken::Unsent, None, None),
+            SendError::Edge(RpcError::Connect(_)) => (Broken::Unsent, None, None),
             SendError::Edge(_) => (Broken::Lost, None, None),
         };
         let event = RelayEvent::Broken { attempt, how, engine };
@@ -32,7 +32,7 @@
 
     /// A frame, or the end of the stream without one.
     pub(crate) fn framed(
-        frame: Option<Result<Frame, EdgeError>>,
+        frame: Option<Result<Frame, RpcError>>,
         id: &str,
         current: Attempt,
     ) -> Self {
--- a/crates/heathpitchd/src/filters/keyed.rs
+++ b/crates/heathpitchd/src/filters/keyed.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{Incarnation, Name, NotRun, Outcome};
-use heathpitch_net::{Body, EdgeError, full};
+use heathpitch_net::{Body, RpcError, full};
 use heathpitch_policy::Record;
 use http_body_util::BodyExt;
 use hyper::header::{CONTENT_LENGTH, CONTENT_TYPE, HeaderValue, TRANSFER_ENCODING};
@@ -170,9 +170,9 @@
     let sent = tokio::time::timeout(OWNER, cx.traffic.client.send(request, true)).await;
     match sent {
         Ok(Ok(response)) => {
-            Ok(response.map(|b| b.map_err(|_| heathpitch_net::BodyError::CutOff).boxed_unsync()))
+            Ok(response.map(|b| b.map_err(|_| heathpitch_net::BodyError::Truncated).boxed_unsync()))
         }
-        Ok(Err(EdgeError::Connect(e) | EdgeError::Lost(e))) => Err(lost(e)),
+        Ok(Err(RpcError::Connect(e) | RpcError::Lost(e))) => Err(lost(e)),
         Ok(Err(e)) => Err(lost(e.to_string())),
         Err(_) => Err(lost("no answer in time".to_owned())),
     }
--- a/crates/heathpitchd/src/filters/probe.rs
+++ b/crates/heathpitchd/src/filters/probe.rs
@@ -5,7 +5,7 @@
 
 use futures::future::join_all;
 use heathpitch_core::{Name, Path};
-use heathpitch_net::EdgeError;
+use heathpitch_net::RpcError;
 use heathpitch_policy::{Sign, Upstream, suspects};
 
 use crate::traffic::Traffic;
@@ -33,7 +33,7 @@
         async move {
             let sign = match tokio::time::timeout(LIMIT, report).await {
                 Ok(Ok(_)) => Sign::Alive,
-                Ok(Err(EdgeError::Connect(_))) => Sign::Gone,
+                Ok(Err(RpcError::Connect(_))) => Sign::Gone,
                 Ok(Err(_)) | Err(_) => Sign::Late,
             };
             (engine, sign)
--- a/crates/heathpitchd/src/filters/service_run.rs
+++ b/crates/heathpitchd/src/filters/service_run.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use heathpitch_core::{Account, Attempt, Evidence, Index, Millis, Name, Outcome, Route};
-use heathpitch_net::{Body, EdgeError, Refusal as Said, full, read};
+use heathpitch_net::{Body, Refusal as Said, RpcError, full, read};
 use heathpitch_policy::{Broken, Record, Repeat, ServiceView};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, HOST, HeaderMap, TRANSFER_ENCODING};
 use hyper::{Request, Response, StatusCode};
@@ -184,7 +184,7 @@
         request.headers_mut().remove(hop);
     }
     let response = cx.traffic.client.send(request, true).await.map_err(|e| match e {
-        EdgeError::Connect(_) => Broken::Unsent,
+        RpcError::Connect(_) => Broken::Unsent,
         _ => Broken::Lost,
     })?;
     let status = response.status();
--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -139,7 +139,7 @@
             let detail = format!("the body has more than {} bytes", limits.body);
             Err(Refused::unsent(RefusedKind::TooLarge, id, detail))
         }
-        Ok(Err(e @ BodyError::CutOff)) => {
+        Ok(Err(e @ BodyError::Truncated)) => {
             Err(Refused::unsent(RefusedKind::CutBody, id, e.to_string()))
         }
         Err(_) => {
--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -314,7 +314,7 @@
                 self.unsent += 1;
                 self.seen.unsent();
                 view.tally.gauge().fail(now);
-                self.traffic.pool.forget(view.entry.address);
+                self.traffic.pool.close_idle(view.entry.address);
                 self.avoid.push(view.entry.id.clone());
                 RefusedKind::NoEngine
             }
@@ -330,10 +330,10 @@
                 self.avoid.push(none.engine.clone());
                 RefusedKind::NoEngine
             }
-            Failure::Refused { status, culprit } => {
+            Failure::Refused { status, faulty_address } => {
                 self.sends += 1;
                 self.seen.refused();
-                let at = culprit.unwrap_or(view.entry.address);
+                let at = faulty_address.unwrap_or(view.entry.address);
                 let blamed = self.blame(at, *status, now);
                 self.avoid.push(blamed.unwrap_or_else(|| view.entry.id.clone()));
                 RefusedKind::EnginesRefused
--- a/crates/heathpitchd/src/gateway/call/record.rs
+++ b/crates/heathpitchd/src/gateway/call/record.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use heathpitch_core::{Name, Path};
-use heathpitch_net::{Body, full, strip_hop};
+use heathpitch_net::{Body, full, strip_hop_by_hop};
 use hyper::Response;
 use hyper::http::response::Parts;
 
@@ -88,6 +88,6 @@
         pause_ms: 0,
     }
     .log();
-    strip_hop(&mut parts.headers);
+    strip_hop_by_hop(&mut parts.headers);
     Response::from_parts(parts, full(content))
 }
--- a/crates/heathpitchd/src/gateway/call/relay.rs
+++ b/crates/heathpitchd/src/gateway/call/relay.rs
@@ -19,7 +19,7 @@
     let first = now.saturating_sub(flow.call.received);
     flow.traffic.shared.metrics.first.observe(first as f64 / 1e3);
     let mut head = answer.parts.clone();
-    heathpitch_net::strip_hop(&mut head.headers);
+    heathpitch_net::strip_hop_by_hop(&mut head.headers);
     head.headers.remove(hyper::header::CONTENT_LENGTH);
     let relay = Relay { flow, source: Some(answer), first, last: now, pause: 0, ended: false };
     let events = stream::unfold(Some(relay), |relay| async {
@@ -67,7 +67,7 @@
                 }
                 Piece::Expired => {
                     self.finish(false);
-                    return Some(Err(BodyError::CutOff));
+                    return Some(Err(BodyError::Truncated));
                 }
                 Piece::Abandoned => self.replace().await,
                 Piece::Failed(why) => {
@@ -75,7 +75,7 @@
                     self.flow.fail(&why);
                     if !self.resume().await {
                         self.finish(false);
-                        return Some(Err(BodyError::CutOff));
+                        return Some(Err(BodyError::Truncated));
                     }
                 }
             }
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use heathpitch_core::Path;
 use heathpitch_net::{
-    AnswerHead, Connection, Dispatch, EdgeError, EngineWish, Pool, Reuse, SendFailure, full,
-    keep_time, read,
+    BackpressureSignal, Connection, Dispatch, Pool, ResponseHead, Reuse, RpcError, SendFailure,
+    full, keep_alive_timeout, read,
 };
 use heathpitch_policy::Wish;
 use hyper::body::Incoming;
@@ -25,7 +25,7 @@
 pub(crate) struct Answer {
     pub(crate) connection: Connection,
     pub(crate) parts: response::Parts,
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) body: Incoming,
 }
 
@@ -49,8 +49,8 @@
 }
 
 fn give_back(connection: Connection, parts: &response::Parts, pool: &Pool) {
-    if let Some(keep) = keep_time(&parts.headers) {
-        pool.give_back(connection, keep);
+    if let Some(keep) = keep_alive_timeout(&parts.headers) {
+        pool.release(connection, keep);
     }
 }
 
@@ -72,7 +72,7 @@
         /// Its status.
         status: StatusCode,
         /// Engine further on that is at fault.
-        culprit: Option<SocketAddr>,
+        faulty_address: Option<SocketAddr>,
     },
     /// It may have run.
     #[error("lost: {0}")]
@@ -127,7 +127,7 @@
     }
     let life = view.entry.born.unwrap_or_default();
     let connected = traffic.pool.connect(view.entry.address, life, reuse).await;
-    let mut connection = connected.map_err(|e: EdgeError| Failure::Unsent(e.to_string()))?;
+    let mut connection = connected.map_err(|e: RpcError| Failure::Unsent(e.to_string()))?;
     if connection.is_new() {
         traffic.shared.metrics.connections.inc();
     }
@@ -174,16 +174,17 @@
 
 /// Takes note of what an engine asks for in its answer to a call; of rest also where another engine of the path
 /// is at fault, which turned the call away.
-fn heed(shared: &Shared, said: Said<'_>, wish: &Wish, head: &AnswerHead) {
+fn heed(shared: &Shared, said: Said<'_>, wish: &Wish, head: &ResponseHead) {
     let engine = said.engine;
-    if shared.heed(said, head.wish, wish) {
+    if shared.heed(said, head.backpressure, wish) {
         shared.tell(Notice::Leaves(life(engine)));
     }
-    let elsewhere = |at: &SocketAddr| *at != engine.address && head.wish.rest.is_some();
-    let Some(culprit) = head.culprit.filter(elsewhere) else { return };
-    if let Some(other) = shared.table.load().at(culprit) {
+    let elsewhere = |at: &SocketAddr| *at != engine.address && head.backpressure.pause.is_some();
+    let Some(faulty_address) = head.faulty_address.filter(elsewhere) else { return };
+    if let Some(other) = shared.table.load().at(faulty_address) {
         let said = Said { engine: &other.entry, ..said };
-        let rest = EngineWish { rest: head.wish.rest, ..EngineWish::default() };
+        let rest =
+            BackpressureSignal { pause: head.backpressure.pause, ..BackpressureSignal::default() };
         shared.heed(said, rest, other.tally.wish());
     }
 }
@@ -193,9 +194,11 @@
 fn judge(answer: Answer) -> Result<Answer, Failure> {
     let status = answer.parts.status;
     match &answer.head {
-        h if !h.own => Err(Failure::Lost(format!("an answer of another call, status {status}"))),
-        h if h.not_run => Err(Failure::Refused { status, culprit: h.culprit }),
-        h if status.is_success() && !h.stamped => {
+        h if !h.id_matches => {
+            Err(Failure::Lost(format!("an answer of another call, status {status}")))
+        }
+        h if h.not_run => Err(Failure::Refused { status, faulty_address: h.faulty_address }),
+        h if status.is_success() && !h.digest_matches => {
             Err(Failure::Lost("a success without a digest".to_owned()))
         }
         _ => Ok(answer),
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -134,7 +134,7 @@
             trace.unsent += 1;
             trace.seen.unsent();
             view.tally.gauge().fail(traffic.shared.now());
-            traffic.pool.forget(view.entry.address);
+            traffic.pool.close_idle(view.entry.address);
             RefusedKind::NoEngine
         }
         Failure::Unwanted => {
--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{Millis, Revision, Violation, check};
-use heathpitch_net::{Found, Item, ItemChange, StoreError, Write};
+use heathpitch_net::{GetResponse, Item, ItemChange, StoreError, Write};
 
 use super::engine_list;
 use super::state::Control;
@@ -62,13 +62,13 @@
     let sent = control.now();
     let key = control.edges.dialect.config_key();
     match control.call("get", control.edges.store.get(key)).await {
-        Ok(Found { item: Some(item), at }) => {
+        Ok(GetResponse { item: Some(item), at }) => {
             if adopt(control, &item) {
                 prove(&control.shared.fresh, sent);
             }
             Some(at)
         }
-        Ok(Found { item: None, .. }) | Err(_) => None,
+        Ok(GetResponse { item: None, .. }) | Err(_) => None,
     }
 }
 
@@ -87,7 +87,7 @@
         };
         let watched = match answer {
             Ok(watched) => watched,
-            Err(StoreError::Forgotten) => return,
+            Err(StoreError::Compacted) => return,
             Err(_) => return tokio::time::sleep(RETRY).await,
         };
         for change in &watched.changes {
@@ -95,7 +95,7 @@
                 ItemChange::Put(item) if &*item.key == key => {
                     adopt(control, item);
                 }
-                ItemChange::Put(_) | ItemChange::Gone(_) => {}
+                ItemChange::Put(_) | ItemChange::Deleted(_) => {}
             }
         }
         at = watched.at;
@@ -120,7 +120,7 @@
             Some(_) | None => return false,
         },
         // What it was to hold for was read from another history.
-        Err(StoreError::Returned) => return read(control).await.is_some(),
+        Err(StoreError::Restored) => return read(control).await.is_some(),
         Err(_) => return false,
     }
     prove(&control.shared.fresh, sent);
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -146,7 +146,7 @@
         for change in watched.changes {
             match change {
                 ItemChange::Put(item) => items.push(item),
-                ItemChange::Gone(key) => gone.extend(id(control, &key)),
+                ItemChange::Deleted(key) => gone.extend(id(control, &key)),
             }
         }
         let changed = !items.is_empty() || !gone.is_empty();
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use heathpitch_core::{EngineEntry, EntryState, LayerRange, Millis, Name};
-use heathpitch_net::{DocumentError, EdgeError, EngineStatus, Item};
+use heathpitch_net::{DocumentError, EngineStatus, Item, RpcError};
 use heathpitch_policy::Word;
 
 use super::state::Control;
@@ -37,7 +37,7 @@
     tokio::task::spawn_local(async move {
         match ask(&control, &entry).await {
             Ok(status) => correct(&control, &entry, &status),
-            Err(EdgeError::Status(421)) => mark_replaced(&control, &entry.id),
+            Err(RpcError::Status(421)) => mark_replaced(&control, &entry.id),
             Err(e) => log::warn!("engine {} does not tell its state: {e}", entry.id),
         }
     });
@@ -48,19 +48,16 @@
 ///
 /// # Errors
 ///
-/// As [`Orders::status`](heathpitch_net::Orders::status), and [`EdgeError::Lost`] if the answer is of an
+/// As [`EngineControl::status`](heathpitch_net::EngineControl::status), and [`RpcError::Lost`] if the answer is of an
 /// older life than the one that is known.
-pub(super) async fn ask(
-    control: &Control,
-    engine: &EngineEntry,
-) -> Result<EngineStatus, EdgeError> {
+pub(super) async fn ask(control: &Control, engine: &EngineEntry) -> Result<EngineStatus, RpcError> {
     let sent = control.now();
     let answer = control.edges.orders.status(engine).await?;
     let status = control.heed(engine, "report", sent, answer);
     let word = control.lives.borrow_mut().hear(&engine.id, status.born, control.now());
     match word {
         Word::Current => {}
-        Word::Old => return Err(EdgeError::Lost("an answer of its last life".to_owned())),
+        Word::Old => return Err(RpcError::Lost("an answer of its last life".to_owned())),
         Word::Reborn => {
             begin_anew(control, &engine.id, status.born, "its own state");
             // Its entry says later what it holds; until then its own word does.
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -13,8 +13,8 @@
 
 use heathpitch_core::{Millis, Name};
 use heathpitch_net::{
-    EdgeError, FeedAsk, FeedClient, FeedEngines, FeedKnown, FeedMark, FeedNews, FeedTold, Item,
-    inflate_bytes, unpack,
+    FeedClient, FeedCursor, FeedEngines, FeedNotices, FeedRequest, FeedResponse, Item,
+    NoticeCursor, RpcError, inflate_bytes, unpack,
 };
 use heathpitch_policy::{DomainPlanner, Heard, Source};
 use rand::seq::IndexedRandom;
@@ -46,15 +46,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct NewsMarks {
     /// Up to where the other one knows what this node does.
-    told: FeedMark,
+    told: NoticeCursor,
     /// Up to where this node knows what the other one does.
-    known: FeedMark,
+    known: NoticeCursor,
 }
 
 impl NewsMarks {
     /// Takes the answer to a question that told up to `told`.
-    pub(super) fn answered(&mut self, told: FeedMark, answer: &FeedTold) {
-        *self = Self { told, known: answer.news_known };
+    pub(super) fn answered(&mut self, told: NoticeCursor, answer: &FeedResponse) {
+        *self = Self { told, known: answer.notice_cursor };
     }
 }
 
@@ -63,7 +63,7 @@
 struct Followed {
     node: Option<Name>,
     client: Option<FeedClient>,
-    known: FeedKnown,
+    known: FeedCursor,
     news: NewsMarks,
     /// Until when the list of engines that was told last is young enough.
     until: Millis,
@@ -109,7 +109,7 @@
 /// Asks one of the seeds who plans; lists and the configuration are left to planners.
 async fn ask_seed(control: &Control) {
     let Some(seed) = control.seeds.choose(&mut rand::rng()) else { return };
-    let (ask, _) = control.question(FeedKnown::default(), &NewsMarks::default(), true);
+    let (ask, _) = control.question(FeedCursor::default(), &NewsMarks::default(), true);
     let sent = control.now();
     let answer = async { FeedClient::open(seed.address, LIMIT).await?.ask(&ask, LIMIT).await };
     match answer.await {
@@ -145,7 +145,7 @@
     control: &Control,
     followed: &mut Followed,
     source: &Source,
-) -> Result<(Millis, FeedTold), EdgeError> {
+) -> Result<(Millis, FeedResponse), RpcError> {
     if followed.node.as_ref() != Some(&source.node) {
         *followed = Followed { node: Some(source.node.clone()), ..Followed::default() };
     }
@@ -176,7 +176,7 @@
     followed: &mut Followed,
     source: &Source,
     sent: Millis,
-    told: FeedTold,
+    told: FeedResponse,
 ) -> Heard {
     take_nodes(control, source, &told);
     control.hear_news(&told.news, sent, &source.node);
@@ -209,7 +209,7 @@
 }
 
 /// Takes what a node tells of nodes, which it may know though it does not hear from the store.
-fn take_nodes(control: &Control, source: &Source, told: &FeedTold) {
+fn take_nodes(control: &Control, source: &Source, told: &FeedResponse) {
     for p in &told.planners {
         let source = Source { node: p.node.clone(), address: p.address };
         nodes::meet(control, &p.domain, DomainPlanner { source, revision: p.revision });
@@ -233,13 +233,13 @@
     }
 }
 
-fn adopt(control: &Control, deflated: &Item) -> Result<(), EdgeError> {
+fn adopt(control: &Control, deflated: &Item) -> Result<(), RpcError> {
     let value = inflate_bytes(&deflated.value)?.into();
     config::adopt(control, &Item { value, ..deflated.clone() });
     Ok(())
 }
 
-fn take_engines(control: &Control, told: &FeedEngines) -> Result<(), EdgeError> {
+fn take_engines(control: &Control, told: &FeedEngines) -> Result<(), RpcError> {
     let (items, gone) = match told {
         FeedEngines::Whole(packed) => {
             let items = unpack(packed)?;
@@ -269,13 +269,13 @@
     /// A question to another node, and up to where it tells what this one learned of engines.
     pub(super) fn question(
         &self,
-        known: FeedKnown,
+        known: FeedCursor,
         marks: &NewsMarks,
         reports: bool,
-    ) -> (FeedAsk, FeedMark) {
+    ) -> (FeedRequest, NoticeCursor) {
         let settings = self.shared.settings.load();
         let (news, told) = self.news_since(marks.told);
-        let ask = FeedAsk {
+        let ask = FeedRequest {
             node: settings.node.clone(),
             address: self.shared.peer.unwrap_or(settings.listen),
             able: nodes::is_able(&settings),
@@ -285,23 +285,23 @@
             known,
             reports,
             news,
-            news_known: marks.known,
+            notice_cursor: marks.known,
         };
         (ask, told)
     }
 
     /// What others have not heard who know this node's news up to `known`; and up to where they do then.
-    pub(super) fn news_since(&self, known: FeedMark) -> (FeedNews, FeedMark) {
-        let known = if known.life == self.life { known } else { FeedMark::default() };
+    pub(super) fn news_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
+        let known = if known.life == self.life { known } else { NoticeCursor::default() };
         let (ends, ended) = self.ends_since(known.ends);
         let (leaves, left) = self.leaves_since(known.leaves);
         let (limits, limited) = self.limits_since(known.limits);
-        let mark = FeedMark { life: self.life, ends: ended, leaves: left, limits: limited };
-        (FeedNews { ends, leaves, limits }, mark)
+        let mark = NoticeCursor { life: self.life, ends: ended, leaves: left, limits: limited };
+        (FeedNotices { ends, leaves, limits }, mark)
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_news(&self, news: &FeedNews, sent: Millis, by: &Name) {
+    pub(super) fn hear_news(&self, news: &FeedNotices, sent: Millis, by: &Name) {
         self.hear_ends(&news.ends, sent, by);
         self.hear_leaves(&news.leaves, sent);
         self.hear_limits(&news.limits, sent);
--- a/crates/heathpitchd/src/gateway/control/looks.rs
+++ b/crates/heathpitchd/src/gateway/control/looks.rs
@@ -57,7 +57,7 @@
     let control = control.clone();
     spawn_local(async move {
         match control.check(&entry, &service.health).await {
-            Some(Ok(answer)) if !answer.said => {}
+            Some(Ok(answer)) if !answer.value => {}
             Some(Ok(_)) | None => return,
             Some(Err(e)) => {
                 return log::warn!("engine {} does not answer its check: {e}", entry.id);
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -11,7 +11,7 @@
 
 use futures::future::join_all;
 use heathpitch_core::{Millis, Name};
-use heathpitch_net::{EdgeError, FeedClient, FeedKnown, FeedTold};
+use heathpitch_net::{FeedClient, FeedCursor, FeedResponse, RpcError};
 use heathpitch_policy::Source;
 
 use super::feed::NewsMarks;
@@ -33,7 +33,7 @@
     /// Whether it answered last.
     answers: bool,
     client: Option<FeedClient>,
-    known: FeedKnown,
+    known: FeedCursor,
     news: NewsMarks,
     /// When it is asked next.
     next: Millis,
@@ -66,7 +66,7 @@
                 planner: planner.source.clone(),
                 answers: false,
                 client: None,
-                known: FeedKnown::default(),
+                known: FeedCursor::default(),
                 news: NewsMarks::default(),
                 next: 0,
             };
@@ -94,7 +94,7 @@
     control: &Control,
     domain: &Name,
     neighbour: &mut Neighbour,
-    told: &FeedTold,
+    told: &FeedResponse,
     sent: Millis,
 ) {
     neighbour.known = told.known;
@@ -106,7 +106,7 @@
 }
 
 /// Asks on the kept connection, or on a new one; one without an answer is not kept.
-async fn ask(control: &Control, neighbour: &mut Neighbour) -> Result<FeedTold, EdgeError> {
+async fn ask(control: &Control, neighbour: &mut Neighbour) -> Result<FeedResponse, RpcError> {
     let client = match neighbour.client.take() {
         Some(client) => client,
         None => FeedClient::open(neighbour.planner.address, LIMIT).await?,
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -135,9 +135,9 @@
         for change in &watched.changes {
             match change {
                 ItemChange::Put(item) => take(control, key, &mut holder, item),
-                ItemChange::Gone(gone) if &**gone == key => holder = None,
+                ItemChange::Deleted(gone) if &**gone == key => holder = None,
                 // A planner is asked until there is another one.
-                ItemChange::Gone(gone) => {
+                ItemChange::Deleted(gone) => {
                     quarantine::gone(control, gone);
                     limit_records::gone(control, gone);
                 }
@@ -169,7 +169,7 @@
         if result.is_ok() {
             control.lease_renewed(sent);
         }
-        if matches!(result, Err(StoreError::LeaseOver)) {
+        if matches!(result, Err(StoreError::LeaseExpired)) {
             resign(&control, "the lease is over");
         }
     }
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use heathpitch_core::{EngineEntry, LayerRange, LayeredModel, Millis, Violation, check};
-use heathpitch_net::{EdgeError, EngineStatus, Ordered, Release};
+use heathpitch_net::{EngineStatus, OrderOutcome, ReleaseMode, RpcError};
 use heathpitch_policy::{Assignment, LayoutReason};
 use tokio::task::spawn_local;
 
@@ -114,7 +114,7 @@
         }
         Ok(_) => {}
         // What it was ordered to hold went with it, if it has ended; it is looked at again, and asked then.
-        Err(EdgeError::Connect(e)) => {
+        Err(RpcError::Connect(e)) => {
             log::warn!("engine {} cannot be asked for the end of its order: {e}", engine.id);
             control.pending.borrow_mut().remove(&engine.id);
             looks::leave(&control, &engine.id, "a question finds no connection");
@@ -138,7 +138,7 @@
         let answer = control.edges.orders.place(engine, layers, release, orders).await;
         let result = answer.map(|answer| control.heed(engine, "order", sent, answer));
         let word = match &result {
-            Ok(Ordered::Taken) => "taken".to_owned(),
+            Ok(OrderOutcome::Taken) => "taken".to_owned(),
             Ok(other) => format!("{other:?}"),
             Err(e) => e.to_string(),
         };
@@ -147,40 +147,40 @@
         let id = engine.id.clone();
         GatewayEvent::LayersOrdered { engine: id, layers, reason, orders, result: word }.log();
         match result {
-            Ok(Ordered::Taken) => {
+            Ok(OrderOutcome::Taken) => {
                 control.orders.borrow_mut().insert(engine.id.clone(), orders + 1);
                 return Sent::Taken;
             }
-            Ok(Ordered::Conflict(_)) if !second => match stand(control, engine).await {
+            Ok(OrderOutcome::Conflict(_)) if !second => match stand(control, engine).await {
                 Some(status) if !status.busy && status.orders != orders => orders = status.orders,
                 Some(_) | None => return Sent::Busy,
             },
             // Nothing was sent. Counted as taken it would stand in for layers that nobody loads, for as long as
             // the engine's entry stays.
-            Err(EdgeError::Connect(_)) => {
+            Err(RpcError::Connect(_)) => {
                 looks::leave(control, &engine.id, "an order finds no connection");
                 return Sent::Refused;
             }
             // An order without an answer may still be carried out: it stays pending.
             Err(_) => return Sent::Taken,
-            Ok(Ordered::Conflict(_)) => return Sent::Busy,
-            Ok(Ordered::Unknown | Ordered::Refused(_)) => return Sent::Refused,
+            Ok(OrderOutcome::Conflict(_)) => return Sent::Busy,
+            Ok(OrderOutcome::Unknown | OrderOutcome::Refused(_)) => return Sent::Refused,
         }
     }
     Sent::Refused
 }
 
 /// How layers are given up: at once by a stand-in that has to close a gap.
-fn release(reason: LayoutReason, main: bool) -> Release {
+fn release(reason: LayoutReason, main: bool) -> ReleaseMode {
     match reason {
-        LayoutReason::Gap if !main => Release::Cut,
+        LayoutReason::Gap if !main => ReleaseMode::Immediate,
         LayoutReason::Gap
         | LayoutReason::Fresh
         | LayoutReason::Reorder
         | LayoutReason::Relief
         | LayoutReason::Trim
         | LayoutReason::StandIn
-        | LayoutReason::Even => Release::Wait,
+        | LayoutReason::Even => ReleaseMode::Drain,
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use heathpitch_core::{EngineEntry, Millis, Name, RequestPrint, Revision};
-use heathpitch_net::{FeedEnd, Item, StoreError, Write};
+use heathpitch_net::{FeedExit, Item, StoreError, Write};
 use heathpitch_policy::{End, EngineLife, has_just_begun};
 
 use super::looks;
@@ -116,9 +116,9 @@
 /// # What nodes tell each other
 impl Control {
     /// Ends that others have not heard of who know this node's up to `serial`; and up to where they do then.
-    pub(super) fn ends_since(&self, serial: u64) -> (Vec<FeedEnd>, u64) {
+    pub(super) fn ends_since(&self, serial: u64) -> (Vec<FeedExit>, u64) {
         let (ends, upto) = self.quarantine.borrow().since(serial, TOLD_MOST, self.now());
-        let told = ends.into_iter().map(|(end, age_ms)| FeedEnd {
+        let told = ends.into_iter().map(|(end, age_ms)| FeedExit {
             print: end.print,
             engine: end.life.engine,
             born: end.life.born,
@@ -131,7 +131,7 @@
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_ends(&self, ends: &[FeedEnd], sent: Millis, by: &Name) {
+    pub(super) fn hear_ends(&self, ends: &[FeedExit], sent: Millis, by: &Name) {
         let mut new = 0;
         for told in ends {
             let life = EngineLife { engine: told.engine.clone(), born: told.born };
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{LayeredModel, Millis, Name, Path, Stage};
-use heathpitch_net::{EdgeError, Ordered};
+use heathpitch_net::{OrderOutcome, RpcError};
 use heathpitch_policy::{Search, find_near_chain};
 use tokio::task::spawn_local;
 
@@ -183,9 +183,9 @@
         let entry = control.entries.borrow().get(&engine).cloned();
         let result = answer.map(|answer| match entry {
             Some(entry) => control.heed(&entry, "order", sent, answer),
-            None => answer.said,
+            None => answer.value,
         });
-        let label = if matches!(result, Ok(Ordered::Taken)) { "taken" } else { "failed" };
+        let label = if matches!(result, Ok(OrderOutcome::Taken)) { "taken" } else { "failed" };
         control.shared.metrics.orders.with_label_values(&["reroute", label]).inc();
         GatewayEvent::CallRerouted {
             request: live.request.to_string(),
@@ -196,8 +196,8 @@
         }
         .log();
         match result {
-            Ok(Ordered::Taken) => live.route(new, control.now()),
-            Ok(Ordered::Conflict(Some(address))) => {
+            Ok(OrderOutcome::Taken) => live.route(new, control.now()),
+            Ok(OrderOutcome::Conflict(Some(address))) => {
                 crowd(&control, address);
                 let doublings = refused.get().min(MOVE_DOUBLINGS);
                 refused.set(doublings + 1);
@@ -208,7 +208,7 @@
     });
 }
 
-fn said(result: &Result<Ordered, EdgeError>) -> String {
+fn said(result: &Result<OrderOutcome, RpcError>) -> String {
     match result {
         Ok(ordered) => format!("{ordered:?}"),
         Err(e) => e.to_string(),
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{EngineEntry, Millis, Name, Rate};
-use heathpitch_net::{EdgeError, FeedClient, FeedLimit, RightAsk, RightTold};
+use heathpitch_net::{FeedClient, FeedLimit, RightsRequest, RightsResponse, RpcError};
 use heathpitch_policy::{EngineLife, EngineLimit, LimitEntry, LimitTold, Right, Source};
 use rand::Rng;
 use tokio::task::spawn_local;
@@ -146,22 +146,22 @@
     }
 
     /// Hands out rights to a node that asks for them.
-    pub(super) fn hand_out(&self, ask: &RightAsk) -> RightTold {
+    pub(super) fn hand_out(&self, ask: &RightsRequest) -> RightsResponse {
         let now = self.now();
         self.hear_limits(std::slice::from_ref(&ask.limit), now);
         if !self.hands_out() {
-            return RightTold::default();
+            return RightsResponse::default();
         }
         let life = EngineLife { engine: ask.limit.engine.clone(), born: ask.limit.born };
         let limit = self.limits.borrow().of(&life);
         let Some((rate, _)) = limit else {
             // Its limit is over, as the one asking will hear.
-            return RightTold { active: true, given: ask.wanted, wait_ms: 0 };
+            return RightsResponse { active: true, given: ask.wanted, wait_ms: 0 };
         };
         let draw = rand::rng().random_range(0.0..1.0);
         let mut rights = self.rights.borrow_mut();
         let grant = rights.hand_out(&life, rate, &ask.node, ask.wanted, draw, now);
-        RightTold { active: true, given: grant.given, wait_ms: grant.wait }
+        RightsResponse { active: true, given: grant.given, wait_ms: grant.wait }
     }
 }
 
@@ -207,7 +207,7 @@
     let sent = control.now();
     let wish = control.wish_of(engine);
     let (rate, age_ms) = (wish.limit().rate(), wish.limit().age(sent));
-    let ask = RightAsk {
+    let ask = RightsRequest {
         node: control.node(),
         limit: FeedLimit { engine: engine.id.clone(), born: engine.born, rate, age_ms },
         wanted: count,
@@ -217,9 +217,9 @@
         false => ask_planner(control, &engine.domain, &ask).await,
     };
     let granted = match told {
-        Ok(RightTold { active: false, .. }) | Err(_) => Granted::Nobody,
-        Ok(RightTold { given: 0, wait_ms, .. }) => Granted::Wait(wait_ms),
-        Ok(RightTold { given, .. }) => Granted::Given(given, sent),
+        Ok(RightsResponse { active: false, .. }) | Err(_) => Granted::Nobody,
+        Ok(RightsResponse { given: 0, wait_ms, .. }) => Granted::Wait(wait_ms),
+        Ok(RightsResponse { given, .. }) => Granted::Given(given, sent),
     };
     let label = match granted {
         Granted::Given(..) => "given",
@@ -234,9 +234,9 @@
 async fn ask_planner(
     control: &Control,
     domain: &Name,
-    ask: &RightAsk,
-) -> Result<RightTold, EdgeError> {
-    let none = || EdgeError::Connect("no planner is known, or it did not answer".to_owned());
+    ask: &RightsRequest,
+) -> Result<RightsResponse, RpcError> {
+    let none = || RpcError::Connect("no planner is known, or it did not answer".to_owned());
     let planner = control.sources.borrow().planner(domain).map(|p| p.source.clone());
     let (Some(planner), Some(_)) = (planner, control.shared.peer) else { return Err(none()) };
     let kept = {
@@ -272,8 +272,8 @@
 async fn asked(
     kept: Option<Rc<FeedClient>>,
     planner: &Source,
-    ask: &RightAsk,
-) -> Result<(RightTold, Rc<FeedClient>), EdgeError> {
+    ask: &RightsRequest,
+) -> Result<(RightsResponse, Rc<FeedClient>), RpcError> {
     if let Some(client) = kept {
         match client.right(ask, LIMIT).await {
             Ok(told) => return Ok((told, client)),
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -57,7 +57,7 @@
         prefix: &str,
         after: Revision,
         wait: Millis,
-    ) -> Result<heathpitch_net::Watched, StoreError> {
+    ) -> Result<heathpitch_net::WatchResponse, StoreError> {
         let sent = self.now();
         let result = self.edges.store.watch(prefix, after, wait).await;
         match &result {
@@ -120,10 +120,10 @@
         let (word, answers) = match result {
             Ok(_) => ("ok", true),
             Err(StoreError::Conflict(_)) => ("conflict", true),
-            Err(StoreError::Forgotten) => ("forgotten", true),
-            Err(StoreError::LeaseOver) => ("lease_over", true),
+            Err(StoreError::Compacted) => ("forgotten", true),
+            Err(StoreError::LeaseExpired) => ("lease_over", true),
             // Nothing was asked.
-            Err(StoreError::Returned) => return,
+            Err(StoreError::Restored) => return,
             Err(StoreError::Refused(_)) => ("refused", false),
             Err(StoreError::Edge(_)) => ("lost", false),
         };
--- a/crates/heathpitchd/src/gateway/control/suspended.rs
+++ b/crates/heathpitchd/src/gateway/control/suspended.rs
@@ -24,7 +24,7 @@
         let now = control.now();
         let (proof_ms, list_ms) = (shared.fresh.load().age(now), shared.listed.load().age(now));
         GatewayEvent::VmSuspended { ms, proof_ms, list_ms }.log();
-        shared.pool.forget_all();
+        shared.pool.close_all_idle();
         shared.resume();
         // Whoever waits for a turn, for the store's return or for its next try looks again.
         control.turned.notify_waiters();
--- a/crates/heathpitchd/src/gateway/control/tell.rs
+++ b/crates/heathpitchd/src/gateway/control/tell.rs
@@ -9,7 +9,8 @@
 use bytes::Bytes;
 use heathpitch_core::{Millis, Revision, VmSize};
 use heathpitch_net::{
-    EdgeError, FeedAsk, FeedEngines, FeedKnown, FeedPlanner, FeedTold, Item, deflate_bytes, pack,
+    FeedCursor, FeedEngines, FeedPlanner, FeedRequest, FeedResponse, Item, RpcError, deflate_bytes,
+    pack,
 };
 use heathpitch_policy::{Bucket, Source};
 
@@ -53,16 +54,16 @@
 }
 
 /// Answers a node.
-pub(super) fn answer(control: &Control, ask: FeedAsk) -> FeedTold {
+pub(super) fn answer(control: &Control, ask: FeedRequest) -> FeedResponse {
     // It cannot have been sent later than it came.
     control.hear_news(&ask.news, control.now(), &ask.node);
-    let (news, news_known) = control.news_since(ask.news_known);
+    let (news, notice_cursor) = control.news_since(ask.notice_cursor);
     let told = answer_only(control, ask);
-    FeedTold { news, news_known, ..told }
+    FeedResponse { news, notice_cursor, ..told }
 }
 
-fn answer_only(control: &Control, ask: FeedAsk) -> FeedTold {
-    let known = if ask.known.life == control.life { ask.known } else { FeedKnown::default() };
+fn answer_only(control: &Control, ask: FeedRequest) -> FeedResponse {
+    let known = if ask.known.life == control.life { ask.known } else { FeedCursor::default() };
     if ask.reports {
         return near_reports(control, known);
     }
@@ -76,14 +77,14 @@
 }
 
 /// Reports of this failure domain's engines, for the planner of another one.
-fn near_reports(control: &Control, known: FeedKnown) -> FeedTold {
+fn near_reports(control: &Control, known: FeedCursor) -> FeedResponse {
     let (reports, reported) = reports::told(control, Some(&control.domain()), known.reported);
-    let known = FeedKnown { life: control.life, reported, ..FeedKnown::default() };
-    FeedTold { known, reports, ..nodes(control) }
+    let known = FeedCursor { life: control.life, reported, ..FeedCursor::default() };
+    FeedResponse { known, reports, ..nodes(control) }
 }
 
 /// What this node knows of nodes, whether or not it hears from the store.
-fn nodes(control: &Control) -> FeedTold {
+fn nodes(control: &Control) -> FeedResponse {
     if control.plans() {
         let standbys = control.followers.borrow_mut().standbys(control.now());
         control.sources.borrow_mut().stand_by(standbys);
@@ -97,23 +98,23 @@
     });
     let standbys = sources.standbys().iter().map(|s| (s.node.clone(), s.address));
     let fleet = control.fleet.get();
-    FeedTold {
+    FeedResponse {
         planners: planners.collect(),
         standbys: standbys.collect(),
         vacant: control.vacant.get(),
         nodes: fleet.map_or(0, |f| f.nodes),
         beside: fleet.map_or(0, |f| f.beside),
-        ..FeedTold::default()
+        ..FeedResponse::default()
     }
 }
 
 /// Adds what the store holds, if this node knows it young enough and its link has room.
 fn fill(
     control: &Control,
-    ask: &FeedAsk,
-    known: FeedKnown,
-    told: &mut FeedTold,
-) -> Result<(), EdgeError> {
+    ask: &FeedRequest,
+    known: FeedCursor,
+    told: &mut FeedResponse,
+) -> Result<(), RpcError> {
     let (shared, now) = (&control.shared, control.now());
     let config = match control.has_newer(ask) {
         true => config(control)?,
@@ -139,7 +140,7 @@
     let (reports, reported) = reports::told(control, None, known.reported);
     let serial = control.mirror.borrow().serial();
     told.live = true;
-    told.known = FeedKnown { life: control.life, serial, reported };
+    told.known = FeedCursor { life: control.life, serial, reported };
     told.revision = control.revision();
     (told.proof_ms, told.list_ms) = (proof_ms, list_ms);
     (told.engines, told.config, told.reports) = (engines, config, reports);
@@ -147,7 +148,7 @@
 }
 
 /// What changed since a serial; nothing for one who has the same, whomever it heard it from.
-fn engines(control: &Control, digest: u64, serial: u64) -> Result<FeedEngines, EdgeError> {
+fn engines(control: &Control, digest: u64, serial: u64) -> Result<FeedEngines, RpcError> {
     let mirror = control.mirror.borrow();
     if digest == mirror.digest() {
         return Ok(FeedEngines::default());
@@ -168,7 +169,7 @@
 }
 
 /// The configuration in force, its value deflated.
-fn config(control: &Control) -> Result<Option<Item>, EdgeError> {
+fn config(control: &Control) -> Result<Option<Item>, RpcError> {
     let document = control.document.borrow();
     let Some(item) = &*document else { return Ok(None) };
     let mut kept = control.large.config.borrow_mut();
@@ -182,7 +183,7 @@
 /// # Revision
 impl Control {
     /// Whether the configuration in force is newer than that of a node that asks.
-    fn has_newer(&self, ask: &FeedAsk) -> bool {
+    fn has_newer(&self, ask: &FeedRequest) -> bool {
         let (revision, version) = (self.revision(), self.version());
         match revision.era() == ask.revision.era() {
             true => ask.revision < revision,
--- a/crates/heathpitchd/src/gateway/control/wishes.rs
+++ b/crates/heathpitchd/src/gateway/control/wishes.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use heathpitch_core::{EngineEntry, EntryState, Millis};
-use heathpitch_net::{Answered, EdgeError, EngineWish, FeedLeave, LimitWord};
+use heathpitch_net::{AdvertisedLimit, BackpressureSignal, EngineResponse, FeedDrain, RpcError};
 use heathpitch_policy::{EngineLife, Wish};
 
 use super::engines;
@@ -32,24 +32,26 @@
         engine: &EngineEntry,
         of: &'static str,
         sent: Millis,
-        answer: Answered<T>,
+        answer: EngineResponse<T>,
     ) -> T {
-        let Answered { said, status, wish: asked } = answer;
+        let EngineResponse { value, status, backpressure: asked } = answer;
         let wish = self.wish_of(engine);
         let limit = match asked.limit {
             // Until one did, nothing says that answers to questions name it as those to calls do.
-            LimitWord::Unlimited if !wish.limit().is_named_aside() => LimitWord::Unknown,
+            AdvertisedLimit::Unlimited if !wish.limit().is_named_aside() => {
+                AdvertisedLimit::Unknown
+            }
             word => word,
         };
-        if matches!(limit, LimitWord::Named(_)) {
+        if matches!(limit, AdvertisedLimit::Named(_)) {
             wish.limit().name_aside();
         }
-        let asked = EngineWish { limit, ..asked };
+        let asked = BackpressureSignal { limit, ..asked };
         let heard = Said { engine, of, status, sent };
         if self.shared.heed(heard, asked, &wish) {
             self.engine_leaves(&life(engine));
         }
-        said
+        value
     }
 
     /// What an engine asked this node for.
@@ -77,7 +79,7 @@
         &self,
         engine: &EngineEntry,
         path: &str,
-    ) -> Option<Result<Answered<bool>, EdgeError>> {
+    ) -> Option<Result<EngineResponse<bool>, RpcError>> {
         let mut right = rights::right(self, engine).await.ok()?;
         let entered = self.wish_of(engine).enter_check(right.as_mut(), self.now())?;
         let sent = self.now();
@@ -117,9 +119,9 @@
 impl Control {
     /// Engines that leave by their own word, which others have not heard who know them up to `serial`; and up to
     /// where they do then.
-    pub(super) fn leaves_since(&self, serial: u64) -> (Vec<FeedLeave>, u64) {
+    pub(super) fn leaves_since(&self, serial: u64) -> (Vec<FeedDrain>, u64) {
         let (new, upto) = self.leavers.borrow().since(serial, TOLD_MOST, self.now());
-        let told = new.into_iter().map(|(life, age_ms)| FeedLeave {
+        let told = new.into_iter().map(|(life, age_ms)| FeedDrain {
             engine: life.engine,
             born: life.born,
             age_ms,
@@ -128,7 +130,7 @@
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_leaves(&self, leaves: &[FeedLeave], sent: Millis) {
+    pub(super) fn hear_leaves(&self, leaves: &[FeedDrain], sent: Millis) {
         let late = self.now().saturating_sub(sent);
         let mut changed = false;
         for told in leaves {
@@ -162,7 +164,7 @@
     }
     let Some(service) = control.service(&entry.service) else { return };
     match control.check(&entry, &service.health).await {
-        Some(Ok(answer)) if answer.said && !answer.wish.leaves => {}
+        Some(Ok(answer)) if answer.value && !answer.backpressure.draining => {}
         Some(Ok(_)) | None => return,
         Some(Err(e)) => return log::info!("engine {} does not answer its check: {e}", entry.id),
     }
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -6,7 +6,7 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use heathpitch_core::{Catalog, EngineEntry, GatewaySettings, Millis, Name, RequestPrint};
-use heathpitch_net::{Dialect, Orders, Pool, Store};
+use heathpitch_net::{Dialect, EngineControl, Pool, Store};
 use heathpitch_policy::{EngineLife, Freshness};
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -83,7 +83,7 @@
     /// Its documents and heads.
     pub dialect: Arc<dyn Dialect>,
     /// Orders to engines.
-    pub orders: Arc<dyn Orders>,
+    pub orders: Arc<dyn EngineControl>,
 }
 
 impl std::fmt::Debug for Edges {
--- a/crates/heathpitchd/src/gateway/wishes.rs
+++ b/crates/heathpitchd/src/gateway/wishes.rs
@@ -1,7 +1,7 @@
 //! What engines ask for in their answers, taken note of the same way whoever reads them.
 
 use heathpitch_core::{EngineEntry, Millis};
-use heathpitch_net::{EngineWish, LimitWord};
+use heathpitch_net::{AdvertisedLimit, BackpressureSignal};
 use heathpitch_policy::Wish;
 use rand::Rng;
 
@@ -28,32 +28,32 @@
     ///
     /// From here on it binds all that goes to the engine from this node, before any other node or controller
     /// has heard of it.
-    pub(crate) fn heed(&self, said: Said<'_>, asked: EngineWish, wish: &Wish) -> bool {
+    pub(crate) fn heed(&self, said: Said<'_>, asked: BackpressureSignal, wish: &Wish) -> bool {
         let Said { engine, of, status, sent } = said;
         let now = self.now();
         let limited = match asked.limit {
-            LimitWord::Unknown => false,
-            LimitWord::Unlimited => wish.limit().omit(sent, now),
-            LimitWord::Named(rate) => {
+            AdvertisedLimit::Unknown => false,
+            AdvertisedLimit::Unlimited => wish.limit().omit(sent, now),
+            AdvertisedLimit::Named(rate) => {
                 self.metrics.wishes.with_label_values(&["limit"]).inc();
                 wish.limit().name(rate, sent, now)
             }
         };
-        if let Some(time) = asked.rest {
+        if let Some(time) = asked.pause {
             wish.rest(time, rand::rng().random_range(0.0..1.0), now);
             self.metrics.wishes.with_label_values(&["rest"]).inc();
         }
-        let leaves = asked.leaves && wish.leave();
-        if asked.leaves {
+        let leaves = asked.draining && wish.leave();
+        if asked.draining {
             self.metrics.wishes.with_label_values(&["leave"]).inc();
         }
-        if leaves || limited || asked.rest.is_some() {
+        if leaves || limited || asked.pause.is_some() {
             GatewayEvent::EngineWished {
                 engine: engine.id.clone(),
                 answer: of.to_owned(),
                 status,
-                rest_ms: asked.rest,
-                leaves: asked.leaves,
+                rest_ms: asked.pause,
+                leaves: asked.draining,
                 limit: wish.limit().rate(),
             }
             .log();
--- a/crates/heathpitchd/src/traffic.rs
+++ b/crates/heathpitchd/src/traffic.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use heathpitch_core::Name;
-use heathpitch_net::{Body, Client, EngineEdge, json};
+use heathpitch_net::{Body, Client, EngineClient, json};
 use heathpitch_policy::{Gate, Ledger, Meter, RetryBudget, Ticket};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
@@ -25,7 +25,7 @@
 /// What traffic threads share among themselves.
 pub(crate) struct Traffic {
     pub(crate) shared: Arc<Shared>,
-    pub(crate) engine: Arc<dyn EngineEdge>,
+    pub(crate) engine: Arc<dyn EngineClient>,
     pub(crate) client: Client,
     pub(crate) limits: Mutex<Limits>,
     pub(crate) ledger: Mutex<Ledger>,
@@ -33,7 +33,7 @@
 
 impl Traffic {
     /// Traffic that has seen no request.
-    pub(crate) fn new(shared: Arc<Shared>, engine: Arc<dyn EngineEdge>, client: Client) -> Self {
+    pub(crate) fn new(shared: Arc<Shared>, engine: Arc<dyn EngineClient>, client: Client) -> Self {
         let (limits, ledger) = (Mutex::default(), Mutex::default());
         Self { shared, engine, client, limits, ledger }
     }
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -19,7 +19,7 @@
     TooLarge,
     /// The other side went away.
     #[error("the body was cut off")]
-    CutOff,
+    Truncated,
 }
 
 /// A body of nothing.
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// [`BodyError::TooLarge`] beyond the bound, [`BodyError::CutOff`] if it ends early.
+/// [`BodyError::TooLarge`] beyond the bound, [`BodyError::Truncated`] if it ends early.
 pub async fn read<B>(body: B, most: usize) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
@@ -63,6 +63,6 @@
     match Limited::new(body, most).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLarge),
-        Err(_) => Err(BodyError::CutOff),
+        Err(_) => Err(BodyError::Truncated),
     }
 }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::{Body, EdgeError, body};
+use crate::{Body, RpcError, body};
 
 /// Time to make a connection.
 const CONNECT: Duration = Duration::from_millis(500);
@@ -59,18 +59,18 @@
 
     /// A client with no connections yet.
     pub fn new() -> Self {
-        Self::keeping(IDLE_TIME)
+        Self::with_idle_timeout(IDLE_TIME)
     }
 
     /// A client that keeps idle connections for `keep`.
-    pub fn keeping(keep: Duration) -> Self {
+    pub fn with_idle_timeout(keep: Duration) -> Self {
         let pooled = Arc::new(Mutex::new(build(IDLE, keep)));
         Self { pooled, keep, single: build(0, keep), bytes: Arc::default() }
     }
 
     /// Closes all idle connections: after one got no answer, others may be dead as well, and each would
     /// cost the limit of another call.
-    pub fn forget(&self) {
+    pub fn close_idle(&self) {
         *self.pooled.lock() = build(IDLE, self.keep);
     }
 }
@@ -91,17 +91,17 @@
 impl Client {
     /// Sends a request and waits for the head of the response.
     ///
-    /// With `fresh`, a connection of its own is made, so that [`EdgeError::Connect`] proves that
+    /// With `fresh`, a connection of its own is made, so that [`RpcError::Connect`] proves that
     /// nothing left this process.
     ///
     /// # Errors
     ///
-    /// [`EdgeError::Connect`] or [`EdgeError::Lost`].
-    pub async fn send(&self, request: Request<Body>, fresh: bool) -> Result<Response, EdgeError> {
+    /// [`RpcError::Connect`] or [`RpcError::Lost`].
+    pub async fn send(&self, request: Request<Body>, fresh: bool) -> Result<Response, RpcError> {
         let client = if fresh { self.single.clone() } else { self.pooled.lock().clone() };
         client.request(request).await.map_err(|e| match e.is_connect() {
-            true => EdgeError::Connect(chain(&e)),
-            false => EdgeError::Lost(chain(&e)),
+            true => RpcError::Connect(chain(&e)),
+            false => RpcError::Lost(chain(&e)),
         })
     }
 
@@ -109,18 +109,18 @@
     ///
     /// # Errors
     ///
-    /// Any [`EdgeError`]; [`EdgeError::Status`] for a status other than 200.
+    /// Any [`RpcError`]; [`RpcError::Status`] for a status other than 200.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
         uri: &str,
         content: Option<&Q>,
         limit: Duration,
-    ) -> Result<A, EdgeError> {
+    ) -> Result<A, RpcError> {
         let (status, bytes) = self.exchange(method, uri, content, limit).await?;
         match status {
             200 => parse(&bytes),
-            other => Err(EdgeError::Status(other)),
+            other => Err(RpcError::Status(other)),
         }
     }
 
@@ -128,15 +128,15 @@
     ///
     /// # Errors
     ///
-    /// Any [`EdgeError`] but [`EdgeError::Status`].
+    /// Any [`RpcError`] but [`RpcError::Status`].
     pub async fn exchange<Q: Serialize>(
         &self,
         method: Method,
         uri: &str,
         content: Option<&Q>,
         limit: Duration,
-    ) -> Result<(u16, Bytes), EdgeError> {
-        let (parts, bytes) = self.exchange_whole(method, uri, content, limit).await?;
+    ) -> Result<(u16, Bytes), RpcError> {
+        let (parts, bytes) = self.exchange_with_head(method, uri, content, limit).await?;
         Ok((parts.status.as_u16(), bytes))
     }
 
@@ -145,13 +145,13 @@
     /// # Errors
     ///
     /// As [`Client::exchange`].
-    pub async fn exchange_whole<Q: Serialize>(
+    pub async fn exchange_with_head<Q: Serialize>(
         &self,
         method: Method,
         uri: &str,
         content: Option<&Q>,
         limit: Duration,
-    ) -> Result<(Parts, Bytes), EdgeError> {
+    ) -> Result<(Parts, Bytes), RpcError> {
         let sent = content.map_or_else(Vec::new, |c| serde_json::to_vec(c).unwrap_or_default());
         self.bytes.fetch_add((sent.len() + HEAD_BYTES) as u64, Relaxed);
         let request = request(method, uri, body::full(sent))?;
@@ -164,11 +164,11 @@
                     self.bytes.fetch_add(bytes.len() as u64, Relaxed);
                     Ok((parts, bytes))
                 }
-                Err(body::BodyError::TooLarge) => Err(EdgeError::TooLarge(MAX_JSON)),
-                Err(e) => Err(EdgeError::Lost(e.to_string())),
+                Err(body::BodyError::TooLarge) => Err(RpcError::TooLarge(MAX_JSON)),
+                Err(e) => Err(RpcError::Lost(e.to_string())),
             }
         };
-        let late = |_| EdgeError::Lost("no answer in time".to_owned());
+        let late = |_| RpcError::Lost("no answer in time".to_owned());
         tokio::time::timeout(limit, work).await.map_err(late)?
     }
 }
@@ -180,16 +180,16 @@
 }
 
 /// A request with a JSON body.
-pub(crate) fn request(method: Method, uri: &str, body: Body) -> Result<Request<Body>, EdgeError> {
+pub(crate) fn request(method: Method, uri: &str, body: Body) -> Result<Request<Body>, RpcError> {
     Request::builder()
         .method(method)
         .uri(uri)
         .header(hyper::header::CONTENT_TYPE, "application/json")
         .body(body)
-        .map_err(|e| EdgeError::Malformed(e.to_string()))
+        .map_err(|e| RpcError::Malformed(e.to_string()))
 }
 
 /// JSON of an answer.
-pub(crate) fn parse<A: DeserializeOwned>(bytes: &[u8]) -> Result<A, EdgeError> {
-    serde_json::from_slice(bytes).map_err(|e| EdgeError::Malformed(e.to_string()))
+pub(crate) fn parse<A: DeserializeOwned>(bytes: &[u8]) -> Result<A, RpcError> {
+    serde_json::from_slice(bytes).map_err(|e| RpcError::Malformed(e.to_string()))
 }
--- a/crates/net/src/deflate.rs
+++ b/crates/net/src/deflate.rs
@@ -6,7 +6,7 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-use crate::EdgeError;
+use crate::RpcError;
 
 /// Most bytes that are inflated.
 const MAX_PLAIN: usize = 4 << 20;
@@ -20,33 +20,33 @@
 ///
 /// # Errors
 ///
-/// [`EdgeError::Malformed`] or [`EdgeError::TooLarge`].
-pub fn inflate(bytes: &[u8]) -> Result<String, EdgeError> {
-    String::from_utf8(inflate_bytes(bytes)?).map_err(|e| EdgeError::Malformed(e.to_string()))
+/// [`RpcError::Malformed`] or [`RpcError::TooLarge`].
+pub fn inflate(bytes: &[u8]) -> Result<String, RpcError> {
+    String::from_utf8(inflate_bytes(bytes)?).map_err(|e| RpcError::Malformed(e.to_string()))
 }
 
 /// Deflates bytes.
 ///
 /// # Errors
 ///
-/// [`EdgeError::Malformed`] if the encoder fails.
-pub fn deflate_bytes(bytes: &[u8]) -> Result<Vec<u8>, EdgeError> {
+/// [`RpcError::Malformed`] if the encoder fails.
+pub fn deflate_bytes(bytes: &[u8]) -> Result<Vec<u8>, RpcError> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let written = encoder.write_all(bytes).and_then(|()| encoder.finish());
-    written.map_err(|e| EdgeError::Malformed(e.to_string()))
+    written.map_err(|e| RpcError::Malformed(e.to_string()))
 }
 
 /// Inflates at most four megabytes.
 ///
 /// # Errors
 ///
-/// [`EdgeError::Malformed`] or [`EdgeError::TooLarge`].
-pub fn inflate_bytes(bytes: &[u8]) -> Result<Vec<u8>, EdgeError> {
+/// [`RpcError::Malformed`] or [`RpcError::TooLarge`].
+pub fn inflate_bytes(bytes: &[u8]) -> Result<Vec<u8>, RpcError> {
     let mut plain = Vec::new();
     let mut limited = DeflateDecoder::new(bytes).take(MAX_PLAIN as u64 + 1);
     match limited.read_to_end(&mut plain) {
-        Ok(n) if n > MAX_PLAIN => Err(EdgeError::TooLarge(MAX_PLAIN)),
+        Ok(n) if n > MAX_PLAIN => Err(RpcError::TooLarge(MAX_PLAIN)),
         Ok(_) => Ok(plain),
-        Err(e) => Err(EdgeError::Malformed(e.to_string())),
+        Err(e) => Err(RpcError::Malformed(e.to_string())),
     }
 }
--- a/crates/net/src/dialect.rs
+++ b/crates/net/src/dialect.rs
@@ -11,7 +11,7 @@
 use hyper::http::{request, response};
 use hyper::{HeaderMap, Method};
 
-use crate::{Answered, EdgeError, EngineWish, Item};
+use crate::{BackpressureSignal, EngineResponse, Item, RpcError};
 
 /// Why a document of the store cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -39,7 +39,7 @@
 
 /// Sizes that a caller states for a generation, tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TokenSizes {
+pub struct TokenCounts {
     /// Of the prompt.
     pub prompt: u32,
     /// Most of the answer.
@@ -60,7 +60,7 @@
     /// Event after which a stream is to go on.
     pub after: Option<u64>,
     /// Stated sizes.
-    pub sizes: Option<TokenSizes>,
+    pub sizes: Option<TokenCounts>,
 }
 
 /// What the router adds to one send of a call.
@@ -93,19 +93,19 @@
 
 /// What the router reads from an answer's head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Whether it repeats the id of this call.
-    pub own: bool,
+    pub id_matches: bool,
     /// Whether an engine vouches for it with its digest.
-    pub stamped: bool,
+    pub digest_matches: bool,
     /// Whether the engine states that the call did not run.
     pub not_run: bool,
     /// Engine at fault, where another than the one asked.
-    pub culprit: Option<SocketAddr>,
+    pub faulty_address: Option<SocketAddr>,
     /// Load of the engine.
     pub load: Option<EngineLoad>,
     /// What it asks of this node.
-    pub wish: EngineWish,
+    pub backpressure: BackpressureSignal,
 }
 
 /// An engine's own account of its state, some hundred milliseconds old.
@@ -145,16 +145,16 @@
 
 /// How an engine gives layers up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Release {
+pub enum ReleaseMode {
     /// After the requests that pass through them.
-    Wait,
+    Drain,
     /// At once.
-    Cut,
+    Immediate,
 }
 
 /// What became of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// Begun, done, or true already.
     Taken,
     /// It does not fit the engine's state; the engine that is in the way, if named.
@@ -204,32 +204,32 @@
     fn headers(&self, received: &HeaderMap, dispatch: &Dispatch<'_>) -> HeaderMap;
 
     /// Reads the head of an answer to the call `id`.
-    fn answer(&self, id: &str, parts: &response::Parts) -> AnswerHead;
+    fn answer(&self, id: &str, parts: &response::Parts) -> ResponseHead;
 }
 
 /// Orders to engines.
-pub trait Orders: Send + Sync {
+pub trait EngineControl: Send + Sync {
     /// The engine's state.
     fn status<'a>(
         &'a self,
         engine: &'a EngineEntry,
-    ) -> BoxFuture<'a, Result<Answered<EngineStatus>, EdgeError>>;
+    ) -> BoxFuture<'a, Result<EngineResponse<EngineStatus>, RpcError>>;
 
     /// Whether an engine says that it takes new work, by the check of its service.
     fn healthy<'a>(
         &'a self,
         engine: &'a EngineEntry,
         path: &'a str,
-    ) -> BoxFuture<'a, Result<Answered<bool>, EdgeError>>;
+    ) -> BoxFuture<'a, Result<EngineResponse<bool>, RpcError>>;
 
     /// Orders an engine to hold `layers`, if it has begun exactly `orders` orders.
     fn place<'a>(
         &'a self,
         engine: &'a EngineEntry,
         layers: LayerRange,
-        release: Release,
+        release: ReleaseMode,
         orders: u64,
-    ) -> BoxFuture<'a, Result<Answered<Ordered>, EdgeError>>;
+    ) -> BoxFuture<'a, Result<EngineResponse<OrderOutcome>, RpcError>>;
 
     /// Orders the first engine of a running call's path to change the parts behind it.
     fn reroute<'a>(
@@ -238,7 +238,7 @@
         engine: &'a Name,
         call: &'a str,
         path: &'a Path,
-    ) -> BoxFuture<'a, Result<Answered<Ordered>, EdgeError>>;
+    ) -> BoxFuture<'a, Result<EngineResponse<OrderOutcome>, RpcError>>;
 }
 
 /// A call's request line and body, as every send repeats them.
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -6,10 +6,10 @@
 use heathpitch_policy::{BlockEvent, EngineReport};
 use serde::{Deserialize, Serialize};
 
-use crate::{EdgeError, Frame, GenerateCall, Order, OrderError};
+use crate::{Frame, GenerateCall, Order, OrderError, RpcError};
 
 /// Frames of one answer, in the order they arrive.
-pub type FrameStream = BoxStream<'static, Result<Frame, EdgeError>>;
+pub type FrameStream = BoxStream<'static, Result<Frame, RpcError>>;
 
 /// Why an engine did not start a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
     Fault(Name),
     /// The call failed.
     #[error(transparent)]
-    Edge(#[from] EdgeError),
+    Edge(#[from] RpcError),
 }
 
 /// Cache events after a number.
@@ -67,7 +67,7 @@
 }
 
 /// What the router asks of engines.
-pub trait EngineEdge: Send + Sync + 'static {
+pub trait EngineClient: Send + Sync + 'static {
     /// Sends a request to the head of its path.
     ///
     /// Dropping the stream ends the request at the engine.
@@ -81,14 +81,14 @@
     fn cancel(&self, address: &Name, request: String, attempt: Attempt) -> BoxFuture<'static, ()>;
 
     /// Asks for the engine's report.
-    fn report(&self, address: &Name) -> BoxFuture<'static, Result<EngineReport, EdgeError>>;
+    fn report(&self, address: &Name) -> BoxFuture<'static, Result<EngineReport, RpcError>>;
 
     /// Asks for cache events after `serial`.
     fn events(
         &self,
         address: &Name,
         serial: u64,
-    ) -> BoxFuture<'static, Result<CacheEvents, EdgeError>>;
+    ) -> BoxFuture<'static, Result<CacheEvents, RpcError>>;
 
     /// Gives an order.
     fn order(&self, address: &Name, order: Order) -> BoxFuture<'static, Result<(), OrderError>>;
--- a/crates/net/src/engine_http.rs
+++ b/crates/net/src/engine_http.rs
@@ -14,8 +14,8 @@
 
 use crate::client::{parse, request};
 use crate::{
-    CacheEvents, Client, EdgeError, EngineEdge, Frame, FrameStream, GenerateCall, Order,
-    OrderError, Refusal, SendError, body,
+    CacheEvents, Client, EngineClient, Frame, FrameStream, GenerateCall, Order, OrderError,
+    Refusal, RpcError, SendError, body,
 };
 
 /// Longest line of an answer, bytes.
@@ -27,7 +27,7 @@
 /// Time for an order call; loading goes on after the answer.
 const ORDER: Duration = Duration::from_secs(2);
 
-/// An [`EngineEdge`] over HTTP.
+/// An [`EngineClient`] over HTTP.
 #[derive(Clone, Debug, Default)]
 pub struct HttpEngine {
     client: Client,
@@ -56,7 +56,7 @@
     }
 }
 
-impl EngineEdge for HttpEngine {
+impl EngineClient for HttpEngine {
     fn generate(
         &self,
         address: &Name,
@@ -84,7 +84,7 @@
         })
     }
 
-    fn report(&self, address: &Name) -> BoxFuture<'static, Result<EngineReport, EdgeError>> {
+    fn report(&self, address: &Name) -> BoxFuture<'static, Result<EngineReport, RpcError>> {
         let client = self.client.clone();
         let uri = format!("http://{address}/v1/report");
         Box::pin(async move { client.call(Method::GET, &uri, None::<&()>, QUICK).await })
@@ -94,7 +94,7 @@
         &self,
         address: &Name,
         serial: u64,
-    ) -> BoxFuture<'static, Result<CacheEvents, EdgeError>> {
+    ) -> BoxFuture<'static, Result<CacheEvents, RpcError>> {
         let client = self.client.clone();
         let uri = format!("http://{address}/v1/events?after={serial}");
         Box::pin(async move { client.call(Method::GET, &uri, None::<&()>, QUICK).await })
@@ -108,7 +108,7 @@
             match status {
                 200 => Ok(()),
                 409 => Err(OrderError::Stale(parse::<Stale>(&bytes)?.epoch)),
-                other => Err(EdgeError::Status(other).into()),
+                other => Err(RpcError::Status(other).into()),
             }
         })
     }
@@ -120,7 +120,7 @@
     match (serde_json::from_slice::<Refusal>(&bytes), serde_json::from_slice::<Fault>(&bytes)) {
         (Ok(said), _) if !said.started => SendError::Refused(said),
         (_, Ok(Fault { engine })) => SendError::Fault(engine),
-        _ => SendError::Edge(EdgeError::Status(status)),
+        _ => SendError::Edge(RpcError::Status(status)),
     }
 }
 
@@ -144,7 +144,7 @@
 }
 
 impl Lines {
-    async fn next(&mut self) -> Option<Result<Frame, EdgeError>> {
+    async fn next(&mut self) -> Option<Result<Frame, RpcError>> {
         loop {
             match self.buffer.iter().position(|b| *b == b'\n') {
                 Some(end) => {
@@ -152,7 +152,7 @@
                     return Some(parse(&line));
                 }
                 None if self.buffer.len() > MAX_LINE => {
-                    return Some(Err(EdgeError::TooLarge(MAX_LINE)));
+                    return Some(Err(RpcError::TooLarge(MAX_LINE)));
                 }
                 None => match self.piece().await {
                     Ok(Some(bytes)) => self.buffer.extend_from_slice(&bytes),
@@ -163,11 +163,11 @@
         }
     }
 
-    async fn piece(&mut self) -> Result<Option<Bytes>, EdgeError> {
+    async fn piece(&mut self) -> Result<Option<Bytes>, RpcError> {
         match self.content.frame().await {
             None => Ok(None),
             Some(Ok(frame)) => Ok(Some(frame.into_data().unwrap_or_default())),
-            Some(Err(e)) => Err(EdgeError::Lost(e.to_string())),
+            Some(Err(e)) => Err(RpcError::Lost(e.to_string())),
         }
     }
 }
--- a/crates/net/src/feed.rs
+++ b/crates/net/src/feed.rs
@@ -19,7 +19,7 @@
     write_right_told, write_told,
 };
 use crate::peer::{network, serve_rpc};
-use crate::{EdgeError, FeedAsk, FeedTold, RightAsk, RightTold};
+use crate::{FeedRequest, FeedResponse, RightsRequest, RightsResponse, RpcError};
 
 /// Connections at once: the nodes of the largest fleet, each with one to follow by and one to ask for rights.
 const CONNECTIONS: usize = 1_024;
@@ -29,15 +29,15 @@
 /// Answers other nodes by functions.
 #[derive(Clone)]
 pub struct FeedServer {
-    answer: Rc<dyn Fn(FeedAsk) -> FeedTold>,
-    hand_out: Rc<dyn Fn(RightAsk) -> RightTold>,
+    answer: Rc<dyn Fn(FeedRequest) -> FeedResponse>,
+    hand_out: Rc<dyn Fn(RightsRequest) -> RightsResponse>,
 }
 
 impl FeedServer {
     /// A server that answers followers with `answer`, and those who ask for rights with `hand_out`.
     pub fn new(
-        answer: Rc<dyn Fn(FeedAsk) -> FeedTold>,
-        hand_out: Rc<dyn Fn(RightAsk) -> RightTold>,
+        answer: Rc<dyn Fn(FeedRequest) -> FeedResponse>,
+        hand_out: Rc<dyn Fn(RightsRequest) -> RightsResponse>,
     ) -> Self {
         Self { answer, hand_out }
     }
@@ -82,11 +82,11 @@
     ///
     /// # Errors
     ///
-    /// [`EdgeError::Connect`], also after `limit`.
-    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, EdgeError> {
+    /// [`RpcError::Connect`], also after `limit`.
+    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, RpcError> {
         let connected = tokio::time::timeout(limit, TcpStream::connect(address)).await;
-        let late = |_| EdgeError::Connect("no connection in time".to_owned());
-        let stream = connected.map_err(late)?.map_err(|e| EdgeError::Connect(e.to_string()))?;
+        let late = |_| RpcError::Connect("no connection in time".to_owned());
+        let stream = connected.map_err(late)?.map_err(|e| RpcError::Connect(e.to_string()))?;
         let mut system = RpcSystem::new(network(stream, Side::Client), None);
         let client = system.bootstrap(Side::Server);
         Ok(Self { client, system: tokio::task::spawn_local(system) })
@@ -96,26 +96,30 @@
     ///
     /// # Errors
     ///
-    /// [`EdgeError::Lost`], also after `limit`; [`EdgeError::Malformed`].
-    pub async fn ask(&self, ask: &FeedAsk, limit: Duration) -> Result<FeedTold, EdgeError> {
+    /// [`RpcError::Lost`], also after `limit`; [`RpcError::Malformed`].
+    pub async fn ask(&self, ask: &FeedRequest, limit: Duration) -> Result<FeedResponse, RpcError> {
         let mut request = self.client.ask_request();
         write_ask(ask, request.get().init_ask());
         let answer = within(limit, request.send().promise).await?;
         let told = answer.get().and_then(|a| read_told(a.get_told()?));
-        told.map_err(|e| EdgeError::Malformed(e.to_string()))
+        told.map_err(|e| RpcError::Malformed(e.to_string()))
     }
 
     /// Asks the node for rights to send requests to an engine.
     ///
     /// # Errors
     ///
-    /// [`EdgeError::Lost`], also after `limit`; [`EdgeError::Malformed`].
-    pub async fn right(&self, ask: &RightAsk, limit: Duration) -> Result<RightTold, EdgeError> {
+    /// [`RpcError::Lost`], also after `limit`; [`RpcError::Malformed`].
+    pub async fn right(
+        &self,
+        ask: &RightsRequest,
+        limit: Duration,
+    ) -> Result<RightsResponse, RpcError> {
         let mut request = self.client.right_request();
         write_right_ask(ask, request.get().init_ask());
         let answer = within(limit, request.send().promise).await?;
         let told = answer.get().and_then(|a| Ok(read_right_told(a.get_told()?)));
-        told.map_err(|e| EdgeError::Malformed(e.to_string()))
+        told.map_err(|e| RpcError::Malformed(e.to_string()))
     }
 }
 
@@ -123,10 +127,10 @@
 async fn within<T>(
     limit: Duration,
     answer: impl Future<Output = Result<T, capnp::Error>>,
-) -> Result<T, EdgeError> {
-    let late = |_| EdgeError::Lost("no answer in time".to_owned());
+) -> Result<T, RpcError> {
+    let late = |_| RpcError::Lost("no answer in time".to_owned());
     let answered = tokio::time::timeout(limit, answer).await.map_err(late)?;
-    answered.map_err(|e| EdgeError::Lost(e.to_string()))
+    answered.map_err(|e| RpcError::Lost(e.to_string()))
 }
 
 impl Drop for FeedClient {
--- a/crates/net/src/feed_codec.rs
+++ b/crates/net/src/feed_codec.rs
@@ -12,16 +12,16 @@
     ask, end, item, items, leave, limit, planner, report, right_ask, right_told, source, told,
 };
 use crate::{
-    EdgeError, FeedAsk, FeedEnd, FeedEngines, FeedKnown, FeedLeave, FeedLimit, FeedMark, FeedNews,
-    FeedPlanner, FeedReport, FeedTold, Item, RightAsk, RightTold,
+    FeedCursor, FeedDrain, FeedEngines, FeedExit, FeedLimit, FeedNotices, FeedPlanner, FeedReport,
+    FeedRequest, FeedResponse, Item, NoticeCursor, RightsRequest, RightsResponse, RpcError,
 };
 
 /// Packs items for a whole list: a hundred entries of engines take some 3 kB instead of 30.
 ///
 /// # Errors
 ///
-/// [`EdgeError::Malformed`] if they cannot be written.
-pub fn pack(list: &[Item]) -> Result<Bytes, EdgeError> {
+/// [`RpcError::Malformed`] if they cannot be written.
+pub fn pack(list: &[Item]) -> Result<Bytes, RpcError> {
     let mut message = Builder::new_default();
     write_items(list, message.init_root::<items::Builder<'_>>().init_items(list.len() as u32));
     let mut plain = Vec::new();
@@ -33,8 +33,8 @@
 ///
 /// # Errors
 ///
-/// [`EdgeError::Malformed`] or [`EdgeError::TooLarge`].
-pub fn unpack(packed: &[u8]) -> Result<Vec<Item>, EdgeError> {
+/// [`RpcError::Malformed`] or [`RpcError::TooLarge`].
+pub fn unpack(packed: &[u8]) -> Result<Vec<Item>, RpcError> {
     let plain = inflate_bytes(packed)?;
     let message = capnp::serialize::read_message(plain.as_slice(), ReaderOptions::new());
     let message = message.map_err(|e| malformed(&e))?;
@@ -42,7 +42,7 @@
     read.map_err(|e| malformed(&e))
 }
 
-pub(crate) fn write_ask(from: &FeedAsk, mut to: ask::Builder<'_>) {
+pub(crate) fn write_ask(from: &FeedRequest, mut to: ask::Builder<'_>) {
     to.set_node(from.node.as_str());
     to.set_address(from.address.to_string());
     to.set_able(from.able);
@@ -53,31 +53,31 @@
     to.set_serial(from.known.serial);
     to.set_reported(from.known.reported);
     to.set_reports(from.reports);
-    to.set_ends_life(from.news_known.life);
-    to.set_ends_serial(from.news_known.ends);
-    to.set_leaves_serial(from.news_known.leaves);
-    to.set_limits_serial(from.news_known.limits);
+    to.set_ends_life(from.notice_cursor.life);
+    to.set_ends_serial(from.notice_cursor.ends);
+    to.set_leaves_serial(from.notice_cursor.leaves);
+    to.set_limits_serial(from.notice_cursor.limits);
     write_ends(&from.news.ends, to.reborrow().init_ends(from.news.ends.len() as u32));
     write_leaves(&from.news.leaves, to.reborrow().init_leaves(from.news.leaves.len() as u32));
     write_limits(&from.news.limits, to.init_limits(from.news.limits.len() as u32));
 }
 
-pub(crate) fn read_ask(from: ask::Reader<'_>) -> capnp::Result<FeedAsk> {
-    Ok(FeedAsk {
+pub(crate) fn read_ask(from: ask::Reader<'_>) -> capnp::Result<FeedRequest> {
+    Ok(FeedRequest {
         node: name(from.get_node()?)?,
         address: address(from.get_address()?)?,
         able: from.get_able(),
         revision: Revision(from.get_revision()),
         version: from.get_version(),
         digest: from.get_digest(),
-        known: FeedKnown {
+        known: FeedCursor {
             life: from.get_life(),
             serial: from.get_serial(),
             reported: from.get_reported(),
         },
         reports: from.get_reports(),
         news: read_news(from.get_ends()?, from.get_leaves()?, from.get_limits()?)?,
-        news_known: FeedMark {
+        notice_cursor: NoticeCursor {
             life: from.get_ends_life(),
             ends: from.get_ends_serial(),
             leaves: from.get_leaves_serial(),
@@ -86,7 +86,7 @@
     })
 }
 
-pub(crate) fn write_told(from: &FeedTold, mut to: told::Builder<'_>) {
+pub(crate) fn write_told(from: &FeedResponse, mut to: told::Builder<'_>) {
     to.set_live(from.live);
     to.set_life(from.known.life);
     to.set_serial(from.known.serial);
@@ -122,10 +122,10 @@
     for (i, p) in from.planners.iter().enumerate() {
         write_planner(p, planners.reborrow().get(i as u32));
     }
-    to.set_ends_life(from.news_known.life);
-    to.set_ends_serial(from.news_known.ends);
-    to.set_leaves_serial(from.news_known.leaves);
-    to.set_limits_serial(from.news_known.limits);
+    to.set_ends_life(from.notice_cursor.life);
+    to.set_ends_serial(from.notice_cursor.ends);
+    to.set_leaves_serial(from.notice_cursor.leaves);
+    to.set_limits_serial(from.notice_cursor.limits);
     write_ends(&from.news.ends, to.reborrow().init_ends(from.news.ends.len() as u32));
     write_leaves(&from.news.leaves, to.reborrow().init_leaves(from.news.leaves.len() as u32));
     write_limits(&from.news.limits, to.reborrow().init_limits(from.news.limits.len() as u32));
@@ -135,7 +135,7 @@
     }
 }
 
-pub(crate) fn read_told(from: told::Reader<'_>) -> capnp::Result<FeedTold> {
+pub(crate) fn read_told(from: told::Reader<'_>) -> capnp::Result<FeedResponse> {
     let key = |k: capnp::Result<capnp::text::Reader<'_>>| {
         Ok::<Arc<str>, capnp::Error>(k?.to_str()?.into())
     };
@@ -146,9 +146,9 @@
             gone: from.get_gone()?.iter().map(key).collect::<capnp::Result<_>>()?,
         },
     };
-    Ok(FeedTold {
+    Ok(FeedResponse {
         live: from.get_live(),
-        known: FeedKnown {
+        known: FeedCursor {
             life: from.get_life(),
             serial: from.get_serial(),
             reported: from.get_reported(),
@@ -166,7 +166,7 @@
         vacant: from.get_vacant(),
         standbys: from.get_standbys()?.iter().map(read_source).collect::<capnp::Result<_>>()?,
         news: read_news(from.get_ends()?, from.get_leaves()?, from.get_limits()?)?,
-        news_known: FeedMark {
+        notice_cursor: NoticeCursor {
             life: from.get_ends_life(),
             ends: from.get_ends_serial(),
             leaves: from.get_leaves_serial(),
@@ -215,7 +215,7 @@
     })
 }
 
-fn write_ends(from: &[FeedEnd], mut to: capnp::struct_list::Builder<'_, end::Owned>) {
+fn write_ends(from: &[FeedExit], mut to: capnp::struct_list::Builder<'_, end::Owned>) {
     for (i, e) in from.iter().enumerate() {
         let mut to = to.reborrow().get(i as u32);
         to.set_print(e.print.0);
@@ -232,16 +232,16 @@
     ends: capnp::struct_list::Reader<'_, end::Owned>,
     leaves: capnp::struct_list::Reader<'_, leave::Owned>,
     limits: capnp::struct_list::Reader<'_, limit::Owned>,
-) -> capnp::Result<FeedNews> {
-    Ok(FeedNews {
+) -> capnp::Result<FeedNotices> {
+    Ok(FeedNotices {
         ends: ends.iter().map(read_end).collect::<capnp::Result<_>>()?,
         leaves: leaves.iter().map(read_leave).collect::<capnp::Result<_>>()?,
         limits: limits.iter().map(read_limit).collect::<capnp::Result<_>>()?,
     })
 }
 
-fn read_end(from: end::Reader<'_>) -> capnp::Result<FeedEnd> {
-    Ok(FeedEnd {
+fn read_end(from: end::Reader<'_>) -> capnp::Result<FeedExit> {
+    Ok(FeedExit {
         print: RequestPrint(from.get_print()),
         engine: name(from.get_engine()?)?,
         born: Some(from.get_born()).filter(|born| *born > 0),
@@ -252,7 +252,7 @@
     })
 }
 
-fn write_leaves(from: &[FeedLeave], mut to: capnp::struct_list::Builder<'_, leave::Owned>) {
+fn write_leaves(from: &[FeedDrain], mut to: capnp::struct_list::Builder<'_, leave::Owned>) {
     for (i, l) in from.iter().enumerate() {
         let mut to = to.reborrow().get(i as u32);
         to.set_engine(l.engine.as_str());
@@ -261,8 +261,8 @@
     }
 }
 
-fn read_leave(from: leave::Reader<'_>) -> capnp::Result<FeedLeave> {
-    Ok(FeedLeave {
+fn read_leave(from: leave::Reader<'_>) -> capnp::Result<FeedDrain> {
+    Ok(FeedDrain {
         engine: name(from.get_engine()?)?,
         born: Some(from.get_born()).filter(|born| *born > 0),
         age_ms: from.get_age_ms(),
@@ -291,28 +291,32 @@
     })
 }
 
-pub(crate) fn write_right_ask(from: &RightAsk, mut to: right_ask::Builder<'_>) {
+pub(crate) fn write_right_ask(from: &RightsRequest, mut to: right_ask::Builder<'_>) {
     to.set_node(from.node.as_str());
     to.set_wanted(from.wanted);
     write_limit(&from.limit, to.init_limit());
 }
 
-pub(crate) fn read_right_ask(from: right_ask::Reader<'_>) -> capnp::Result<RightAsk> {
-    Ok(RightAsk {
+pub(crate) fn read_right_ask(from: right_ask::Reader<'_>) -> capnp::Result<RightsRequest> {
+    Ok(RightsRequest {
         node: name(from.get_node()?)?,
         limit: read_limit(from.get_limit()?)?,
         wanted: from.get_wanted(),
     })
 }
 
-pub(crate) fn write_right_told(from: &RightTold, mut to: right_told::Builder<'_>) {
+pub(crate) fn write_right_told(from: &RightsResponse, mut to: right_told::Builder<'_>) {
     to.set_active(from.active);
     to.set_given(from.given);
     to.set_wait_ms(from.wait_ms);
 }
 
-pub(crate) fn read_right_told(from: right_told::Reader<'_>) -> RightTold {
-    RightTold { active: from.get_active(), given: from.get_given(), wait_ms: from.get_wait_ms() }
+pub(crate) fn read_right_told(from: right_told::Reader<'_>) -> RightsResponse {
+    RightsResponse {
+        active: from.get_active(),
+        given: from.get_given(),
+        wait_ms: from.get_wait_ms(),
+    }
 }
 
 fn write_planner(from: &FeedPlanner, mut to: planner::Builder<'_>) {
@@ -344,6 +348,6 @@
     text.to_str()?.parse().map_err(|e| capnp::Error::failed(format!("address: {e}")))
 }
 
-fn malformed(e: &capnp::Error) -> EdgeError {
-    EdgeError::Malformed(e.to_string())
+fn malformed(e: &capnp::Error) -> RpcError {
+    RpcError::Malformed(e.to_string())
 }
--- a/crates/net/src/feed_message.rs
+++ b/crates/net/src/feed_message.rs
@@ -10,7 +10,7 @@
 
 /// What a node asks another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FeedAsk {
+pub struct FeedRequest {
     /// Node that asks.
     pub node: Name,
     /// Where it can be asked itself.
@@ -24,29 +24,29 @@
     /// Digest of the engines' entries that it has.
     pub digest: u64,
     /// What it knows of the one it asks.
-    pub known: FeedKnown,
+    pub known: FeedCursor,
     /// Whether only reports are wanted, of engines in the failure domain of the node asked.
     pub reports: bool,
     /// What this node learned of engines since it asked the same one last.
-    pub news: FeedNews,
+    pub news: FeedNotices,
     /// Up to where the news are known that the node asked told.
-    pub news_known: FeedMark,
+    pub notice_cursor: NoticeCursor,
 }
 
 /// What calls and questions of nodes met at engines, told whether or not a node hears from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct FeedNews {
+pub struct FeedNotices {
     /// Ends of engines under requests.
-    pub ends: Vec<FeedEnd>,
+    pub ends: Vec<FeedExit>,
     /// Engines that say they leave.
-    pub leaves: Vec<FeedLeave>,
+    pub leaves: Vec<FeedDrain>,
     /// Limits that engines name.
     pub limits: Vec<FeedLimit>,
 }
 
 /// A place in the news that one life of a node tells.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FeedMark {
+pub struct NoticeCursor {
     /// The node's life.
     pub life: u64,
     /// Serial of the last end; 0 for none.
@@ -72,7 +72,7 @@
 
 /// A node asks the one that plans an engine's failure domain for rights to send requests there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RightAsk {
+pub struct RightsRequest {
     /// Node that asks.
     pub node: Name,
     /// The engine, and what that node knows of its limit.
@@ -83,7 +83,7 @@
 
 /// What it is handed out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RightTold {
+pub struct RightsResponse {
     /// Whether the node asked hands out rights for this engine.
     pub active: bool,
     /// Rights.
@@ -94,7 +94,7 @@
 
 /// An engine said in an answer that it leaves.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FeedLeave {
+pub struct FeedDrain {
     /// The engine.
     pub engine: Name,
     /// Unix time of its start, milliseconds, if it tells that.
@@ -105,7 +105,7 @@
 
 /// The end of an engine while a request that it had just begun ran there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FeedEnd {
+pub struct FeedExit {
     /// The request.
     pub print: RequestPrint,
     /// The engine.
@@ -124,7 +124,7 @@
 
 /// Up to where one node has followed another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FeedKnown {
+pub struct FeedCursor {
     /// Life of the node followed that the serials belong to.
     pub life: u64,
     /// Serial of the last change of engines; 0 for none.
@@ -135,11 +135,11 @@
 
 /// What a node tells.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct FeedTold {
+pub struct FeedResponse {
     /// Whether the rest is young enough to be taken.
     pub live: bool,
     /// Up to where this is known once it is taken.
-    pub known: FeedKnown,
+    pub known: FeedCursor,
     /// Engines' entries.
     pub engines: FeedEngines,
     /// Revision of the configuration in force.
@@ -165,9 +165,9 @@
     /// Nodes that read the store if the planner does not, in their order.
     pub standbys: Vec<(Name, SocketAddr)>,
     /// What this node learned of engines.
-    pub news: FeedNews,
+    pub news: FeedNotices,
     /// Up to where that is known once it is taken.
-    pub news_known: FeedMark,
+    pub notice_cursor: NoticeCursor,
 }
 
 /// Engines' entries, as they are told.
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -3,11 +3,11 @@
 //! Servers and clients for callers, engines, the platform and other nodes. The engine and the
 //! platform each stand behind one trait, so that another protocol can be slotted in.
 
+mod backpressure;
 mod body;
 mod client;
 mod deflate;
 mod dialect;
-mod edge_error;
 mod engine;
 mod engine_http;
 mod events;
@@ -24,25 +24,27 @@
 mod platform;
 mod platform_http;
 mod pool;
+mod rpc_error;
 mod store;
-mod wish;
 
+pub use backpressure::{
+    AdvertisedLimit, BackpressureSignal, EngineResponse, RetryAfterError, retry_after,
+};
 pub use body::{Body, BodyError, channel, empty, full, json, read};
 pub use client::{Client, Response};
 pub use deflate::{deflate, deflate_bytes, inflate, inflate_bytes};
 pub use dialect::{
-    AnswerHead, CallBody, CallHead, Dialect, Dispatch, DocumentError, EngineLoad, EngineStatus,
-    HeadError, Ordered, Orders, Release, TokenSizes,
+    CallBody, CallHead, Dialect, Dispatch, DocumentError, EngineControl, EngineLoad, EngineStatus,
+    HeadError, OrderOutcome, ReleaseMode, ResponseHead, TokenCounts,
 };
-pub use edge_error::EdgeError;
-pub use engine::{CacheEvents, EngineEdge, FrameStream, Refusal, RefusalKind, SendError};
+pub use engine::{CacheEvents, EngineClient, FrameStream, Refusal, RefusalKind, SendError};
 pub use engine_http::HttpEngine;
 pub use events::{EventError, Events};
 pub use feed::{FeedClient, FeedServer};
 pub use feed_codec::{pack, unpack};
 pub use feed_message::{
-    FeedAsk, FeedEnd, FeedEngines, FeedKnown, FeedLeave, FeedLimit, FeedMark, FeedNews,
-    FeedPlanner, FeedReport, FeedTold, RightAsk, RightTold,
+    FeedCursor, FeedDrain, FeedEngines, FeedExit, FeedLimit, FeedNotices, FeedPlanner, FeedReport,
+    FeedRequest, FeedResponse, NoticeCursor, RightsRequest, RightsResponse,
 };
 pub use frame::{Frame, GenerateCall, Hop};
 pub use generated::{feed_capnp, peer_capnp};
@@ -50,8 +52,10 @@
 pub use order::{Order, OrderError, OrderKind};
 pub use peer::{PeerServer, exchange};
 pub use peer_update::{Demand, Packed, Update};
-pub use platform::{Lease, PlatformEdge, PutError, Stored, VmList};
+pub use platform::{Lease, PlatformClient, PutError, Stored, VmList};
 pub use platform_http::HttpPlatform;
-pub use pool::{Connection, Pool, Reuse, SendFailure, keep_time, strip_hop};
-pub use store::{Found, Item, ItemChange, LeaseId, Listing, Store, StoreError, Watched, Write};
-pub use wish::{Answered, EngineWish, LimitWord, RestError, retry_after};
+pub use pool::{Connection, Pool, Reuse, SendFailure, keep_alive_timeout, strip_hop_by_hop};
+pub use rpc_error::RpcError;
+pub use store::{
+    GetResponse, Item, ItemChange, LeaseId, ListResponse, Store, StoreError, WatchResponse, Write,
+};
--- a/crates/net/src/order.rs
+++ b/crates/net/src/order.rs
@@ -42,5 +42,5 @@
     Stale(Epoch),
     /// The call failed.
     #[error(transparent)]
-    Edge(#[from] crate::EdgeError),
+    Edge(#[from] crate::RpcError),
 }
--- a/crates/net/src/peer.rs
+++ b/crates/net/src/peer.rs
@@ -14,7 +14,7 @@
 use tokio_util::compat::TokioAsyncReadCompatExt;
 
 use crate::peer_capnp::peer;
-use crate::{EdgeError, Update, peer_codec};
+use crate::{RpcError, Update, peer_codec};
 
 /// Connections from peers at once.
 const MAX_CONNECTIONS: usize = 64;
@@ -93,18 +93,18 @@
 ///
 /// # Errors
 ///
-/// [`EdgeError::Connect`] or [`EdgeError::Lost`].
+/// [`RpcError::Connect`] or [`RpcError::Lost`].
 pub async fn exchange(
     address: SocketAddr,
     update: &Update,
     limit: Duration,
-) -> Result<(Update, u64), EdgeError> {
+) -> Result<(Update, u64), RpcError> {
     let work = async {
         let connect = TcpStream::connect(address).await;
-        let stream = connect.map_err(|e| EdgeError::Connect(e.to_string()))?;
-        call(stream, update).await.map_err(|e| EdgeError::Lost(e.to_string()))
+        let stream = connect.map_err(|e| RpcError::Connect(e.to_string()))?;
+        call(stream, update).await.map_err(|e| RpcError::Lost(e.to_string()))
     };
-    let late = |_| EdgeError::Lost("no answer in time".to_owned());
+    let late = |_| RpcError::Lost("no answer in time".to_owned());
     tokio::time::timeout(limit, work).await.map_err(late)?
 }
 
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -6,7 +6,7 @@
 use heathpitch_core::{Epoch, Millis, Name, Revision, Vm};
 use serde::{Deserialize, Serialize};
 
-use crate::EdgeError;
+use crate::RpcError;
 
 /// A stored value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,10 +25,10 @@
     Conflict(Revision),
     /// The platform turned the call away, or was not reached; nothing was written.
     #[error("the platform turned the write away: {0}")]
-    Refused(EdgeError),
+    Refused(RpcError),
     /// The answer was lost; the write may have taken effect.
     #[error("the answer was lost, the write may have taken effect: {0}")]
-    Unsure(EdgeError),
+    Unsure(RpcError),
 }
 
 /// A lease as the platform grants it.
@@ -52,9 +52,9 @@
 }
 
 /// What nodes and the command line ask of the platform.
-pub trait PlatformEdge: Send + Sync + 'static {
+pub trait PlatformClient: Send + Sync + 'static {
     /// Reads a key; none if it does not exist.
-    fn get(&self, key: &str) -> BoxFuture<'static, Result<Option<Stored>, EdgeError>>;
+    fn get(&self, key: &str) -> BoxFuture<'static, Result<Option<Stored>, RpcError>>;
 
     /// Waits at most `wait` for a revision of the key above `after`; none if there was none.
     fn watch(
@@ -62,7 +62,7 @@
         key: &str,
         after: Revision,
         wait: Duration,
-    ) -> BoxFuture<'static, Result<Option<Stored>, EdgeError>>;
+    ) -> BoxFuture<'static, Result<Option<Stored>, RpcError>>;
 
     /// Writes a key if its revision is `expect`; 0 for a key that must not exist.
     fn put(
@@ -78,8 +78,8 @@
         name: &str,
         holder: &Name,
         ttl: Duration,
-    ) -> BoxFuture<'static, Result<Lease, EdgeError>>;
+    ) -> BoxFuture<'static, Result<Lease, RpcError>>;
 
     /// Reads the list of VMs and its number, if it is above `after`.
-    fn vms(&self, after: Revision) -> BoxFuture<'static, Result<Option<VmList>, EdgeError>>;
+    fn vms(&self, after: Revision) -> BoxFuture<'static, Result<Option<VmList>, RpcError>>;
 }
--- a/crates/net/src/platform_http.rs
+++ b/crates/net/src/platform_http.rs
@@ -12,12 +12,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::client::parse;
-use crate::{Client, EdgeError, Lease, PlatformEdge, PutError, Stored, VmList};
+use crate::{Client, Lease, PlatformClient, PutError, RpcError, Stored, VmList};
 
 /// Time for a call that does not wait.
 const QUICK: Duration = Duration::from_millis(1_500);
 
-/// A [`PlatformEdge`] over HTTP, with several endpoints tried in turn.
+/// A [`PlatformClient`] over HTTP, with several endpoints tried in turn.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     client: Client,
@@ -66,7 +66,7 @@
         rest: &str,
         content: Option<&Q>,
         limit: Duration,
-    ) -> Result<(u16, Bytes), EdgeError> {
+    ) -> Result<(u16, Bytes), RpcError> {
         let answer = self.client.exchange(method, &self.uri(rest), content, limit).await;
         if matches!(answer, Err(_) | Ok((500.., _))) {
             self.current.fetch_add(1, Relaxed);
@@ -74,18 +74,18 @@
         answer
     }
 
-    async fn read(&self, rest: &str, limit: Duration) -> Result<Option<Stored>, EdgeError> {
+    async fn read(&self, rest: &str, limit: Duration) -> Result<Option<Stored>, RpcError> {
         let (status, bytes) = self.exchange(Method::GET, rest, None::<&()>, limit).await?;
         match status {
             200 => parse(&bytes).map(Some),
             404 | 304 => Ok(None),
-            other => Err(EdgeError::Status(other)),
+            other => Err(RpcError::Status(other)),
         }
     }
 }
 
-impl PlatformEdge for HttpPlatform {
-    fn get(&self, key: &str) -> BoxFuture<'static, Result<Option<Stored>, EdgeError>> {
+impl PlatformClient for HttpPlatform {
+    fn get(&self, key: &str) -> BoxFuture<'static, Result<Option<Stored>, RpcError>> {
         let me = self.clone();
         let rest = format!("kv/{key}");
         Box::pin(async move { me.read(&rest, QUICK).await })
@@ -96,7 +96,7 @@
         key: &str,
         after: Revision,
         wait: Duration,
-    ) -> BoxFuture<'static, Result<Option<Stored>, EdgeError>> {
+    ) -> BoxFuture<'static, Result<Option<Stored>, RpcError>> {
         let me = self.clone();
         let rest = format!("kv/{key}?after={after}&wait={}", wait.as_millis());
         Box::pin(async move { me.read(&rest, wait + QUICK).await })
@@ -123,10 +123,10 @@
                     Err(PutError::Conflict(read.revision))
                 }
                 Ok((status @ (400..=407 | 410..=499), _)) => {
-                    Err(PutError::Refused(EdgeError::Status(status)))
+                    Err(PutError::Refused(RpcError::Status(status)))
                 }
-                Ok((status, _)) => Err(PutError::Unsure(EdgeError::Status(status))),
-                Err(e @ EdgeError::Connect(_)) => Err(PutError::Refused(e)),
+                Ok((status, _)) => Err(PutError::Unsure(RpcError::Status(status))),
+                Err(e @ RpcError::Connect(_)) => Err(PutError::Refused(e)),
                 Err(e) => Err(PutError::Unsure(e)),
             }
         })
@@ -137,7 +137,7 @@
         name: &str,
         holder: &Name,
         ttl: Duration,
-    ) -> BoxFuture<'static, Result<Lease, EdgeError>> {
+    ) -> BoxFuture<'static, Result<Lease, RpcError>> {
         let me = self.clone();
         let rest = format!("leases/{name}");
         let call = LeaseCall { holder: holder.clone(), ttl: ttl.as_millis() as Millis };
@@ -145,12 +145,12 @@
             let (status, bytes) = me.exchange(Method::POST, &rest, Some(&call), QUICK).await?;
             match status {
                 200 | 409 => parse(&bytes),
-                other => Err(EdgeError::Status(other)),
+                other => Err(RpcError::Status(other)),
             }
         })
     }
 
-    fn vms(&self, after: Revision) -> BoxFuture<'static, Result<Option<VmList>, EdgeError>> {
+    fn vms(&self, after: Revision) -> BoxFuture<'static, Result<Option<VmList>, RpcError>> {
         let me = self.clone();
         let rest = format!("vms?after={after}");
         Box::pin(async move {
@@ -158,7 +158,7 @@
             match status {
                 200 => parse(&bytes).map(Some),
                 304 => Ok(None),
-                other => Err(EdgeError::Status(other)),
+                other => Err(RpcError::Status(other)),
             }
         })
     }
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 
 use crate::client::chain;
-use crate::{Body, EdgeError, Response};
+use crate::{Body, Response, RpcError};
 
 /// Time to make a connection: an order of magnitude above the delay between failure domains.
 const CONNECT: Duration = Duration::from_millis(400);
@@ -104,13 +104,13 @@
     ///
     /// # Errors
     ///
-    /// [`EdgeError::Connect`].
+    /// [`RpcError::Connect`].
     pub async fn connect(
         &self,
         address: SocketAddr,
         life: u64,
         reuse: Reuse,
-    ) -> Result<Connection, EdgeError> {
+    ) -> Result<Connection, RpcError> {
         match self.idle(address, life, reuse) {
             Some(sender) => Ok(Connection { sender, address, life, new: false }),
             None => self.open(address, life).await,
@@ -118,7 +118,7 @@
     }
 
     /// Keeps a connection whose answer was whole, for at most `keep` if the engine names a time.
-    pub fn give_back(&self, connection: Connection, keep: Option<Duration>) {
+    pub fn release(&self, connection: Connection, keep: Option<Duration>) {
         let time = keep.map_or(IDLE_TIME, |k| k.saturating_sub(IDLE_MARGIN).min(IDLE_TIME));
         let until = Instant::now() + time;
         let mut idle = self.inner.idle.lock();
@@ -130,12 +130,12 @@
     }
 
     /// Closes every idle connection to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.inner.idle.lock().remove(&address);
     }
 
     /// Closes every idle connection.
-    pub fn forget_all(&self) {
+    pub fn close_all_idle(&self) {
         self.inner.idle.lock().clear();
     }
 
@@ -160,13 +160,13 @@
         None
     }
 
-    async fn open(&self, address: SocketAddr, life: u64) -> Result<Connection, EdgeError> {
-        let refused = |e: &dyn std::error::Error| EdgeError::Connect(chain(e));
+    async fn open(&self, address: SocketAddr, life: u64) -> Result<Connection, RpcError> {
+        let refused = |e: &dyn std::error::Error| RpcError::Connect(chain(e));
         let work = tokio::time::timeout(CONNECT, TcpStream::connect(address));
         let stream = match work.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(refused(&e)),
-            Err(_) => return Err(EdgeError::Connect("no connection in time".to_owned())),
+            Err(_) => return Err(RpcError::Connect("no connection in time".to_owned())),
         };
         stream.set_nodelay(true).map_err(|e| refused(&e))?;
         let socket = SockRef::from(&stream);
@@ -216,7 +216,7 @@
 /// How long a connection may be kept after an answer with these headers.
 ///
 /// None if the engine closes it; `Some(None)` if it names no time.
-pub fn keep_time(headers: &HeaderMap) -> Option<Option<Duration>> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Option<Duration>> {
     let closes = |v: &HeaderValue| {
         v.to_str().is_ok_and(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case("close")))
     };
@@ -231,7 +231,7 @@
 }
 
 /// Removes headers that concern one connection only.
-pub fn strip_hop(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/net/src/edge_error.rs
+++ b/crates/net/src/rpc_error.rs
@@ -2,7 +2,7 @@
 
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum EdgeError {
+pub enum RpcError {
     /// No connection was made: nothing left this process.
     #[error("no connection: {0}")]
     Connect(String),
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -9,7 +9,7 @@
 use futures::future::BoxFuture;
 use heathpitch_core::{Millis, Revision};
 
-use crate::EdgeError;
+use crate::RpcError;
 
 /// Id of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,12 +37,12 @@
     /// It was written.
     Put(Item),
     /// It is gone.
-    Gone(Arc<str>),
+    Deleted(Arc<str>),
 }
 
 /// A read of one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct GetResponse {
     /// Its item, if there is one.
     pub item: Option<Item>,
     /// Revision of the store at the read, from which a watch can go on.
@@ -51,7 +51,7 @@
 
 /// Items under a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Listing {
+pub struct ListResponse {
     /// All of them.
     pub items: Vec<Item>,
     /// Revision that a watch can go on from without missing a change.
@@ -60,7 +60,7 @@
 
 /// Answer to a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Watched {
+pub struct WatchResponse {
     /// Changes in order; empty if none came in time.
     pub changes: Vec<ItemChange>,
     /// Revision to go on from.
@@ -86,19 +86,19 @@
     Conflict(Vec<Item>),
     /// The history after the revision asked for is gone.
     #[error("the history is gone")]
-    Forgotten,
+    Compacted,
     /// The lease is over.
     #[error("the lease is over")]
-    LeaseOver,
+    LeaseExpired,
     /// The store has come back from an older copy of itself since this was read: nothing was sent.
     #[error("the store came back from an older copy since")]
-    Returned,
+    Restored,
     /// The store refused the call: nothing was done.
     #[error("refused with status {0}")]
     Refused(u16),
     /// No answer, or none that can be read: a write may have been done, or may be done later.
     #[error(transparent)]
-    Edge(#[from] EdgeError),
+    Edge(#[from] RpcError),
 }
 
 /// Calls on the store.
@@ -107,10 +107,10 @@
     fn era(&self) -> u64;
 
     /// The item of a key, if there is one.
-    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Found, StoreError>>;
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<GetResponse, StoreError>>;
 
     /// All items under a prefix.
-    fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Listing, StoreError>>;
+    fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<ListResponse, StoreError>>;
 
     /// Waits up to `wait` for changes under a prefix after a revision.
     fn watch<'a>(
@@ -118,7 +118,7 @@
         prefix: &'a str,
         after: Revision,
         wait: Millis,
-    ) -> BoxFuture<'a, Result<Watched, StoreError>>;
+    ) -> BoxFuture<'a, Result<WatchResponse, StoreError>>;
 
     /// Writes under conditions; without any write, checks them.
     fn write(&self, write: Write) -> BoxFuture<'_, Result<Revision, StoreError>>;
