--- a/crates/heathpitchd/src/gateway/call/relay.rs
+++ b/crates/heathpitchd/src/gateway/call/relay.rs
@@ -106,7 +106,7 @@
                 Err(_) => Piece::Nothing,
             },
             Some(Err(e)) => Piece::Failed(e.to_string()),
-            None if self.flow.events.partial() => {
+            None if self.flow.events.has_partial() => {
                 Piece::Failed("the answer ended within an event".to_owned())
             }
             None => Piece::End,
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -61,7 +61,7 @@
         let sent = self.now();
         let result = self.edges.store.watch(prefix, after, wait).await;
         match &result {
-            Err(StoreError::Edge(e)) => {
+            Err(StoreError::Rpc(e)) => {
                 self.shared.metrics.store.with_label_values(&["watch", "lost"]).inc();
                 let asked_ms = self.now().saturating_sub(sent);
                 GatewayEvent::WatchLost { of, asked_ms, error: e.to_string() }.log();
@@ -125,7 +125,7 @@
             // Nothing was asked.
             Err(StoreError::Restored) => return,
             Err(StoreError::Refused(_)) => ("refused", false),
-            Err(StoreError::Edge(_)) => ("lost", false),
+            Err(StoreError::Rpc(_)) => ("lost", false),
         };
         self.shared.metrics.store.with_label_values(&[call, word]).inc();
         if !answers {
--- a/crates/heathpitchd/src/gateway/control/wishes.rs
+++ b/crates/heathpitchd/src/gateway/control/wishes.rs
@@ -43,7 +43,7 @@
             }
             word => word,
         };
-        if matches!(limit, AdvertisedLimit::Named(_)) {
+        if matches!(limit, AdvertisedLimit::Limited(_)) {
             wish.limit().name_aside();
         }
         let asked = BackpressureSignal { limit, ..asked };
--- a/crates/heathpitchd/src/gateway/wishes.rs
+++ b/crates/heathpitchd/src/gateway/wishes.rs
@@ -34,7 +34,7 @@
         let limited = match asked.limit {
             AdvertisedLimit::Unknown => false,
             AdvertisedLimit::Unlimited => wish.limit().omit(sent, now),
-            AdvertisedLimit::Named(rate) => {
+            AdvertisedLimit::Limited(rate) => {
                 self.metrics.wishes.with_label_values(&["limit"]).inc();
                 wish.limit().name(rate, sent, now)
             }
--- a/crates/net/src/backpressure.rs
+++ b/crates/net/src/backpressure.rs
@@ -1,49 +1,50 @@
-//! What an engine asks, beside its answer, of the node that it answers.
+//! Backpressure that an engine signals in the headers of its responses.
 
 use heathpitch_core::{Millis, Rate};
 use hyper::HeaderMap;
 use hyper::header::RETRY_AFTER;
 
-/// Longest rest that is understood, milliseconds: a day. One that asks for more has a fault, or will have
-/// started again by then.
-const REST_LONGEST: Millis = 86_400_000;
+/// Upper bound of a pause: one day. An engine that asks for more is faulty, or will have restarted by
+/// then.
+const MAX_PAUSE_MS: Millis = 86_400_000;
 
-/// What an engine asks of the node that it answers.
+/// Backpressure signalled in one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackpressureSignal {
-    /// Time for which it wants nothing from this node, milliseconds.
+    /// Time for which this node is to send nothing to the engine, milliseconds.
     pub pause: Option<Millis>,
-    /// Whether it leaves, and wants no new work from anybody.
+    /// Whether the engine is draining and accepts no new work from any node.
     pub draining: bool,
-    /// What it says of requests that it takes from all nodes together.
+    /// Rate limit of the engine over all nodes.
     pub limit: AdvertisedLimit,
 }
 
-/// What an answer says of the requests that its engine takes from all nodes together.
+/// Rate limit over all nodes, as an engine advertises it in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdvertisedLimit {
-    /// Nothing that can be used: it cannot be read, or the answer may be another engine's, or of any time.
+    /// No usable information: it cannot be parsed, or the response may come from another engine or be
+    /// arbitrarily old.
     #[default]
     Unknown,
-    /// That there is no limit: it names none.
+    /// The engine advertises no limit.
     Unlimited,
-    /// So many a second.
-    Named(Rate),
+    /// Requests per second.
+    Limited(Rate),
 }
 
-/// An engine's answer to a question or an order of this node's own, and what it asks for in it.
+/// Response of an engine to a status query or an order of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineResponse<T> {
-    /// What it says.
+    /// Content.
     pub value: T,
-    /// Status that it says so with.
+    /// HTTP status.
     pub status: u16,
-    /// What it asks of this node.
+    /// Backpressure signalled with it.
     pub backpressure: BackpressureSignal,
 }
 
 impl<T> EngineResponse<T> {
-    /// The same answer, read further by its status.
+    /// Converts the value, depending on the status.
     pub fn map<U>(self, read: impl FnOnce(u16, T) -> U) -> EngineResponse<U> {
         EngineResponse {
             value: read(self.status, self.value),
@@ -53,19 +54,21 @@
     }
 }
 
-/// Why the time of a Retry-After cannot be used.
+/// Invalid value of a Retry-After header.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{text:?} is no number of seconds from 0 on")]
+#[error("{text:?} is not a non-negative number of seconds")]
 pub struct RetryAfterError {
-    /// What stands there.
+    /// Value of the header.
     pub text: String,
 }
 
-/// The time of a Retry-After in seconds, fractions included, rounded up to milliseconds; at most a day.
+/// Delay of a Retry-After header in milliseconds, rounded up and capped at one day.
+///
+/// The header holds seconds, with an optional fraction.
 ///
 /// # Errors
 ///
-/// [`RetryAfterError`] if it is no number, or a negative one.
+/// [`RetryAfterError`] if the value is not a number or is negative.
 ///
 /// # Examples
 ///
@@ -83,7 +86,7 @@
     let text = String::from_utf8_lossy(value.as_bytes()).trim().to_owned();
     match text.parse::<f64>() {
         Ok(seconds) if seconds >= 0.0 => {
-            Ok(Some(((seconds * 1e3).ceil() as Millis).min(REST_LONGEST)))
+            Ok(Some(((seconds * 1e3).ceil() as Millis).min(MAX_PAUSE_MS)))
         }
         Ok(_) | Err(_) => Err(RetryAfterError { text }),
     }
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and responses, all bounded.
+//! Request and response bodies, read with a size limit.
 
 use bytes::Bytes;
 use futures::stream;
@@ -8,31 +8,31 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-/// Body of every response sent and of every request made.
+/// Body of outgoing requests and responses.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Why a body could not be read or written.
+/// Error while reading or writing a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It is larger than its bound.
-    #[error("the body is larger than allowed")]
+    /// Larger than the limit.
+    #[error("the body exceeds the size limit")]
     TooLarge,
-    /// The other side went away.
-    #[error("the body was cut off")]
+    /// The peer closed the connection before the end.
+    #[error("the body is truncated")]
     Truncated,
 }
 
-/// A body of nothing.
+/// An empty body.
 pub fn empty() -> Body {
     Empty::new().map_err(|e| match e {}).boxed_unsync()
 }
 
-/// A body of these bytes.
+/// A body with the given bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|e| match e {}).boxed_unsync()
 }
 
-/// A body of JSON text.
+/// A JSON body; empty if `value` cannot be serialized.
 pub fn json(value: &impl Serialize) -> Body {
     match serde_json::to_vec(value) {
         Ok(bytes) => full(bytes),
@@ -40,27 +40,27 @@
     }
 }
 
-/// A body fed through a channel that holds `room` pieces.
-pub fn channel(room: usize) -> (mpsc::Sender<Result<Bytes, BodyError>>, Body) {
-    let (tx, rx) = mpsc::channel(room);
-    let pieces = stream::unfold(rx, |mut rx| async {
-        let piece: Result<Bytes, BodyError> = rx.recv().await?;
-        Some((piece.map(Frame::data), rx))
+/// A body streamed through a channel that buffers up to `capacity` chunks.
+pub fn channel(capacity: usize) -> (mpsc::Sender<Result<Bytes, BodyError>>, Body) {
+    let (tx, rx) = mpsc::channel(capacity);
+    let chunks = stream::unfold(rx, |mut rx| async {
+        let chunk: Result<Bytes, BodyError> = rx.recv().await?;
+        Some((chunk.map(Frame::data), rx))
     });
-    (tx, StreamBody::new(pieces).boxed_unsync())
+    (tx, StreamBody::new(chunks).boxed_unsync())
 }
 
-/// Reads a whole body of at most `most` bytes.
+/// Reads a whole body of at most `max_bytes` bytes.
 ///
 /// # Errors
 ///
-/// [`BodyError::TooLarge`] beyond the bound, [`BodyError::Truncated`] if it ends early.
-pub async fn read<B>(body: B, most: usize) -> Result<Bytes, BodyError>
+/// [`BodyError::TooLarge`] above the limit, [`BodyError::Truncated`] if the body ends early.
+pub async fn read<B>(body: B, max_bytes: usize) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLarge),
         Err(_) => Err(BodyError::Truncated),
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP client for every upstream of a process.
+//! HTTP client shared by all upstreams of a process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -17,31 +17,30 @@
 
 use crate::{Body, RpcError, body};
 
-/// Time to make a connection.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Idle connections kept for each upstream.
-const IDLE: usize = 64;
-/// Time an idle connection is kept.
-const IDLE_TIME: Duration = Duration::from_secs(20);
-/// Bytes counted for the heads of a call and its answer, with TCP and IP.
-const HEAD_BYTES: usize = 450;
-/// Largest JSON answer read, bytes.
-const MAX_JSON: usize = 4 << 20;
-
-/// Response of an upstream, its body not read yet.
+/// Timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of idle connections per upstream.
+const MAX_IDLE: usize = 64;
+/// Default time before an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Estimated overhead of a call: request and response heads, with TCP and IP headers.
+const OVERHEAD_BYTES: usize = 450;
+/// Size limit of a JSON response.
+const MAX_JSON_BYTES: usize = 4 << 20;
+
+/// Response of an upstream, with its body still to be read.
 pub type Response = hyper::Response<Incoming>;
 
-/// Speaks HTTP/1.1; cheap to clone.
+/// HTTP/1.1 client with connection pooling; cheap to clone.
 ///
-/// A connection whose answer was not read to its end is closed, never reused, and no request is
-/// ever sent a second time by the client itself.
+/// A connection is reused only after its response has been read to the end. The client never
+/// retries a request by itself.
 #[derive(Clone, Debug)]
 pub struct Client {
     pooled: Arc<Mutex<legacy::Client<HttpConnector, Body>>>,
-    /// Time an idle connection is kept.
-    keep: Duration,
-    single: legacy::Client<HttpConnector, Body>,
-    bytes: Arc<AtomicU64>,
+    idle_timeout: Duration,
+    unpooled: legacy::Client<HttpConnector, Body>,
+    byte_count: Arc<AtomicU64>,
 }
 
 impl Default for Client {
@@ -52,36 +51,38 @@
 
 /// # Construction
 impl Client {
-    /// Bytes of the bodies of all whole calls so far, sent and received.
+    /// Bytes sent and received so far by [`Client::exchange`] and the methods built on it.
     pub fn bytes(&self) -> u64 {
-        self.bytes.load(Relaxed)
+        self.byte_count.load(Relaxed)
     }
 
-    /// A client with no connections yet.
+    /// A client with the default idle timeout.
     pub fn new() -> Self {
-        Self::with_idle_timeout(IDLE_TIME)
+        Self::with_idle_timeout(IDLE_TIMEOUT)
     }
 
-    /// A client that keeps idle connections for `keep`.
-    pub fn with_idle_timeout(keep: Duration) -> Self {
-        let pooled = Arc::new(Mutex::new(build(IDLE, keep)));
-        Self { pooled, keep, single: build(0, keep), bytes: Arc::default() }
+    /// A client that closes idle connections after `idle_timeout`.
+    pub fn with_idle_timeout(idle_timeout: Duration) -> Self {
+        let pooled = Arc::new(Mutex::new(build(MAX_IDLE, idle_timeout)));
+        Self { pooled, idle_timeout, unpooled: build(0, idle_timeout), byte_count: Arc::default() }
     }
 
-    /// Closes all idle connections: after one got no answer, others may be dead as well, and each would
-    /// cost the limit of another call.
+    /// Closes all idle connections.
+    ///
+    /// After a request on one of them got no response, others may be dead as well, and each would cost
+    /// another call its whole timeout.
     pub fn close_idle(&self) {
-        *self.pooled.lock() = build(IDLE, self.keep);
+        *self.pooled.lock() = build(MAX_IDLE, self.idle_timeout);
     }
 }
 
-fn build(idle: usize, keep: Duration) -> legacy::Client<HttpConnector, Body> {
+fn build(max_idle: usize, idle_timeout: Duration) -> legacy::Client<HttpConnector, Body> {
     let mut connector = HttpConnector::new();
-    connector.set_connect_timeout(Some(CONNECT));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     connector.set_nodelay(true);
     legacy::Client::builder(TokioExecutor::new())
-        .pool_max_idle_per_host(idle)
-        .pool_idle_timeout(keep)
+        .pool_max_idle_per_host(max_idle)
+        .pool_idle_timeout(idle_timeout)
         .pool_timer(TokioTimer::new())
         .retry_canceled_requests(false)
         .build(connector)
@@ -89,58 +90,58 @@
 
 /// # Calls
 impl Client {
-    /// Sends a request and waits for the head of the response.
+    /// Sends a request and waits for the response head.
     ///
-    /// With `fresh`, a connection of its own is made, so that [`RpcError::Connect`] proves that
-    /// nothing left this process.
+    /// With `fresh`, a new connection is opened for the request, so that [`RpcError::Connect`] proves
+    /// that nothing was sent.
     ///
     /// # Errors
     ///
     /// [`RpcError::Connect`] or [`RpcError::Lost`].
     pub async fn send(&self, request: Request<Body>, fresh: bool) -> Result<Response, RpcError> {
-        let client = if fresh { self.single.clone() } else { self.pooled.lock().clone() };
+        let client = if fresh { self.unpooled.clone() } else { self.pooled.lock().clone() };
         client.request(request).await.map_err(|e| match e.is_connect() {
-            true => RpcError::Connect(chain(&e)),
-            false => RpcError::Lost(chain(&e)),
+            true => RpcError::Connect(error_chain(&e)),
+            false => RpcError::Lost(error_chain(&e)),
         })
     }
 
-    /// Sends JSON, or nothing, and reads JSON within `limit`.
+    /// Sends an optional JSON body and reads a JSON response within `timeout`.
     ///
     /// # Errors
     ///
-    /// Any [`RpcError`]; [`RpcError::Status`] for a status other than 200.
+    /// Any [`RpcError`]; [`RpcError::Status`] if the status is not 200.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
         uri: &str,
         content: Option<&Q>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<A, RpcError> {
-        let (status, bytes) = self.exchange(method, uri, content, limit).await?;
+        let (status, bytes) = self.exchange(method, uri, content, timeout).await?;
         match status {
             200 => parse(&bytes),
             other => Err(RpcError::Status(other)),
         }
     }
 
-    /// Sends JSON, or nothing, and reads status and body within `limit`.
+    /// Sends an optional JSON body and reads status and body within `timeout`.
     ///
     /// # Errors
     ///
-    /// Any [`RpcError`] but [`RpcError::Status`].
+    /// Any [`RpcError`] except [`RpcError::Status`].
     pub async fn exchange<Q: Serialize>(
         &self,
         method: Method,
         uri: &str,
         content: Option<&Q>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(u16, Bytes), RpcError> {
-        let (parts, bytes) = self.exchange_with_head(method, uri, content, limit).await?;
+        let (parts, bytes) = self.exchange_with_head(method, uri, content, timeout).await?;
         Ok((parts.status.as_u16(), bytes))
     }
 
-    /// The same, with the head of the answer.
+    /// Like [`Client::exchange`], but returns the whole response head.
     ///
     /// # Errors
     ///
@@ -150,31 +151,31 @@
         method: Method,
         uri: &str,
         content: Option<&Q>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(Parts, Bytes), RpcError> {
         let sent = content.map_or_else(Vec::new, |c| serde_json::to_vec(c).unwrap_or_default());
-        self.bytes.fetch_add((sent.len() + HEAD_BYTES) as u64, Relaxed);
+        self.byte_count.fetch_add((sent.len() + OVERHEAD_BYTES) as u64, Relaxed);
         let request = request(method, uri, body::full(sent))?;
         let work = async {
             let response = self.send(request, false).await?;
             let (parts, body) = response.into_parts();
-            let bytes = body::read(body, MAX_JSON).await;
+            let bytes = body::read(body, MAX_JSON_BYTES).await;
             match bytes {
                 Ok(bytes) => {
-                    self.bytes.fetch_add(bytes.len() as u64, Relaxed);
+                    self.byte_count.fetch_add(bytes.len() as u64, Relaxed);
                     Ok((parts, bytes))
                 }
-                Err(body::BodyError::TooLarge) => Err(RpcError::TooLarge(MAX_JSON)),
+                Err(body::BodyError::TooLarge) => Err(RpcError::TooLarge(MAX_JSON_BYTES)),
                 Err(e) => Err(RpcError::Lost(e.to_string())),
             }
         };
-        let late = |_| RpcError::Lost("no answer in time".to_owned());
-        tokio::time::timeout(limit, work).await.map_err(late)?
+        let timed_out = |_| RpcError::Lost("no response within the timeout".to_owned());
+        tokio::time::timeout(timeout, work).await.map_err(timed_out)?
     }
 }
 
-/// An error and its causes.
-pub(crate) fn chain(error: &dyn std::error::Error) -> String {
+/// Message of an error and all its causes.
+pub(crate) fn error_chain(error: &dyn std::error::Error) -> String {
     let causes = std::iter::successors(Some(error), |e| e.source());
     causes.map(ToString::to_string).collect::<Vec<_>>().join(": ")
 }
@@ -189,7 +190,7 @@
         .map_err(|e| RpcError::Malformed(e.to_string()))
 }
 
-/// JSON of an answer.
+/// Parses a JSON response.
 pub(crate) fn parse<A: DeserializeOwned>(bytes: &[u8]) -> Result<A, RpcError> {
     serde_json::from_slice(bytes).map_err(|e| RpcError::Malformed(e.to_string()))
 }
--- a/crates/net/src/deflate.rs
+++ b/crates/net/src/deflate.rs
@@ -1,4 +1,4 @@
-//! Deflated documents, as peers send them.
+//! DEFLATE compression of documents exchanged between nodes.
 
 use std::io::{Read, Write};
 
@@ -8,15 +8,15 @@
 
 use crate::RpcError;
 
-/// Most bytes that are inflated.
-const MAX_PLAIN: usize = 4 << 20;
+/// Size limit of inflated data.
+const MAX_INFLATED_BYTES: usize = 4 << 20;
 
-/// Deflates a text.
+/// Deflates a text; empty if the encoder fails.
 pub fn deflate(text: &str) -> Vec<u8> {
     deflate_bytes(text.as_bytes()).unwrap_or_default()
 }
 
-/// Inflates a text of at most four megabytes.
+/// Inflates a text of at most 4 MiB.
 ///
 /// # Errors
 ///
@@ -36,16 +36,16 @@
     written.map_err(|e| RpcError::Malformed(e.to_string()))
 }
 
-/// Inflates at most four megabytes.
+/// Inflates at most 4 MiB.
 ///
 /// # Errors
 ///
 /// [`RpcError::Malformed`] or [`RpcError::TooLarge`].
 pub fn inflate_bytes(bytes: &[u8]) -> Result<Vec<u8>, RpcError> {
     let mut plain = Vec::new();
-    let mut limited = DeflateDecoder::new(bytes).take(MAX_PLAIN as u64 + 1);
+    let mut limited = DeflateDecoder::new(bytes).take(MAX_INFLATED_BYTES as u64 + 1);
     match limited.read_to_end(&mut plain) {
-        Ok(n) if n > MAX_PLAIN => Err(RpcError::TooLarge(MAX_PLAIN)),
+        Ok(n) if n > MAX_INFLATED_BYTES => Err(RpcError::TooLarge(MAX_INFLATED_BYTES)),
         Ok(_) => Ok(plain),
         Err(e) => Err(RpcError::Malformed(e.to_string())),
     }
--- a/crates/net/src/events.rs
+++ b/crates/net/src/events.rs
@@ -1,13 +1,13 @@
-//! Streams of numbered events (`text/event-stream`), passed on whole.
+//! Splitting of server-sent event streams (`text/event-stream`) into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event held while it is not whole, bytes.
-const EVENT_MOST: usize = 256 << 10;
-/// What ends an event.
-const END: &[u8] = b"\n\n";
+/// Size limit of an incomplete event.
+const MAX_EVENT_BYTES: usize = 256 << 10;
+/// Terminator of an event.
+const TERMINATOR: &[u8] = b"\n\n";
 
-/// Cuts a stream into whole events and checks that their numbers rise by one.
+/// Splits a stream into whole events and checks that their ids are consecutive.
 ///
 /// # Examples
 ///
@@ -18,59 +18,59 @@
 /// let whole = events.push(b"id: 1\ndata: a\n\nid: 2\nda")?;
 /// assert_eq!(&whole[..], b"id: 1\ndata: a\n\n");
 /// assert_eq!(events.last(), Some(1));
-/// assert!(events.partial());
+/// assert!(events.has_partial());
 /// # Ok::<(), heathpitch_net::EventError>(())
 /// ```
 #[derive(Debug)]
 pub struct Events {
-    rest: BytesMut,
+    buffer: BytesMut,
     last: Option<u64>,
     count: u64,
 }
 
-/// Why a stream cannot be passed on.
+/// Error in an event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
-    /// An event is larger than is held.
-    #[error("an event is larger than {EVENT_MOST} bytes")]
+    /// An event exceeds the size limit.
+    #[error("an event exceeds {MAX_EVENT_BYTES} bytes")]
     TooLarge,
-    /// An event's number does not follow that of the one before.
+    /// The id of an event does not follow that of the previous one.
     #[error("event {found} after event {last}")]
     Order {
-        /// Number of the event before.
+        /// Id of the previous event.
         last: u64,
-        /// Number found.
+        /// Id found.
         found: u64,
     },
 }
 
 impl Events {
-    /// A stream whose first event follows event `last`, if there was one.
+    /// A stream whose first event is to follow event `last`, if given.
     pub fn after(last: Option<u64>) -> Self {
-        Self { rest: BytesMut::new(), last, count: 0 }
+        Self { buffer: BytesMut::new(), last, count: 0 }
     }
 
-    /// Takes bytes and gives all events that are whole now, none twice.
+    /// Adds received bytes and returns the events completed by them.
     ///
     /// # Errors
     ///
-    /// [`EventError`]; events before the wrong one are lost with it, so that a stream taken up
-    /// elsewhere starts after the last event given.
+    /// [`EventError`]. Events received together with the invalid one are dropped, so that a stream
+    /// resumed elsewhere continues after the last event returned.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, EventError> {
-        self.rest.extend_from_slice(bytes);
-        let whole = match self.rest.windows(END.len()).rposition(|w| w == END) {
-            Some(at) => self.rest.split_to(at + END.len()).freeze(),
-            None if self.rest.len() > EVENT_MOST => return Err(EventError::TooLarge),
+        self.buffer.extend_from_slice(bytes);
+        let whole = match self.buffer.windows(TERMINATOR.len()).rposition(|w| w == TERMINATOR) {
+            Some(at) => self.buffer.split_to(at + TERMINATOR.len()).freeze(),
+            None if self.buffer.len() > MAX_EVENT_BYTES => return Err(EventError::TooLarge),
             None => return Ok(Bytes::new()),
         };
         let mut last = self.last;
         let mut count = self.count;
-        for number in numbers(&whole) {
+        for id in event_ids(&whole) {
             match last {
-                Some(l) if number != l + 1 => {
-                    return Err(EventError::Order { last: l, found: number });
+                Some(l) if id != l + 1 => {
+                    return Err(EventError::Order { last: l, found: id });
                 }
-                _ => last = Some(number),
+                _ => last = Some(id),
             }
             count += 1;
         }
@@ -78,31 +78,31 @@
         Ok(whole)
     }
 
-    /// Number of the last whole event.
+    /// Id of the last whole event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whole events seen.
+    /// Number of whole events.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Whether bytes of an event that is not whole are held.
-    pub fn partial(&self) -> bool {
-        !self.rest.is_empty()
+    /// Whether an incomplete event is buffered.
+    pub fn has_partial(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// Drops what is not whole, to go on with another engine.
+    /// Drops an incomplete event, to continue the stream with another engine.
     pub fn restart(&mut self) {
-        self.rest.clear();
+        self.buffer.clear();
     }
 }
 
-/// Numbers of events, in order.
-fn numbers(text: &[u8]) -> impl Iterator<Item = u64> + '_ {
+/// Ids of events, in order.
+fn event_ids(text: &[u8]) -> impl Iterator<Item = u64> + '_ {
     text.split(|b| *b == b'\n').filter_map(|line| {
-        let number = line.strip_prefix(b"id:")?;
-        std::str::from_utf8(number).ok()?.trim().parse().ok()
+        let id = line.strip_prefix(b"id:")?;
+        std::str::from_utf8(id).ok()?.trim().parse().ok()
     })
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
-//! Edges of heathpitch.
+//! Network layer of heathpitch.
 //!
-//! Servers and clients for callers, engines, the platform and other nodes. The engine and the
-//! platform each stand behind one trait, so that another protocol can be slotted in.
+//! Servers and clients for callers, engines, the platform and other nodes. Engines and the platform
+//! are each accessed through traits, so that other protocols can be supported.
 
 mod backpressure;
 mod body;
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 listeners with every size, time and number bounded.
+//! HTTP/1.1 listeners with limits on connections, sizes and times.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,20 +17,20 @@
 
 use crate::Body;
 
-/// Time to wait after an accept that failed, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, such as one for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 4_096;
 
-/// Bounds of a listener.
+/// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Connections at once; more wait to be accepted.
+    /// Concurrent connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// Size of a request head, bytes.
     pub head: usize,
-    /// Time for a request's head to arrive.
+    /// Time for a request head to arrive.
     pub head_time: Duration,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A bound listener that is not serving yet.
+/// A bound listener that is not yet serving.
 #[derive(Debug)]
 pub struct Listener {
     socket: TcpListener,
@@ -48,14 +48,14 @@
 }
 
 impl Listener {
-    /// Binds an address, port 0 taking a free one; must be called in a runtime.
+    /// Binds an address; port 0 selects a free port. Must be called within a runtime.
     ///
-    /// The queue of connections not accepted yet is long: the usual 128 overflows in a burst, and
-    /// a connection dropped there is tried again only after a second.
+    /// The accept queue is long: the usual 128 entries overflow in a burst, and the client retries a
+    /// dropped connection only after a second.
     ///
     /// # Errors
     ///
-    /// What the system says, such as that the port is in use.
+    /// An I/O error, for example if the port is in use.
     pub fn bind(address: SocketAddr) -> io::Result<Self> {
         let socket = match address {
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -68,38 +68,38 @@
         Ok(Self { socket, address })
     }
 
-    /// Address bound.
+    /// The bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The socket without a runtime, to be served by another one.
+    /// Detaches the socket from the current runtime, so that another one can serve it.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// An I/O error.
     pub fn into_std(self) -> io::Result<std::net::TcpListener> {
         self.socket.into_std()
     }
 
-    /// A listener of a bound socket; must be called in the runtime that serves it.
+    /// A listener on a bound socket; must be called within the runtime that serves it.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// An I/O error.
     pub fn from_std(socket: std::net::TcpListener) -> io::Result<Self> {
         let socket = TcpListener::from_std(socket)?;
         let address = socket.local_addr()?;
         Ok(Self { socket, address })
     }
 
-    /// The socket itself, for a listener of another protocol.
+    /// The socket, to serve another protocol on it.
     pub fn into_socket(self) -> TcpListener {
         self.socket
     }
 }
 
-/// Serves until `stop` turns true, then lets open requests end.
+/// Serves until `stop` becomes true, then waits for open requests to finish.
 pub async fn serve<H, F>(
     listener: Listener,
     bounds: Bounds,
@@ -109,29 +109,29 @@
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    let room = Arc::new(Semaphore::new(bounds.connections));
+    let slots = Arc::new(Semaphore::new(bounds.connections));
     let graceful = GracefulShutdown::new();
     loop {
         let accepted = tokio::select! {
             biased;
             _ = stop.wait_for(|s| *s) => break,
-            accepted = accept(&listener.socket, &room) => accepted,
+            accepted = accept(&listener.socket, &slots) => accepted,
         };
         let Some((socket, permit)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let handler = handler.clone();
         let service = service_fn(move |request| {
-            let answer = handler(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let mut builder = hyper::server::conn::http1::Builder::new();
         builder.timer(TokioTimer::new()).header_read_timeout(bounds.head_time);
         builder.max_buf_size(bounds.head);
         let watched = graceful.watch(builder.serve_connection(TokioIo::new(socket), service));
         tokio::spawn(async move {
-            // A connection that breaks ends its own requests; there is nobody left to tell.
+            // An error ends the connection and its requests; nobody is left to report it to.
             let _ = watched.await;
             drop(permit);
         });
@@ -142,9 +142,9 @@
 
 async fn accept(
     socket: &TcpListener,
-    room: &Arc<Semaphore>,
+    slots: &Arc<Semaphore>,
 ) -> Option<(tokio::net::TcpStream, tokio::sync::OwnedSemaphorePermit)> {
-    let permit = room.clone().acquire_owned().await.ok()?;
+    let permit = slots.clone().acquire_owned().await.ok()?;
     let (stream, _) = socket.accept().await.ok()?;
     stream.set_nodelay(true).ok()?;
     Some((stream, permit))
--- a/crates/net/src/order.rs
+++ b/crates/net/src/order.rs
@@ -1,14 +1,14 @@
-//! Orders to engines, fenced by placement epoch.
+//! Orders to engines, fenced by the placement epoch.
 
 use heathpitch_core::{Epoch, LayerRange, Name};
 use heathpitch_policy::EngineRole;
 use serde::{Deserialize, Serialize};
 
-/// What an engine is to do.
+/// Action that an engine is to take.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderKind {
-    /// Hold these layers, after letting running requests end.
+    /// Load these layers, after running requests have finished.
     Load {
         /// Model.
         model: Name,
@@ -16,31 +16,31 @@
         version: Name,
         /// Layers.
         layers: LayerRange,
-        /// Weights to read from the store, megabytes.
+        /// Weights to read from the store, in megabytes.
         megabytes: u64,
     },
-    /// Take another phase of requests.
+    /// Serve another phase of requests.
     Role(EngineRole),
-    /// Take no new requests, and stop when the running ones have ended.
+    /// Drain: accept no new requests and stop once the running ones have finished.
     Leave,
 }
 
-/// An order and the epoch of the planner that gave it.
+/// An order with the epoch of the planner that issued it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Epoch; an engine refuses one that is older than it has seen.
+    /// Epoch; an engine rejects an order with an older epoch than it has seen.
     pub epoch: Epoch,
-    /// What to do.
+    /// Action.
     pub kind: OrderKind,
 }
 
-/// Why an order was not taken.
+/// Error of an order.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrderError {
     /// The engine has seen a newer epoch.
-    #[error("the order is older than the engine's epoch {0}")]
+    #[error("stale order: the engine is at epoch {0}")]
     Stale(Epoch),
-    /// The call failed.
+    /// The remote call failed.
     #[error(transparent)]
     Edge(#[from] crate::RpcError),
 }
--- a/crates/net/src/peer_update.rs
+++ b/crates/net/src/peer_update.rs
@@ -1,20 +1,20 @@
-//! What nodes tell each other in an exchange.
+//! Content of a state exchange between nodes.
 
 use std::sync::Arc;
 
 use heathpitch_core::Revision;
 use heathpitch_policy::{EngineReport, Member};
 
-/// A numbered document, deflated; empty if only the number is told.
+/// A compressed document with its revision; empty if only the revision is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Packed {
-    /// Its number; 0 for none.
+    /// Revision of the document; 0 for none.
     pub revision: Revision,
     /// Deflated text.
     pub bytes: Arc<[u8]>,
 }
 
-/// Averaged demand of one account.
+/// Demand of one client account, averaged over nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// Digest of the account's name.
@@ -26,16 +26,16 @@
 /// One side of an exchange.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
-    /// The sender and the freshest members it knows.
+    /// The sender and the most recently updated members it knows.
     pub members: Vec<Member>,
-    /// Newest reports of engines.
+    /// Latest reports of engines.
     pub reports: Vec<EngineReport>,
-    /// Configuration in force.
+    /// Active configuration.
     pub config: Packed,
-    /// Newest list of VMs.
+    /// Latest list of VMs.
     pub vms: Packed,
-    /// Averaged demand.
+    /// Demand of client accounts, averaged over nodes.
     pub demand: Vec<Demand>,
-    /// Averaging round the demand belongs to.
+    /// Number of the averaging round that the demand belongs to.
     pub epoch: u64,
 }
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to engines, kept for reuse one request at a time.
+//! Connection pool for engines.
 //!
-//! A connection goes back only after an answer that was whole and belonged to its request. One
-//! whose answer was late, cut, malformed or not read to its end is closed, so that bytes of one
-//! request never reach another.
+//! A connection serves one request at a time and returns to the pool only after a complete response
+//! that belongs to its request. After a late, truncated, malformed or partly read response it is
+//! closed, so that data of one request can never reach another.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,22 +17,22 @@
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-use crate::client::chain;
+use crate::client::error_chain;
 use crate::{Body, Response, RpcError};
 
-/// Time to make a connection: an order of magnitude above the delay between failure domains.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Time for which sent bytes may stay unacknowledged.
-const UNACKED: Duration = Duration::from_millis(2_500);
-/// Idle connections kept to one address.
-const IDLE_MOST: usize = 32;
-/// Longest time an idle connection is kept, where the engine names none.
-const IDLE_TIME: Duration = Duration::from_secs(8);
-/// Time by which a connection is given up before the engine closes it.
+/// Timeout of a connection attempt, an order of magnitude above the latency between failure domains.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time for which sent data may remain unacknowledged before the connection is closed.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Maximum number of idle connections per address.
+const MAX_IDLE: usize = 32;
+/// Upper bound of the time an idle connection is kept; also used if the engine states none.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Safety margin by which an idle connection is closed before the engine closes it.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// Headers that concern one connection only.
-const HOP: [&str; 7] = [
+/// Hop-by-hop headers.
+const HOP_HEADERS: [&str; 7] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -42,16 +42,17 @@
     "upgrade",
 ];
 
-/// Whether an idle connection may be taken.
+/// Whether an idle connection may be reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Any that is still open: a request lost with it can be sent again.
+    /// Any that is still open: a request lost with it can be retried.
     Idle,
-    /// None: a connection that the engine closes meanwhile would leave doubt about the request.
+    /// Always a new connection: if the engine closed a reused one at the same moment, it would be unknown
+    /// whether it had received the request.
     Never,
 }
 
-/// Keeps idle connections; cheap to clone.
+/// Pool of idle connections; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     inner: Arc<Inner>,
@@ -65,8 +66,8 @@
 #[derive(Debug)]
 struct Idle {
     sender: http1::SendRequest<Body>,
-    life: u64,
-    until: Instant,
+    incarnation: u64,
+    expires: Instant,
 }
 
 /// A connection in use by one request.
@@ -74,24 +75,24 @@
 pub struct Connection {
     sender: http1::SendRequest<Body>,
     address: SocketAddr,
-    life: u64,
+    incarnation: u64,
     new: bool,
 }
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendFailure {
-    /// No byte of it left this process.
+    /// No byte of it was sent.
     #[error("not sent: {0}")]
     Unsent(String),
-    /// It may have arrived.
-    #[error("lost: {0}")]
+    /// It may have been received.
+    #[error("connection lost: {0}")]
     Lost(String),
 }
 
 /// # Construction
 impl Pool {
-    /// A pool with no connections yet.
+    /// An empty pool.
     pub fn new() -> Self {
         Self::default()
     }
@@ -99,8 +100,10 @@
 
 /// # Connections
 impl Pool {
-    /// An idle connection to `address`, or a new one; one made to another `life` of whoever listens
-    /// there is dead, and is never taken.
+    /// Takes an idle connection to `address` or opens a new one.
+    ///
+    /// An idle connection to another `incarnation` of the process at this address is dead and is never
+    /// taken.
     ///
     /// # Errors
     ///
@@ -108,24 +111,30 @@
     pub async fn connect(
         &self,
         address: SocketAddr,
-        life: u64,
+        incarnation: u64,
         reuse: Reuse,
     ) -> Result<Connection, RpcError> {
-        match self.idle(address, life, reuse) {
-            Some(sender) => Ok(Connection { sender, address, life, new: false }),
-            None => self.open(address, life).await,
+        match self.take_idle(address, incarnation, reuse) {
+            Some(sender) => Ok(Connection { sender, address, incarnation, new: false }),
+            None => self.open(address, incarnation).await,
         }
     }
 
-    /// Keeps a connection whose answer was whole, for at most `keep` if the engine names a time.
-    pub fn release(&self, connection: Connection, keep: Option<Duration>) {
-        let time = keep.map_or(IDLE_TIME, |k| k.saturating_sub(IDLE_MARGIN).min(IDLE_TIME));
-        let until = Instant::now() + time;
+    /// Returns a connection after a complete response; it is kept for less than `keep_alive`, if the
+    /// engine states that time.
+    pub fn release(&self, connection: Connection, keep_alive: Option<Duration>) {
+        let time =
+            keep_alive.map_or(IDLE_TIMEOUT, |k| k.saturating_sub(IDLE_MARGIN).min(IDLE_TIMEOUT));
+        let expires = Instant::now() + time;
         let mut idle = self.inner.idle.lock();
         let kept = idle.entry(connection.address).or_default();
-        kept.retain(|i| !i.sender.is_closed() && i.until > Instant::now());
-        if kept.len() < IDLE_MOST && !time.is_zero() && !connection.sender.is_closed() {
-            kept.push(Idle { sender: connection.sender, life: connection.life, until });
+        kept.retain(|i| !i.sender.is_closed() && i.expires > Instant::now());
+        if kept.len() < MAX_IDLE && !time.is_zero() && !connection.sender.is_closed() {
+            kept.push(Idle {
+                sender: connection.sender,
+                incarnation: connection.incarnation,
+                expires,
+            });
         }
     }
 
@@ -139,10 +148,10 @@
         self.inner.idle.lock().clear();
     }
 
-    fn idle(
+    fn take_idle(
         &self,
         address: SocketAddr,
-        life: u64,
+        incarnation: u64,
         reuse: Reuse,
     ) -> Option<http1::SendRequest<Body>> {
         if reuse == Reuse::Never {
@@ -151,27 +160,27 @@
         let mut idle = self.inner.idle.lock();
         let kept = idle.get_mut(&address)?;
         let now = Instant::now();
-        kept.retain(|i| i.life == life);
-        while let Some(Idle { sender, until, .. }) = kept.pop() {
-            if sender.is_ready() && until > now {
+        kept.retain(|i| i.incarnation == incarnation);
+        while let Some(Idle { sender, expires, .. }) = kept.pop() {
+            if sender.is_ready() && expires > now {
                 return Some(sender);
             }
         }
         None
     }
 
-    async fn open(&self, address: SocketAddr, life: u64) -> Result<Connection, RpcError> {
-        let refused = |e: &dyn std::error::Error| RpcError::Connect(chain(e));
-        let work = tokio::time::timeout(CONNECT, TcpStream::connect(address));
+    async fn open(&self, address: SocketAddr, incarnation: u64) -> Result<Connection, RpcError> {
+        let refused = |e: &dyn std::error::Error| RpcError::Connect(error_chain(e));
+        let work = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let stream = match work.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(refused(&e)),
-            Err(_) => return Err(RpcError::Connect("no connection in time".to_owned())),
+            Err(_) => return Err(RpcError::Connect("no connection within the timeout".to_owned())),
         };
         stream.set_nodelay(true).map_err(|e| refused(&e))?;
         let socket = SockRef::from(&stream);
-        if let Err(e) = socket.set_tcp_user_timeout(Some(UNACKED)) {
-            log::debug!("no bound on unacknowledged bytes: {e}");
+        if let Err(e) = socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT)) {
+            log::debug!("cannot set TCP_USER_TIMEOUT: {e}");
         }
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|e| refused(&e))?;
@@ -180,42 +189,42 @@
                 log::debug!("connection to {address} ended: {e}");
             }
         });
-        Ok(Connection { sender, address, life, new: true })
+        Ok(Connection { sender, address, incarnation, new: true })
     }
 }
 
 /// # Use
 impl Connection {
-    /// Address it leads to.
+    /// Address of the remote side.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether it was made for this request.
+    /// Whether it was opened for the current request.
     pub fn is_new(&self) -> bool {
         self.new
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// [`SendFailure`], which tells whether a byte may have left.
+    /// [`SendFailure`], which tells whether the request may have been received.
     pub async fn send(&mut self, request: Request<Body>) -> Result<Response, SendFailure> {
         if let Err(e) = self.sender.ready().await {
-            return Err(SendFailure::Unsent(chain(&e)));
+            return Err(SendFailure::Unsent(error_chain(&e)));
         }
         self.sender.try_send_request(request).await.map_err(|mut e| {
             let unsent = e.take_message().is_some();
-            let why = chain(e.error());
+            let why = error_chain(e.error());
             if unsent { SendFailure::Unsent(why) } else { SendFailure::Lost(why) }
         })
     }
 }
 
-/// How long a connection may be kept after an answer with these headers.
+/// Keep-alive time of a connection after a response with these headers.
 ///
-/// None if the engine closes it; `Some(None)` if it names no time.
+/// `None` if the engine closes the connection; `Some(None)` if it states no time.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Option<Duration>> {
     let closes = |v: &HeaderValue| {
         v.to_str().is_ok_and(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case("close")))
@@ -223,14 +232,14 @@
     if headers.get_all(CONNECTION).iter().any(closes) {
         return None;
     }
-    let named = headers.get("keep-alive").and_then(|v| v.to_str().ok());
-    let seconds = named.and_then(|v| {
+    let stated = headers.get("keep-alive").and_then(|v| v.to_str().ok());
+    let seconds = stated.and_then(|v| {
         v.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.parse().ok())
     });
     Some(seconds.map(Duration::from_secs))
 }
 
-/// Removes headers that concern one connection only.
+/// Removes hop-by-hop headers, including those named by `Connection`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
@@ -239,7 +248,7 @@
         .flat_map(|v| v.split(','))
         .map(|v| v.trim().to_ascii_lowercase())
         .collect();
-    for hop in HOP.iter().copied().chain(named.iter().map(String::as_str)) {
+    for hop in HOP_HEADERS.iter().copied().chain(named.iter().map(String::as_str)) {
         headers.remove(hop);
     }
 }
--- a/crates/net/src/rpc_error.rs
+++ b/crates/net/src/rpc_error.rs
@@ -1,21 +1,21 @@
-//! Failures of calls to engines, the platform and peers.
+//! Failures of remote calls to engines, the platform and peers.
 
-/// Why a call failed.
+/// Error of a remote call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RpcError {
-    /// No connection was made: nothing left this process.
-    #[error("no connection: {0}")]
+    /// No connection was established: nothing was sent.
+    #[error("connection failed: {0}")]
     Connect(String),
-    /// The connection was lost, or the time was over, after something may have left.
-    #[error("lost: {0}")]
+    /// The connection was lost or the call timed out; the request may have been received.
+    #[error("connection lost: {0}")]
     Lost(String),
-    /// The other side answered with an HTTP error.
-    #[error("status {0}")]
+    /// The remote side answered with an HTTP error status.
+    #[error("HTTP status {0}")]
     Status(u16),
-    /// The answer is not what the protocol says.
-    #[error("malformed answer: {0}")]
+    /// The response violates the protocol.
+    #[error("malformed response: {0}")]
     Malformed(String),
-    /// The answer is larger than its bound, bytes.
-    #[error("answer above {0} bytes")]
+    /// The response exceeds the size limit, in bytes.
+    #[error("response exceeds {0} bytes")]
     TooLarge(usize),
 }
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -1,7 +1,7 @@
-//! The platform's store, behind one trait.
+//! Interface of the platform's key-value store.
 //!
-//! Items have a revision that only rises; writes hold under conditions on revisions; a lease ends
-//! its items unless it is renewed.
+//! Each item has a revision that only increases. Writes are conditional on revisions. An item can be
+//! bound to a lease and is deleted when the lease ends or expires.
 
 use std::sync::Arc;
 
@@ -14,102 +14,100 @@
 /// Id of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseId {
-    /// Era of the store that granted it; in a later one it is worth nothing.
+    /// Era of the store that granted it; it is invalid in later eras.
     pub era: u64,
-    /// The store's own id.
+    /// Id within the store.
     pub number: u64,
 }
 
 /// An item of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// Key.
     pub key: Arc<str>,
-    /// Bytes.
     pub value: Bytes,
-    /// Revision of its last change.
+    /// Revision of the last change.
     pub revision: Revision,
 }
 
-/// A change of an item.
+/// Change of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemChange {
-    /// It was written.
+    /// The item was written.
     Put(Item),
-    /// It is gone.
+    /// The item with this key was deleted.
     Deleted(Arc<str>),
 }
 
-/// A read of one key.
+/// Result of reading one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GetResponse {
-    /// Its item, if there is one.
+    /// The item, if the key exists.
     pub item: Option<Item>,
-    /// Revision of the store at the read, from which a watch can go on.
+    /// Revision of the store at the read, from which a watch can continue.
     pub at: Revision,
 }
 
-/// Items under a prefix.
+/// Result of listing a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListResponse {
-    /// All of them.
+    /// All items under the prefix.
     pub items: Vec<Item>,
-    /// Revision that a watch can go on from without missing a change.
+    /// Revision from which a watch can continue without missing a change.
     pub at: Revision,
 }
 
-/// Answer to a watch.
+/// Result of a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchResponse {
-    /// Changes in order; empty if none came in time.
+    /// Changes in order; empty if there were none within the waiting time.
     pub changes: Vec<ItemChange>,
-    /// Revision to go on from.
+    /// Revision to continue from.
     pub at: Revision,
 }
 
-/// A write that does all or nothing.
+/// An atomic write.
 #[derive(Clone, Debug, Default)]
 pub struct Write {
-    /// Revisions that keys must have; 0 for a key that must be absent.
+    /// Required revisions of keys; 0 for a key that must not exist.
     pub conditions: Vec<(String, Revision)>,
-    /// Values to write, with the lease they end with.
+    /// Keys and values to write, each with the lease it is bound to, if any.
     pub puts: Vec<(String, Bytes, Option<LeaseId>)>,
-    /// Keys to remove.
+    /// Keys to delete.
     pub removals: Vec<String>,
 }
 
-/// Why a call on the store failed.
+/// Error of a store operation.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// A condition does not hold; the items as they are, absent ones left out.
-    #[error("a condition does not hold")]
+    /// A condition is not met; holds the current items, without those that do not exist.
+    #[error("a condition of the write is not met")]
     Conflict(Vec<Item>),
-    /// The history after the revision asked for is gone.
-    #[error("the history is gone")]
+    /// The history after the requested revision is no longer available.
+    #[error("the history after the requested revision is no longer available")]
     Compacted,
-    /// The lease is over.
-    #[error("the lease is over")]
+    /// The lease has expired or was ended.
+    #[error("the lease has ended")]
     LeaseExpired,
-    /// The store has come back from an older copy of itself since this was read: nothing was sent.
-    #[error("the store came back from an older copy since")]
+    /// The store was restored from an older copy after the data was read; nothing was sent.
+    #[error("the store was restored from an older copy in the meantime")]
     Restored,
-    /// The store refused the call: nothing was done.
-    #[error("refused with status {0}")]
+    /// The store rejected the call; nothing was changed.
+    #[error("rejected with HTTP status {0}")]
     Refused(u16),
-    /// No answer, or none that can be read: a write may have been done, or may be done later.
+    /// No response, or an unreadable one: a write may have taken effect, or may still do so.
     #[error(transparent)]
-    Edge(#[from] RpcError),
+    Rpc(#[from] RpcError),
 }
 
-/// Calls on the store.
+/// Operations of the store.
 pub trait Store: Send + Sync {
-    /// How often the store had come back from an older copy of itself, by its latest answer.
+    /// Number of times the store was restored from an older copy, according to its latest response.
     fn era(&self) -> u64;
 
-    /// The item of a key, if there is one.
+    /// Reads a key.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<GetResponse, StoreError>>;
 
-    /// All items under a prefix.
+    /// Lists all items under a prefix.
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<ListResponse, StoreError>>;
 
     /// Waits up to `wait` for changes under a prefix after a revision.
@@ -120,15 +118,15 @@
         wait: Millis,
     ) -> BoxFuture<'a, Result<WatchResponse, StoreError>>;
 
-    /// Writes under conditions; without any write, checks them.
+    /// Writes if all conditions are met; without puts and removals, only checks the conditions.
     fn write(&self, write: Write) -> BoxFuture<'_, Result<Revision, StoreError>>;
 
-    /// A new lease.
+    /// Grants a new lease.
     fn grant(&self, ttl: Millis) -> BoxFuture<'_, Result<LeaseId, StoreError>>;
 
     /// Renews a lease.
     fn renew(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>>;
 
-    /// Ends a lease.
+    /// Ends a lease and deletes its items.
     fn end(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>>;
 }
--- a/crates/net/tests/events.rs
+++ b/crates/net/tests/events.rs
@@ -1,6 +1,6 @@
-//! Streams of events: whole ones only, in order, whatever the pieces.
+//! Event streams are passed on as whole events in order, however the bytes are split.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failure fails the test")]
 
 use heathpitch_net::{EventError, Events};
 
@@ -9,21 +9,21 @@
 }
 
 #[test]
-fn any_cutting_into_pieces_gives_the_same_bytes() {
+fn output_does_not_depend_on_chunk_boundaries() {
     let text = stream(1, 9);
     for size in 1..text.len() {
         let mut events = Events::after(None);
         let mut out = Vec::new();
-        for piece in text.as_bytes().chunks(size) {
-            out.extend_from_slice(&events.push(piece).unwrap());
+        for chunk in text.as_bytes().chunks(size) {
+            out.extend_from_slice(&events.push(chunk).unwrap());
         }
-        assert_eq!(out, text.as_bytes(), "pieces of {size}");
-        assert_eq!((events.last(), events.count(), events.partial()), (Some(9), 9, false));
+        assert_eq!(out, text.as_bytes(), "chunk size {size}");
+        assert_eq!((events.last(), events.count(), events.has_partial()), (Some(9), 9, false));
     }
 }
 
 #[test]
-fn a_stream_taken_up_elsewhere_goes_on_without_the_part_that_was_not_whole() {
+fn restart_drops_the_incomplete_event() {
     let mut events = Events::after(None);
     assert_eq!(events.push(b"id: 1\ndata: a\n\nid: 2\nda").unwrap().len(), 15);
     events.restart();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_number_that_does_not_follow_is_refused() {
+fn non_consecutive_ids_are_rejected() {
     for (after, next) in [(1, 3), (5, 5), (5, 4)] {
         let mut events = Events::after(Some(after));
         let error = events.push(stream(next, next).as_bytes()).unwrap_err();
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn an_event_without_end_is_not_held_for_ever() {
+fn an_unterminated_event_is_limited_in_size() {
     let mut events = Events::after(None);
-    let pieces = std::iter::repeat_n([b'x'; 1_024], 300);
-    let error = pieces.map(|p| events.push(&p)).find_map(Result::err);
+    let chunks = std::iter::repeat_n([b'x'; 1_024], 300);
+    let error = chunks.map(|c| events.push(&c)).find_map(Result::err);
     assert_eq!(error, Some(EventError::TooLarge));
 }
