--- a/crates/heathpitchd/src/control/placement.rs
+++ b/crates/heathpitchd/src/control/placement.rs
@@ -145,7 +145,7 @@
                 self.lead(None);
                 false
             }
-            Err(OrderError::Edge(_)) => true,
+            Err(OrderError::Rpc(_)) => true,
         }
     }
 
--- a/crates/heathpitchd/src/filters/arrival.rs
+++ b/crates/heathpitchd/src/filters/arrival.rs
@@ -23,8 +23,8 @@
                 (Broken::Refused, Some(said.engine.clone()), unfit.then_some(said.engine))
             }
             SendError::Fault(engine) => (Broken::Lost, Some(engine), None),
-            SendError::Edge(RpcError::Connect(_)) => (Broken::Unsent, None, None),
-            SendError::Edge(_) => (Broken::Lost, None, None),
+            SendError::Rpc(RpcError::Connect(_)) => (Broken::Unsent, None, None),
+            SendError::Rpc(_) => (Broken::Lost, None, None),
         };
         let event = RelayEvent::Broken { attempt, how, engine };
         Self { event, text: String::new(), unfit }
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -133,7 +133,7 @@
     }
     let dispatch = Dispatch {
         engine: &view.entry.id,
-        left: call.left(traffic.shared.now()),
+        remaining: call.left(traffic.shared.now()),
         account: call.holder.as_ref().map(|h| &h.account),
         rank: call.rank(),
         after,
@@ -198,7 +198,7 @@
             Err(Failure::Lost(format!("an answer of another call, status {status}")))
         }
         h if h.not_run => Err(Failure::Refused { status, faulty_address: h.faulty_address }),
-        h if status.is_success() && !h.digest_matches => {
+        h if status.is_success() && !h.has_digest => {
             Err(Failure::Lost("a success without a digest".to_owned()))
         }
         _ => Ok(answer),
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -142,10 +142,10 @@
     let model = service.as_ref().and_then(|s| s.model.as_ref());
     let late = model.map_or(0, |m| m.report_ms);
     let usual = model.map_or(0.0, LayeredModel::usual_tokens);
-    let held = status.held(usual).unwrap_or(0.0);
+    let held = status.held_tokens(usual).unwrap_or(0.0);
     let at = control.now().saturating_sub(late);
     // All of a round are published together.
-    let _ = put(control, &engine.id, status.pace, held, at);
+    let _ = put(control, &engine.id, status.slowdown, held, at);
 }
 
 /// Takes a report; gives whether it may make another engine the faster one.
--- a/crates/net/src/dialect.rs
+++ b/crates/net/src/dialect.rs
@@ -1,6 +1,6 @@
-//! What a platform speaks beside its store: documents, heads of calls, orders to engines.
+//! Interface of a platform adapter, besides the store: documents, headers of calls and control of engines.
 //!
-//! An adapter implements these traits; nothing else in the project knows the platform's names.
+//! Only the adapter that implements these traits knows the names that the platform uses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,216 +13,215 @@
 
 use crate::{BackpressureSignal, EngineResponse, Item, RpcError};
 
-/// Why a document of the store cannot be used.
+/// Error in a document of the store.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {message}")]
 pub struct DocumentError {
     /// Key of the item.
     pub key: Arc<str>,
-    /// What is wrong, with its place.
+    /// What is wrong, and where in the document.
     pub message: String,
 }
 
-/// Why the head of a call cannot be used.
+/// Error in the head of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// It has no id.
+    /// The id is missing.
     #[error("the request has no id")]
     NoId,
-    /// It has no host.
+    /// The host is missing.
     #[error("the request has no host")]
     NoHost,
-    /// A header cannot be read.
-    #[error("header {0} cannot be read")]
+    /// A header is invalid.
+    #[error("header {0} is invalid")]
     Header(&'static str),
 }
 
-/// Sizes that a caller states for a generation, tokens.
+/// Token counts that a caller states for a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCounts {
-    /// Of the prompt.
+    /// Length of the prompt.
     pub prompt: u32,
-    /// Most of the answer.
+    /// Maximum length of the completion.
     pub answer: u32,
 }
 
-/// What the router reads from a call's head.
+/// Head of a call as the router sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallHead {
-    /// Id of the call, drawn by its caller.
+    /// Id of the call, chosen by its caller.
     pub id: Arc<str>,
-    /// Host asked for.
+    /// Requested host.
     pub host: Arc<str>,
-    /// Time the caller will wait.
+    /// Time that the caller will wait.
     pub deadline: Option<Millis>,
     /// API key.
     pub key: Option<Arc<str>>,
-    /// Event after which a stream is to go on.
+    /// Event after which to resume a stream.
     pub after: Option<u64>,
-    /// Stated sizes.
+    /// Stated token counts.
     pub sizes: Option<TokenCounts>,
 }
 
-/// What the router adds to one send of a call.
+/// What the router adds to one attempt of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Dispatch<'a> {
-    /// Engine that alone may run it.
+    /// The only engine that may run it.
     pub engine: &'a Name,
-    /// Time left.
-    pub left: Millis,
-    /// Client account, where keys are asked for.
+    /// Time remaining until the deadline.
+    pub remaining: Millis,
+    /// Client account, if API keys are required.
     pub account: Option<&'a Name>,
-    /// Rank, 0 first.
+    /// Rank; 0 is served first.
     pub rank: u8,
-    /// Event after which the stream goes on.
+    /// Event after which to resume the stream.
     pub after: Option<u64>,
     /// Chain of engines.
     pub path: Option<&'a Path>,
 }
 
-/// Load that an engine tells in an answer.
+/// Load that an engine reports in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that can run.
+    /// Requests that can run concurrently.
     pub slots: u32,
 }
 
-/// What the router reads from an answer's head.
+/// Head of a response as the router sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Whether it repeats the id of this call.
+    /// Whether it carries the id of this call.
     pub id_matches: bool,
-    /// Whether an engine vouches for it with its digest.
-    pub digest_matches: bool,
-    /// Whether the engine states that the call did not run.
+    /// Whether it carries a digest by an engine.
+    pub has_digest: bool,
+    /// Whether the engine states that the call was not executed.
     pub not_run: bool,
-    /// Engine at fault, where another than the one asked.
+    /// Address of the engine at fault, if it is not the one that was called.
     pub faulty_address: Option<SocketAddr>,
     /// Load of the engine.
     pub load: Option<EngineLoad>,
-    /// What it asks of this node.
+    /// Backpressure signalled by the engine.
     pub backpressure: BackpressureSignal,
 }
 
-/// An engine's own account of its state, some hundred milliseconds old.
+/// State reported by an engine, a few hundred milliseconds old.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineStatus {
-    /// Layers held.
+    /// Loaded layers.
     pub layers: Option<LayerRange>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Orders begun.
+    /// Number of orders begun.
     pub orders: u64,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait; they hold no memory yet.
+    /// Waiting requests; they do not use memory yet.
     pub waiting: u32,
-    /// Memory of requests in use, tokens times layers.
+    /// Memory used by requests, in tokens times layers.
     pub used: u64,
-    /// Memory for requests, tokens times layers.
+    /// Memory available to requests in total, in tokens times layers.
     pub total: u64,
-    /// Factor by which it is slower than it should be.
-    pub pace: f64,
-    /// Calls that wait for an engine further on, with its address.
+    /// Factor by which it is slower than expected.
+    pub slowdown: f64,
+    /// Calls that wait for a later engine of their path, with its address.
     pub stalled: Vec<(Arc<str>, SocketAddr)>,
-    /// Unix time of its start, milliseconds, if it tells that.
+    /// Unix time of its start in milliseconds, if reported.
     pub born: Option<Millis>,
 }
 
 impl EngineStatus {
-    /// Tokens that requests hold there, and that those which wait will, `usual` each; none if it
-    /// holds no layers.
-    pub fn held(&self, usual: f64) -> Option<f64> {
+    /// Tokens held by running requests, plus `typical` for each waiting one; none if it holds no layers.
+    pub fn held_tokens(&self, typical: f64) -> Option<f64> {
         let layers = self.layers.filter(|l| l.count() > 0)?;
-        let held = self.used as f64 / f64::from(layers.count());
-        Some(held + f64::from(self.waiting) * usual)
+        let tokens = self.used as f64 / f64::from(layers.count());
+        Some(tokens + f64::from(self.waiting) * typical)
     }
 }
 
-/// How an engine gives layers up.
+/// How an engine unloads layers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseMode {
-    /// After the requests that pass through them.
+    /// After the requests that use them have finished.
     Drain,
-    /// At once.
+    /// At once, aborting the requests that use them.
     Immediate,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Begun, done, or true already.
+    /// Accepted, completed, or already satisfied.
     Taken,
-    /// It does not fit the engine's state; the engine that is in the way, if named.
+    /// It conflicts with the state of the engine; holds the address of the engine in conflict, if stated.
     Conflict(Option<SocketAddr>),
-    /// The engine at this address has another id, or does not know the request.
+    /// The engine at this address has another id or does not know the request.
     Unknown,
-    /// Refused with this status.
+    /// Rejected with this HTTP status.
     Refused(u16),
 }
 
-/// Documents and heads of a platform.
+/// Document formats and headers of a platform.
 pub trait Dialect: Send + Sync {
     /// Key of the configuration.
     fn config_key(&self) -> &'static str;
 
-    /// Prefix of the keys of configurations.
+    /// Key prefix of configurations.
     fn config_prefix(&self) -> &'static str;
 
-    /// Prefix of the keys of engines.
+    /// Key prefix of engines.
     fn engines_prefix(&self) -> &'static str;
 
-    /// Path of the balancer's readiness check.
+    /// Path of the load balancer's readiness check.
     fn ready_path(&self) -> &'static str;
 
     /// Decodes a configuration.
     ///
     /// # Errors
     ///
-    /// [`DocumentError`] with the place of what is wrong.
+    /// [`DocumentError`] that names the invalid part.
     fn catalog(&self, item: &Item) -> Result<Catalog, DocumentError>;
 
-    /// Decodes an engine's entry.
+    /// Decodes the entry of an engine.
     ///
     /// # Errors
     ///
-    /// [`DocumentError`] with the place of what is wrong.
+    /// [`DocumentError`] that names the invalid part.
     fn engine(&self, item: &Item) -> Result<EngineEntry, DocumentError>;
 
-    /// Reads the head of a call.
+    /// Parses the head of a call.
     ///
     /// # Errors
     ///
     /// [`HeadError`].
     fn call(&self, parts: &request::Parts) -> Result<CallHead, HeadError>;
 
-    /// Headers of one send of a call.
+    /// Headers of one attempt of a call.
     fn headers(&self, received: &HeaderMap, dispatch: &Dispatch<'_>) -> HeaderMap;
 
-    /// Reads the head of an answer to the call `id`.
+    /// Parses the head of a response to the call `id`.
     fn answer(&self, id: &str, parts: &response::Parts) -> ResponseHead;
 }
 
-/// Orders to engines.
+/// Control of engines.
 pub trait EngineControl: Send + Sync {
-    /// The engine's state.
+    /// Queries the state of an engine.
     fn status<'a>(
         &'a self,
         engine: &'a EngineEntry,
     ) -> BoxFuture<'a, Result<EngineResponse<EngineStatus>, RpcError>>;
 
-    /// Whether an engine says that it takes new work, by the check of its service.
+    /// Whether an engine accepts new work, according to the health check of its service.
     fn healthy<'a>(
         &'a self,
         engine: &'a EngineEntry,
         path: &'a str,
     ) -> BoxFuture<'a, Result<EngineResponse<bool>, RpcError>>;
 
-    /// Orders an engine to hold `layers`, if it has begun exactly `orders` orders.
+    /// Orders an engine to hold `layers`, on condition that it has begun exactly `orders` orders so far.
     fn place<'a>(
         &'a self,
         engine: &'a EngineEntry,
@@ -231,7 +230,7 @@
         orders: u64,
     ) -> BoxFuture<'a, Result<EngineResponse<OrderOutcome>, RpcError>>;
 
-    /// Orders the first engine of a running call's path to change the parts behind it.
+    /// Orders the first engine of a running call to change the rest of the path.
     fn reroute<'a>(
         &'a self,
         head: SocketAddr,
@@ -241,7 +240,7 @@
     ) -> BoxFuture<'a, Result<EngineResponse<OrderOutcome>, RpcError>>;
 }
 
-/// A call's request line and body, as every send repeats them.
+/// Request line, headers and body of a call, repeated in every attempt.
 #[derive(Clone, Debug)]
 pub struct CallBody {
     /// Method.
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -1,4 +1,4 @@
-//! The edge towards engines and plain services.
+//! Interface of clients of engines and plain services.
 
 use futures::future::BoxFuture;
 use futures::stream::BoxStream;
@@ -8,88 +8,88 @@
 
 use crate::{Frame, GenerateCall, Order, OrderError, RpcError};
 
-/// Frames of one answer, in the order they arrive.
+/// Frames of one response, in order of arrival.
 pub type FrameStream = BoxStream<'static, Result<Frame, RpcError>>;
 
-/// Why an engine did not start a request.
+/// Reason why an engine did not start a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
     /// Its queue is full.
     Busy,
-    /// It will stop.
+    /// It is draining.
     Leaving,
-    /// It does not hold the layers, the version or the epoch.
+    /// It does not hold the requested layers or version, or is at another epoch.
     NotHeld,
-    /// It could not read the request.
+    /// It could not parse the request.
     Malformed,
 }
 
-/// An engine's statement that it did not start a request.
+/// Response of an engine that did not start a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Always false; anything else is not a statement of no start.
+    /// Always false; a response with true does not count as a refusal.
     pub started: bool,
     /// Reason.
     pub kind: RefusalKind,
-    /// Engine that refused, head or later stage.
+    /// Engine that refused: the head of the path or a later stage.
     pub engine: Name,
-    /// When to come back, milliseconds.
+    /// Time after which to retry, milliseconds.
     #[serde(default)]
     pub back: Millis,
 }
 
-/// Why a request could not be sent.
+/// Error of sending a request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// The engine stated that it did not start.
-    #[error("refused: {0:?}")]
+    /// An engine refused the request without starting it.
+    #[error("refused by the engine: {0:?}")]
     Refused(Refusal),
-    /// A later engine of the path cannot be reached; nothing is said of a start.
-    #[error("engine {0} cannot be reached")]
+    /// A later engine of the path is unreachable; the request may have started.
+    #[error("engine {0} is unreachable")]
     Fault(Name),
-    /// The call failed.
+    /// The remote call failed.
     #[error(transparent)]
-    Edge(#[from] RpcError),
+    Rpc(#[from] RpcError),
 }
 
-/// Cache events after a number.
+/// Cache events after a given serial number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// Events in order.
     pub events: Vec<BlockEvent>,
-    /// Whole content instead, if events were lost.
+    /// Full content of the cache instead, if some events are no longer available.
     pub snapshot: Option<Vec<u64>>,
-    /// Number of the newest event.
+    /// Serial number of the latest event.
     pub serial: u64,
-    /// Layers the blocks are of.
+    /// Layers that the blocks belong to.
     pub layers: Option<LayerRange>,
 }
 
-/// What the router asks of engines.
+/// Requests of the router to engines.
 pub trait EngineClient: Send + Sync + 'static {
     /// Sends a request to the head of its path.
     ///
-    /// Dropping the stream ends the request at the engine.
+    /// Dropping the stream cancels the request at the engine.
     fn generate(
         &self,
         address: &Name,
         call: GenerateCall,
     ) -> BoxFuture<'static, Result<FrameStream, SendError>>;
 
-    /// Ends an attempt.
+    /// Cancels an attempt.
     fn cancel(&self, address: &Name, request: String, attempt: Attempt) -> BoxFuture<'static, ()>;
 
-    /// Asks for the engine's report.
+    /// Fetches the engine's report.
     fn report(&self, address: &Name) -> BoxFuture<'static, Result<EngineReport, RpcError>>;
 
-    /// Asks for cache events after `serial`.
+    /// Fetches cache events after `serial`.
     fn events(
         &self,
         address: &Name,
         serial: u64,
     ) -> BoxFuture<'static, Result<CacheEvents, RpcError>>;
 
-    /// Gives an order.
+    /// Sends an order.
     fn order(&self, address: &Name, order: Order) -> BoxFuture<'static, Result<(), OrderError>>;
 }
--- a/crates/net/src/engine_http.rs
+++ b/crates/net/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! Engines over HTTP and JSON lines.
+//! Client of engines over HTTP and JSON lines.
 
 use std::time::Duration;
 
@@ -18,14 +18,14 @@
     Refusal, RpcError, SendError, body,
 };
 
-/// Longest line of an answer, bytes.
-const MAX_LINE: usize = 64 << 10;
-/// Largest refusal read, bytes.
-const MAX_REFUSAL: usize = 16 << 10;
-/// Time for a report, event or cancel call.
-const QUICK: Duration = Duration::from_millis(800);
-/// Time for an order call; loading goes on after the answer.
-const ORDER: Duration = Duration::from_secs(2);
+/// Size limit of a line in a response.
+const MAX_LINE_BYTES: usize = 64 << 10;
+/// Size limit of a refusal.
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
+/// Timeout of a report, event or cancel call.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of an order call; loading continues after the response.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An [`EngineClient`] over HTTP.
 #[derive(Clone, Debug, Default)]
@@ -40,7 +40,7 @@
 }
 
 #[derive(Deserialize)]
-struct Stale {
+struct StaleAnswer {
     epoch: Epoch,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl HttpEngine {
-    /// Engines reached through `client`.
+    /// A client of engines that uses the connections of `client`.
     pub fn new(client: Client) -> Self {
         Self { client }
     }
@@ -79,15 +79,15 @@
         let uri = format!("http://{address}/v1/cancel");
         Box::pin(async move {
             let call = CancelCall { request, attempt };
-            // The connection was closed as well, so a lost cancel costs the engine time only.
-            let _ = client.exchange(Method::POST, &uri, Some(&call), QUICK).await;
+            // The connection is closed as well, so a lost cancel only costs the engine some time.
+            let _ = client.exchange(Method::POST, &uri, Some(&call), SHORT_TIMEOUT).await;
         })
     }
 
     fn report(&self, address: &Name) -> BoxFuture<'static, Result<EngineReport, RpcError>> {
         let client = self.client.clone();
         let uri = format!("http://{address}/v1/report");
-        Box::pin(async move { client.call(Method::GET, &uri, None::<&()>, QUICK).await })
+        Box::pin(async move { client.call(Method::GET, &uri, None::<&()>, SHORT_TIMEOUT).await })
     }
 
     fn events(
@@ -97,47 +97,50 @@
     ) -> BoxFuture<'static, Result<CacheEvents, RpcError>> {
         let client = self.client.clone();
         let uri = format!("http://{address}/v1/events?after={serial}");
-        Box::pin(async move { client.call(Method::GET, &uri, None::<&()>, QUICK).await })
+        Box::pin(async move { client.call(Method::GET, &uri, None::<&()>, SHORT_TIMEOUT).await })
     }
 
     fn order(&self, address: &Name, order: Order) -> BoxFuture<'static, Result<(), OrderError>> {
         let client = self.client.clone();
         let uri = format!("http://{address}/v1/orders");
         Box::pin(async move {
-            let (status, bytes) = client.exchange(Method::POST, &uri, Some(&order), ORDER).await?;
+            let (status, bytes) =
+                client.exchange(Method::POST, &uri, Some(&order), ORDER_TIMEOUT).await?;
             match status {
                 200 => Ok(()),
-                409 => Err(OrderError::Stale(parse::<Stale>(&bytes)?.epoch)),
+                409 => Err(OrderError::Stale(parse::<StaleAnswer>(&bytes)?.epoch)),
                 other => Err(RpcError::Status(other).into()),
             }
         })
     }
 }
 
-/// A statement of no start counts only if it can be read whole and says so.
+/// Error for a response that is not 200.
+///
+/// It counts as a refusal only if it can be parsed completely and states that the request did not start.
 async fn refusal(status: u16, content: Incoming) -> SendError {
-    let bytes = body::read(content, MAX_REFUSAL).await.unwrap_or_default();
+    let bytes = body::read(content, MAX_REFUSAL_BYTES).await.unwrap_or_default();
     match (serde_json::from_slice::<Refusal>(&bytes), serde_json::from_slice::<Fault>(&bytes)) {
-        (Ok(said), _) if !said.started => SendError::Refused(said),
+        (Ok(refusal), _) if !refusal.started => SendError::Refused(refusal),
         (_, Ok(Fault { engine })) => SendError::Fault(engine),
-        _ => SendError::Edge(RpcError::Status(status)),
+        _ => SendError::Rpc(RpcError::Status(status)),
     }
 }
 
 struct Lines {
     content: Incoming,
     buffer: BytesMut,
-    over: bool,
+    done: bool,
 }
 
 fn frames(content: Incoming) -> FrameStream {
-    let lines = Lines { content, buffer: BytesMut::new(), over: false };
+    let lines = Lines { content, buffer: BytesMut::new(), done: false };
     stream::unfold(lines, |mut lines| async {
-        if lines.over {
+        if lines.done {
             return None;
         }
         let next = lines.next().await;
-        lines.over = !matches!(next, Some(Ok(Frame::Token { .. })));
+        lines.done = !matches!(next, Some(Ok(Frame::Token { .. })));
         next.map(|f| (f, lines))
     })
     .boxed()
@@ -151,10 +154,10 @@
                     let line = self.buffer.split_to(end + 1);
                     return Some(parse(&line));
                 }
-                None if self.buffer.len() > MAX_LINE => {
-                    return Some(Err(RpcError::TooLarge(MAX_LINE)));
+                None if self.buffer.len() > MAX_LINE_BYTES => {
+                    return Some(Err(RpcError::TooLarge(MAX_LINE_BYTES)));
                 }
-                None => match self.piece().await {
+                None => match self.read_chunk().await {
                     Ok(Some(bytes)) => self.buffer.extend_from_slice(&bytes),
                     Ok(None) => return None,
                     Err(e) => return Some(Err(e)),
@@ -163,7 +166,7 @@
         }
     }
 
-    async fn piece(&mut self) -> Result<Option<Bytes>, RpcError> {
+    async fn read_chunk(&mut self) -> Result<Option<Bytes>, RpcError> {
         match self.content.frame().await {
             None => Ok(None),
             Some(Ok(frame)) => Ok(Some(frame.into_data().unwrap_or_default())),
--- a/crates/net/src/order.rs
+++ b/crates/net/src/order.rs
@@ -42,5 +42,5 @@
     Stale(Epoch),
     /// The remote call failed.
     #[error(transparent)]
-    Edge(#[from] crate::RpcError),
+    Rpc(#[from] crate::RpcError),
 }
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -23,7 +23,9 @@
 /// An item of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
+    /// Key.
     pub key: Arc<str>,
+    /// Value.
     pub value: Bytes,
     /// Revision of the last change.
     pub revision: Revision,
