--- a/crates/heathpitch/src/command/store.rs
+++ b/crates/heathpitch/src/command/store.rs
@@ -88,7 +88,7 @@
                     return Err(CommandError::Unreached { what: "the platform", source: e });
                 }
                 Err(PutError::Refused(e)) => last = e,
-                Err(PutError::Unsure(e)) => {
+                Err(PutError::Unknown(e)) => {
                     unsure = true;
                     last = e;
                 }
--- a/crates/heathpitchd/src/control/claims.rs
+++ b/crates/heathpitchd/src/control/claims.rs
@@ -74,13 +74,13 @@
     let answer = control.edges.platform.put(&key(page), expect, text).await;
     let counted = match &answer {
         Ok(_) | Err(PutError::Conflict(_)) => Ok(()),
-        Err(PutError::Refused(e) | PutError::Unsure(e)) => Err::<(), RpcError>(e.clone()),
+        Err(PutError::Refused(e) | PutError::Unknown(e)) => Err::<(), RpcError>(e.clone()),
     };
     note(&control, "claims_write", &counted);
     let event = match answer {
         Ok(revision) => ClaimEvent::Written(page, revision),
         Err(PutError::Conflict(_)) => ClaimEvent::Conflict(page),
-        Err(PutError::Refused(_) | PutError::Unsure(_)) => ClaimEvent::Unsure(page),
+        Err(PutError::Refused(_) | PutError::Unknown(_)) => ClaimEvent::Unsure(page),
     };
     on(&control, event);
 }
--- a/crates/net/schema/feed.capnp
+++ b/crates/net/schema/feed.capnp
@@ -1,6 +1,6 @@
 @0xb9c2a7d15e0f3846;
 
-# What a node asks another one instead of the store. Regenerate with:
+# Feed of store contents and engine state between nodes. Regenerate with:
 #   capnp compile -orust:crates/net/src/generated --src-prefix=crates/net/schema \
 #     crates/net/schema/feed.capnp && cargo fmt -p heathpitch-net
 
@@ -16,126 +16,126 @@
 
 struct Ask {
   life @0 :UInt64;
-  # Life of the node asked that the serials belong to.
+  # Incarnation of the polled node that the serials belong to.
   serial @1 :UInt64;
-  # Changes of engines up to this one are known; 0 for none.
+  # Serial of the last known change of engine entries; 0 for none.
   reports @2 :Bool;
-  # Whether only reports are wanted, of engines in the failure domain of the node asked.
+  # Whether only reports are requested, of engines in the failure domain of the polled node.
   node @3 :Text;
-  # The node that asks.
+  # Requesting node.
   address @4 :Text;
-  # Where it can be asked itself.
+  # Address at which it can be polled itself.
   able @5 :Bool;
-  # Whether its VM can carry what a planner tells.
+  # Whether its VM has the capacity for a planner's feed.
   revision @6 :UInt64;
-  # Revision of the configuration that it has; 0 for none.
+  # Revision of its configuration; 0 for none.
   digest @7 :UInt64;
-  # Digest of the engines' entries that it has.
+  # Digest of its engine entries.
   reported @8 :UInt64;
-  # Reports up to this one are known; 0 for none.
+  # Serial of the last known report; 0 for none.
   ends @9 :List(End);
-  # Ends of engines that the one asking learned of since it asked the same node last.
+  # Engine exits that the requesting node has learned of since its last poll of the same node.
   endsLife @10 :UInt64;
   endsSerial @11 :UInt64;
-  # Ends that the node asked told up to this serial of that life are known.
+  # Last known engine exit of the polled node: its incarnation and serial.
   leaves @12 :List(Leave);
-  # Engines that say they leave, as the one asking learned since it asked the same node last.
+  # Drain notices that the requesting node has learned of since its last poll of the same node.
   leavesSerial @13 :UInt64;
-  # Those that the node asked told up to this serial of the same life are known.
+  # Serial of the last known drain notice of the same incarnation.
   version @14 :UInt64;
-  # The operator's version of the configuration that it has; 0 for none.
+  # The operator's version of its configuration; 0 for none.
   limits @15 :List(Limit);
-  # Limits that engines name, as the one asking learned since it asked the same node last.
+  # Rate limits that the requesting node has learned of since its last poll of the same node.
   limitsSerial @16 :UInt64;
-  # Those that the node asked told up to this serial of the same life are known.
+  # Serial of the last known rate limit of the same incarnation.
 }
 
 struct Limit {
-  # What an engine says of the requests that it takes from all nodes together.
+  # Rate limit of an engine over all nodes.
   engine @0 :Text;
   born @1 :UInt64;
-  # Unix time of the engine's start, milliseconds; 0 if it does not tell that.
+  # Unix time of the engine's start in milliseconds; 0 if unknown.
   parts @2 :UInt64;
-  # Thousandths of a request a second, and one more; 0 if it names no limit any more.
+  # Requests per second, in thousandths, plus one; 0 if the engine no longer advertises a limit.
   ageMs @3 :UInt64;
 }
 
 struct Leave {
-  # An engine said in an answer that it leaves.
+  # Notice that an engine is draining.
   engine @0 :Text;
   born @1 :UInt64;
-  # Unix time of the engine's start, milliseconds; 0 if it does not tell that.
+  # Unix time of the engine's start in milliseconds; 0 if unknown.
   ageMs @2 :UInt64;
 }
 
 struct End {
-  # The end of an engine while a request that it had just begun ran there.
+  # Notice that an engine ended while it ran a request that it had just started.
   print @0 :UInt64;
-  # Print of the request.
+  # Fingerprint of the request.
   engine @1 :Text;
   born @2 :UInt64;
-  # Unix time of the engine's start, milliseconds; 0 if it does not tell that.
+  # Unix time of the engine's start in milliseconds; 0 if unknown.
   events @3 :UInt32;
-  # Events that the request had brought there.
+  # Events of the response before the engine ended.
   renewed @4 :UInt32;
-  # How often the request came again long after.
+  # How often the request was seen again much later.
   void @5 :Bool;
-  # Whether it says nothing of the request any more.
+  # Whether it no longer counts as evidence against the request.
   ageMs @6 :UInt64;
 }
 
 struct Told {
   live @0 :Bool;
-  # Whether the rest is young enough to be taken.
+  # Whether the rest is recent enough to be used.
   life @1 :UInt64;
   serial @2 :UInt64;
   whole @3 :Bool;
-  # Whether `items` are all there are; else what changed since the serial asked from.
+  # Whether these are all entries, in `packed`; otherwise `items` and `gone` are the changes since the serial given in the poll.
   items @4 :List(Item);
   gone @5 :List(Text);
   packed @6 :Data;
-  # In place of `items`: a deflated message of `Items`.
+  # Instead of `items`: a compressed message of type `Items`.
   revision @7 :UInt64;
-  # Revision of the configuration in force.
+  # Revision of the active configuration.
   config @8 :Item;
-  # The configuration with its value deflated, if the one asking has an older one.
+  # The configuration with its value compressed, if the requesting node has an older one.
   busy @9 :Bool;
-  # Whether something large is held back, because the link is full.
+  # Whether large data is withheld because the link is at capacity.
   proofMs @10 :UInt64;
-  # Age of the proof that it is the newest.
+  # Time since the configuration was verified to be the latest.
   listMs @11 :UInt64;
-  # Age of the proof that the engines' entries are those of the store.
+  # Time since the engine entries were verified against the store.
   nodes @12 :UInt32;
-  # Nodes of the fleet; 0 if they are not known.
+  # Number of nodes in the fleet; 0 if unknown.
   beside @13 :UInt32;
-  # Nodes of the failure domain; 0 if they are not known.
+  # Number of nodes in the failure domain; 0 if unknown.
   reports @14 :List(Report);
   reported @15 :UInt64;
-  # Serial of the last report, to ask from next.
+  # Serial of the last report, for the next poll.
   planners @16 :List(Planner);
   vacant @17 :Bool;
-  # Whether the node asked was the planner of its failure domain and has given that up.
+  # Whether the polled node was the planner of its failure domain and has released that role.
   standbys @18 :List(Source);
-  # Nodes that read the store if the planner does not, in their order.
+  # Standbys that read the store if the planner does not, in order of priority.
   ends @19 :List(End);
   endsLife @20 :UInt64;
   endsSerial @21 :UInt64;
-  # Ends of engines, and up to where they are known once these are taken.
+  # Engine exits, and the position after them: incarnation and serial.
   leaves @22 :List(Leave);
   leavesSerial @23 :UInt64;
-  # Engines that say they leave, and up to where, in the same life, they are known once these are taken.
+  # Drain notices, and the position after them in the same incarnation.
   limits @24 :List(Limit);
   limitsSerial @25 :UInt64;
-  # The same for limits that engines name.
+  # Rate limits, and the position after them in the same incarnation.
 }
 
 struct Report {
   engine @0 :Text;
   pace @1 :Float64;
-  # Factor by which it is slower than its card.
+  # Factor by which it is slower than its accelerator.
   ageMs @2 :UInt64;
   held @3 :Float64;
-  # Tokens that requests hold there.
+  # Tokens held by requests.
 }
 
 struct Source {
@@ -147,24 +147,24 @@
   domain @0 :Text;
   source @1 :Source;
   revision @2 :UInt64;
-  # Revision of its entry in the store: the higher one is the newer planner.
+  # Revision of its entry in the store: a higher one is a newer planner.
 }
 
 struct RightAsk {
   node @0 :Text;
-  # The node that asks.
+  # Requesting node.
   limit @1 :Limit;
-  # The engine, and what the node that asks knows of its limit.
+  # The engine, and its rate limit as known to the requesting node.
   wanted @2 :UInt16;
-  # Requests that it wants to send.
+  # Number of rights requested.
 }
 
 struct RightTold {
   active @0 :Bool;
-  # Whether the node asked hands out rights for this engine.
+  # Whether the polled node issues rights for this engine.
   given @1 :UInt16;
   waitMs @2 :UInt64;
-  # Time after which asking again is worth it.
+  # Time after which to ask again.
 }
 
 interface Feed {
--- a/crates/net/schema/peer.capnp
+++ b/crates/net/schema/peer.capnp
@@ -1,6 +1,6 @@
 @0xd4a1c1f0b6c54e19;
 
-# What nodes say to each other. Regenerate with:
+# State exchange between nodes. Regenerate with:
 #   capnp compile -orust:crates/net/src/generated --src-prefix=crates/net/schema \
 #     crates/net/schema/peer.capnp && cargo fmt -p heathpitch-net
 
@@ -41,16 +41,16 @@
 
 struct Document {
   revision @0 :UInt64;
-  # Number of the document or list; 0 for none.
+  # Revision of the document or list; 0 for none.
   packed @1 :Data;
-  # Deflated JSON; empty if only the number is told.
+  # Compressed JSON; empty if only the revision is sent.
 }
 
 struct Demand {
   account @0 :UInt64;
-  # Digest of the account's name.
+  # Digest of the name of the client account.
   rate @1 :Float32;
-  # Averaged requests per second and node.
+  # Requests per second and node, averaged over nodes.
 }
 
 struct Update {
--- a/crates/net/src/dialect.rs
+++ b/crates/net/src/dialect.rs
@@ -147,7 +147,7 @@
 pub enum ReleaseMode {
     /// After the requests that use them have finished.
     Drain,
-    /// At once, aborting the requests that use them.
+    /// At once, without waiting for these requests.
     Immediate,
 }
 
--- a/crates/net/src/feed.rs
+++ b/crates/net/src/feed.rs
@@ -1,7 +1,8 @@
-//! What some nodes read from the store, told to the others by capnp-rpc.
+//! Distribution of store contents from the nodes that read the store to the others, over capnp-rpc.
 //!
-//! A node asks again and again on a kept connection; an answer is made at once, so that the age of what
-//! it tells is never hidden by a wait. Both sides run on the control thread.
+//! A follower polls on a persistent connection. The server responds at once instead of waiting for
+//! changes, so that the reported age of the data stays correct. Client and server run on the control
+//! thread.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,31 +22,32 @@
 use crate::peer::{network, serve_rpc};
 use crate::{FeedRequest, FeedResponse, RightsRequest, RightsResponse, RpcError};
 
-/// Connections at once: the nodes of the largest fleet, each with one to follow by and one to ask for rights.
-const CONNECTIONS: usize = 1_024;
-/// Longest time of a connection; followers make a new one.
-const HOLD: Duration = Duration::from_secs(120);
+/// Maximum number of concurrent connections: enough for all nodes of the largest fleet, each with one
+/// for polling and one for requesting rights.
+const MAX_CONNECTIONS: usize = 1_024;
+/// Maximum duration of a connection; followers then open a new one.
+const MAX_CONNECTION_TIME: Duration = Duration::from_secs(120);
 
-/// Answers other nodes by functions.
+/// Server for followers and for nodes that request rights.
 #[derive(Clone)]
 pub struct FeedServer {
-    answer: Rc<dyn Fn(FeedRequest) -> FeedResponse>,
-    hand_out: Rc<dyn Fn(RightsRequest) -> RightsResponse>,
+    respond: Rc<dyn Fn(FeedRequest) -> FeedResponse>,
+    issue_rights: Rc<dyn Fn(RightsRequest) -> RightsResponse>,
 }
 
 impl FeedServer {
-    /// A server that answers followers with `answer`, and those who ask for rights with `hand_out`.
+    /// A server with handlers for polls and for requests of rights.
     pub fn new(
-        answer: Rc<dyn Fn(FeedRequest) -> FeedResponse>,
-        hand_out: Rc<dyn Fn(RightsRequest) -> RightsResponse>,
+        respond: Rc<dyn Fn(FeedRequest) -> FeedResponse>,
+        issue_rights: Rc<dyn Fn(RightsRequest) -> RightsResponse>,
     ) -> Self {
-        Self { answer, hand_out }
+        Self { respond, issue_rights }
     }
 
-    /// Serves followers on `socket` until the task is dropped; must run in a `LocalSet`.
+    /// Serves other nodes on `socket` until the future is dropped; must run in a `LocalSet`.
     pub async fn serve(self, socket: TcpListener) {
         let client: feed::Client = new_client(self);
-        serve_rpc(socket, client.client, CONNECTIONS, HOLD).await;
+        serve_rpc(socket, client.client, MAX_CONNECTIONS, MAX_CONNECTION_TIME).await;
     }
 }
 
@@ -56,7 +58,7 @@
         mut results: feed::AskResults,
     ) -> Result<(), capnp::Error> {
         let ask = read_ask(params.get()?.get_ask()?)?;
-        write_told(&(self.answer)(ask), results.get().init_told());
+        write_told(&(self.respond)(ask), results.get().init_told());
         Ok(())
     }
 
@@ -66,12 +68,12 @@
         mut results: feed::RightResults,
     ) -> Result<(), capnp::Error> {
         let ask = read_right_ask(params.get()?.get_ask()?)?;
-        write_right_told(&(self.hand_out)(ask), results.get().init_told());
+        write_right_told(&(self.issue_rights)(ask), results.get().init_told());
         Ok(())
     }
 }
 
-/// A kept connection to a node that tells.
+/// Persistent connection to a node that distributes store contents.
 pub struct FeedClient {
     client: feed::Client,
     system: JoinHandle<Result<(), capnp::Error>>,
@@ -82,55 +84,59 @@
     ///
     /// # Errors
     ///
-    /// [`RpcError::Connect`], also after `limit`.
-    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, RpcError> {
-        let connected = tokio::time::timeout(limit, TcpStream::connect(address)).await;
-        let late = |_| RpcError::Connect("no connection in time".to_owned());
-        let stream = connected.map_err(late)?.map_err(|e| RpcError::Connect(e.to_string()))?;
+    /// [`RpcError::Connect`], also after `timeout`.
+    pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Self, RpcError> {
+        let connected = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
+        let timed_out = |_| RpcError::Connect("no connection within the timeout".to_owned());
+        let stream = connected.map_err(timed_out)?.map_err(|e| RpcError::Connect(e.to_string()))?;
         let mut system = RpcSystem::new(network(stream, Side::Client), None);
         let client = system.bootstrap(Side::Server);
         Ok(Self { client, system: tokio::task::spawn_local(system) })
     }
 
-    /// Asks the node.
+    /// Polls the node.
     ///
     /// # Errors
     ///
-    /// [`RpcError::Lost`], also after `limit`; [`RpcError::Malformed`].
-    pub async fn ask(&self, ask: &FeedRequest, limit: Duration) -> Result<FeedResponse, RpcError> {
+    /// [`RpcError::Lost`], also after `timeout`; [`RpcError::Malformed`].
+    pub async fn ask(
+        &self,
+        ask: &FeedRequest,
+        timeout: Duration,
+    ) -> Result<FeedResponse, RpcError> {
         let mut request = self.client.ask_request();
         write_ask(ask, request.get().init_ask());
-        let answer = within(limit, request.send().promise).await?;
-        let told = answer.get().and_then(|a| read_told(a.get_told()?));
+        let response = within(timeout, request.send().promise).await?;
+        let told = response.get().and_then(|a| read_told(a.get_told()?));
         told.map_err(|e| RpcError::Malformed(e.to_string()))
     }
 
-    /// Asks the node for rights to send requests to an engine.
+    /// Requests rights to send requests to an engine.
     ///
     /// # Errors
     ///
-    /// [`RpcError::Lost`], also after `limit`; [`RpcError::Malformed`].
+    /// [`RpcError::Lost`], also after `timeout`; [`RpcError::Malformed`].
     pub async fn right(
         &self,
         ask: &RightsRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<RightsResponse, RpcError> {
         let mut request = self.client.right_request();
         write_right_ask(ask, request.get().init_ask());
-        let answer = within(limit, request.send().promise).await?;
-        let told = answer.get().and_then(|a| Ok(read_right_told(a.get_told()?)));
+        let response = within(timeout, request.send().promise).await?;
+        let told = response.get().and_then(|a| Ok(read_right_told(a.get_told()?)));
         told.map_err(|e| RpcError::Malformed(e.to_string()))
     }
 }
 
-/// An answer that comes within `limit`.
+/// Awaits a response for at most `timeout`.
 async fn within<T>(
-    limit: Duration,
-    answer: impl Future<Output = Result<T, capnp::Error>>,
+    timeout: Duration,
+    response: impl Future<Output = Result<T, capnp::Error>>,
 ) -> Result<T, RpcError> {
-    let late = |_| RpcError::Lost("no answer in time".to_owned());
-    let answered = tokio::time::timeout(limit, answer).await.map_err(late)?;
-    answered.map_err(|e| RpcError::Lost(e.to_string()))
+    let timed_out = |_| RpcError::Lost("no response within the timeout".to_owned());
+    let result = tokio::time::timeout(timeout, response).await.map_err(timed_out)?;
+    result.map_err(|e| RpcError::Lost(e.to_string()))
 }
 
 impl Drop for FeedClient {
--- a/crates/net/src/feed_codec.rs
+++ b/crates/net/src/feed_codec.rs
@@ -1,4 +1,4 @@
-//! Codec of what nodes tell each other instead of the store.
+//! Cap'n Proto encoding of the feed messages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,11 +16,11 @@
     FeedRequest, FeedResponse, Item, NoticeCursor, RightsRequest, RightsResponse, RpcError,
 };
 
-/// Packs items for a whole list: a hundred entries of engines take some 3 kB instead of 30.
+/// Encodes and compresses a complete list of items: 100 engine entries take about 3 kB instead of 30 kB.
 ///
 /// # Errors
 ///
-/// [`RpcError::Malformed`] if they cannot be written.
+/// [`RpcError::Malformed`] if they cannot be encoded.
 pub fn pack(list: &[Item]) -> Result<Bytes, RpcError> {
     let mut message = Builder::new_default();
     write_items(list, message.init_root::<items::Builder<'_>>().init_items(list.len() as u32));
@@ -29,7 +29,7 @@
     Ok(deflate_bytes(&plain)?.into())
 }
 
-/// Unpacks a whole list.
+/// Decodes a list of items written by [`pack`].
 ///
 /// # Errors
 ///
--- a/crates/net/src/feed_message.rs
+++ b/crates/net/src/feed_message.rs
@@ -1,4 +1,4 @@
-//! What nodes ask each other instead of the store, and what they tell.
+//! Messages by which nodes obtain store contents and engine state from each other.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,178 +8,180 @@
 
 use crate::Item;
 
-/// What a node asks another one.
+/// Poll of one node by another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedRequest {
-    /// Node that asks.
+    /// Requesting node.
     pub node: Name,
-    /// Where it can be asked itself.
+    /// Address at which it can be polled itself.
     pub address: SocketAddr,
-    /// Whether its VM can carry what a planner tells.
+    /// Whether its VM has the capacity for a planner's feed.
     pub able: bool,
-    /// Revision of the configuration that it has; 0 for none.
+    /// Revision of its configuration; 0 for none.
     pub revision: Revision,
-    /// The operator's version of it; 0 for none.
+    /// The operator's version of its configuration; 0 for none.
     pub version: u64,
-    /// Digest of the engines' entries that it has.
+    /// Digest of its engine entries.
     pub digest: u64,
-    /// What it knows of the one it asks.
+    /// What it already has from the polled node.
     pub known: FeedCursor,
-    /// Whether only reports are wanted, of engines in the failure domain of the node asked.
+    /// Whether only reports are requested, of engines in the failure domain of the polled node.
     pub reports: bool,
-    /// What this node learned of engines since it asked the same one last.
+    /// Notices that the requesting node has learned since its last poll of the same node.
     pub news: FeedNotices,
-    /// Up to where the news are known that the node asked told.
+    /// Notices of the polled node that the requesting node already has.
     pub notice_cursor: NoticeCursor,
 }
 
-/// What calls and questions of nodes met at engines, told whether or not a node hears from the store.
+/// Observations about engines, made by calls and status queries.
+///
+/// They are exchanged even while a node cannot reach the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedNotices {
-    /// Ends of engines under requests.
+    /// Engines that ended while they ran a request.
     pub ends: Vec<FeedExit>,
-    /// Engines that say they leave.
+    /// Engines that are draining.
     pub leaves: Vec<FeedDrain>,
-    /// Limits that engines name.
+    /// Rate limits advertised by engines.
     pub limits: Vec<FeedLimit>,
 }
 
-/// A place in the news that one life of a node tells.
+/// Position in the notices of one incarnation of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NoticeCursor {
-    /// The node's life.
+    /// Incarnation of the node.
     pub life: u64,
-    /// Serial of the last end; 0 for none.
+    /// Serial of the last engine exit; 0 for none.
     pub ends: u64,
-    /// Serial of the last engine that says it leaves; 0 for none.
+    /// Serial of the last drain notice; 0 for none.
     pub leaves: u64,
-    /// Serial of the last word on a limit; 0 for none.
+    /// Serial of the last rate limit; 0 for none.
     pub limits: u64,
 }
 
-/// What an engine says of the requests that it takes from all nodes together.
+/// Rate limit of an engine over all nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedLimit {
     /// The engine.
     pub engine: Name,
-    /// Unix time of its start, milliseconds, if it tells that.
+    /// Unix time of its start in milliseconds, if known.
     pub born: Option<Millis>,
-    /// Its limit; none if it names none any more.
+    /// Its limit; `None` if it no longer advertises one.
     pub rate: Option<Rate>,
-    /// How long ago it said so.
+    /// Time since the engine signalled it.
     pub age_ms: Millis,
 }
 
-/// A node asks the one that plans an engine's failure domain for rights to send requests there.
+/// Request for rights to send requests to an engine, sent to the planner of its failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RightsRequest {
-    /// Node that asks.
+    /// Requesting node.
     pub node: Name,
-    /// The engine, and what that node knows of its limit.
+    /// The engine, and its rate limit as known to the requesting node.
     pub limit: FeedLimit,
-    /// Requests that it wants to send.
+    /// Number of rights requested.
     pub wanted: u16,
 }
 
-/// What it is handed out.
+/// Response to a request for rights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RightsResponse {
-    /// Whether the node asked hands out rights for this engine.
+    /// Whether the polled node issues rights for this engine.
     pub active: bool,
-    /// Rights.
+    /// Number of rights issued.
     pub given: u16,
-    /// Time after which asking again is worth it, milliseconds.
+    /// Time after which to ask again, milliseconds.
     pub wait_ms: Millis,
 }
 
-/// An engine said in an answer that it leaves.
+/// Notice that an engine is draining.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedDrain {
     /// The engine.
     pub engine: Name,
-    /// Unix time of its start, milliseconds, if it tells that.
+    /// Unix time of its start in milliseconds, if known.
     pub born: Option<Millis>,
-    /// How long ago it said so.
+    /// Time since the engine signalled it.
     pub age_ms: Millis,
 }
 
-/// The end of an engine while a request that it had just begun ran there.
+/// Notice that an engine ended while it ran a request that it had just started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedExit {
-    /// The request.
+    /// Fingerprint of the request.
     pub print: RequestPrint,
     /// The engine.
     pub engine: Name,
-    /// Unix time of the engine's start, milliseconds, if it tells that.
+    /// Unix time of the engine's start in milliseconds, if known.
     pub born: Option<Millis>,
-    /// Events that the request had brought there.
+    /// Events of the response before the engine ended.
     pub events: u32,
-    /// How often the request came again long after.
+    /// How often the request was seen again much later.
     pub renewed: u32,
-    /// Whether it says nothing of the request any more.
+    /// Whether it no longer counts as evidence against the request.
     pub void: bool,
-    /// For how long it has been known.
+    /// Time since it was first known.
     pub age_ms: Millis,
 }
 
-/// Up to where one node has followed another.
+/// Position of a follower in the feed of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FeedCursor {
-    /// Life of the node followed that the serials belong to.
+    /// Incarnation of the followed node that the serials belong to.
     pub life: u64,
-    /// Serial of the last change of engines; 0 for none.
+    /// Serial of the last change of engine entries; 0 for none.
     pub serial: u64,
     /// Serial of the last report; 0 for none.
     pub reported: u64,
 }
 
-/// What a node tells.
+/// Response to a poll.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FeedResponse {
-    /// Whether the rest is young enough to be taken.
+    /// Whether the rest is recent enough to be used.
     pub live: bool,
-    /// Up to where this is known once it is taken.
+    /// Position of the follower after this response.
     pub known: FeedCursor,
-    /// Engines' entries.
+    /// Engine entries.
     pub engines: FeedEngines,
-    /// Revision of the configuration in force.
+    /// Revision of the active configuration.
     pub revision: Revision,
-    /// The configuration with its value deflated, if the one asking has an older one.
+    /// The configuration with its value compressed, if the requesting node has an older one.
     pub config: Option<Item>,
-    /// Whether something large is held back, because the link is full.
+    /// Whether large data is withheld because the link is at capacity.
     pub busy: bool,
-    /// Age of the proof that the configuration is the newest.
+    /// Time since the configuration was verified to be the latest.
     pub proof_ms: Millis,
-    /// Age of the proof that the engines' entries are those of the store.
+    /// Time since the engine entries were verified against the store.
     pub list_ms: Millis,
-    /// Nodes of the fleet; 0 if they are not known.
+    /// Number of nodes in the fleet; 0 if unknown.
     pub nodes: u32,
-    /// Nodes of the failure domain; 0 if they are not known.
+    /// Number of nodes in the failure domain; 0 if unknown.
     pub beside: u32,
-    /// What engines said of themselves.
+    /// State reported by engines.
     pub reports: Vec<FeedReport>,
-    /// Planners of all failure domains that are known.
+    /// Known planners of all failure domains.
     pub planners: Vec<FeedPlanner>,
-    /// Whether the one asked was the planner of its failure domain and has given that up.
+    /// Whether the polled node was the planner of its failure domain and has released that role.
     pub vacant: bool,
-    /// Nodes that read the store if the planner does not, in their order.
+    /// Standbys that read the store if the planner does not, in order of priority.
     pub standbys: Vec<(Name, SocketAddr)>,
-    /// What this node learned of engines.
+    /// Notices that the polled node has learned.
     pub news: FeedNotices,
-    /// Up to where that is known once it is taken.
+    /// Position in the notices after this response.
     pub notice_cursor: NoticeCursor,
 }
 
-/// Engines' entries, as they are told.
+/// Engine entries in a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedEngines {
-    /// All there are, packed by [`pack`](crate::pack).
+    /// All entries, encoded by [`pack`](crate::pack).
     Whole(Bytes),
-    /// What changed since the serial asked from.
+    /// Changes since the serial given in the poll.
     Changes {
-        /// Entries that are new or changed.
+        /// New and changed entries.
         items: Vec<Item>,
-        /// Keys of entries that are gone.
+        /// Keys of deleted entries.
         gone: Vec<Arc<str>>,
     },
 }
@@ -190,16 +192,16 @@
     }
 }
 
-/// What an engine said of itself.
+/// State reported by an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedReport {
     /// The engine.
     pub engine: Name,
-    /// Factor by which it is slower than its card.
+    /// Factor by which it is slower than its accelerator.
     pub pace: f64,
-    /// Tokens that requests hold there.
+    /// Tokens held by requests.
     pub held: f64,
-    /// Age of its report.
+    /// Age of the report.
     pub age_ms: Millis,
 }
 
@@ -208,9 +210,9 @@
 pub struct FeedPlanner {
     /// The failure domain.
     pub domain: Name,
-    /// The node that plans it.
+    /// The planner.
     pub node: Name,
-    /// Where it is asked.
+    /// Address at which it can be polled.
     pub address: SocketAddr,
     /// Revision of its entry in the store.
     pub revision: Revision,
--- a/crates/net/src/peer.rs
+++ b/crates/net/src/peer.rs
@@ -1,4 +1,4 @@
-//! Peers over capnp-rpc. Both sides run on the control thread.
+//! State exchange with peers over capnp-rpc. Client and server run on the control thread.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,59 +16,61 @@
 use crate::peer_capnp::peer;
 use crate::{RpcError, Update, peer_codec};
 
-/// Connections from peers at once.
+/// Maximum number of concurrent connections from peers.
 const MAX_CONNECTIONS: usize = 64;
-/// Longest time a peer may hold a connection.
-const HOLD: Duration = Duration::from_secs(30);
-/// Time to wait after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Bytes of a word.
+/// Maximum duration of a connection from a peer.
+const MAX_CONNECTION_TIME: Duration = Duration::from_secs(30);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Size of a Cap'n Proto word.
 const WORD_BYTES: u64 = 8;
-/// Bytes of an exchange beside its updates: connection, bootstrap, call and return.
-const OVERHEAD: u64 = 900;
-/// Largest message, eight-byte words.
+/// Estimated size of an exchange without its updates: connection, bootstrap, call and return.
+const OVERHEAD_BYTES: u64 = 900;
+/// Size limit of a message, in words of eight bytes.
 const MAX_WORDS: usize = 1 << 20;
 
-/// Answers peers.
+/// Server of exchanges.
 ///
-/// Holds the function that takes a peer's update and gives this node's own.
+/// Its handler receives the update of a peer and returns the update of this node.
 #[derive(Clone)]
 pub struct PeerServer {
-    answer: Rc<dyn Fn(Update) -> Update>,
+    handler: Rc<dyn Fn(Update) -> Update>,
 }
 
 impl PeerServer {
-    /// A server that answers with `answer`.
-    pub fn new(answer: Rc<dyn Fn(Update) -> Update>) -> Self {
-        Self { answer }
+    /// A server with the given handler.
+    pub fn new(handler: Rc<dyn Fn(Update) -> Update>) -> Self {
+        Self { handler }
     }
 
-    /// Serves peers on `socket` until the task is dropped; must run in a `LocalSet`.
+    /// Serves peers on `socket` until the future is dropped; must run in a `LocalSet`.
     pub async fn serve(self, socket: TcpListener) {
         let client: peer::Client = new_client(self);
-        serve_rpc(socket, client.client, MAX_CONNECTIONS, HOLD).await;
+        serve_rpc(socket, client.client, MAX_CONNECTIONS, MAX_CONNECTION_TIME).await;
     }
 }
 
-/// Serves an interface on `socket`, to so many connections at once, each for so long at most.
+/// Serves an RPC interface on `socket`.
+///
+/// Serves up to `max_connections` concurrently, and closes each after `max_time`.
 pub(crate) async fn serve_rpc(
     socket: TcpListener,
     client: capnp::capability::Client,
-    connections: usize,
-    hold: Duration,
+    max_connections: usize,
+    max_time: Duration,
 ) {
-    let room = Arc::new(Semaphore::new(connections));
+    let slots = Arc::new(Semaphore::new(max_connections));
     loop {
-        let Ok(permit) = room.clone().acquire_owned().await else { return };
+        let Ok(permit) = slots.clone().acquire_owned().await else { return };
         let Ok((stream, _)) = socket.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let client = client.clone();
         tokio::task::spawn_local(async move {
             let served = RpcSystem::new(network(stream, Side::Server), Some(client));
-            // A peer that breaks off has said all it will; its next connection starts anew.
-            let _ = tokio::time::timeout(hold, served).await;
+            // Nothing to do about an error: the peer opens a new connection for its next call.
+            let _ = tokio::time::timeout(max_time, served).await;
             drop(permit);
         });
     }
@@ -81,7 +83,7 @@
         mut results: peer::ExchangeResults,
     ) -> Result<(), capnp::Error> {
         let update = peer_codec::read(params.get()?.get_update()?)?;
-        let answer = (self.answer)(update);
+        let answer = (self.handler)(update);
         peer_codec::write(&answer, results.get().init_update());
         Ok(())
     }
@@ -89,7 +91,7 @@
 
 /// Exchanges updates with a peer; must run in a `LocalSet`.
 ///
-/// Gives the answer and the bytes of both updates.
+/// Returns the peer's update and the estimated traffic of the exchange in bytes.
 ///
 /// # Errors
 ///
@@ -97,15 +99,15 @@
 pub async fn exchange(
     address: SocketAddr,
     update: &Update,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<(Update, u64), RpcError> {
     let work = async {
         let connect = TcpStream::connect(address).await;
         let stream = connect.map_err(|e| RpcError::Connect(e.to_string()))?;
         call(stream, update).await.map_err(|e| RpcError::Lost(e.to_string()))
     };
-    let late = |_| RpcError::Lost("no answer in time".to_owned());
-    tokio::time::timeout(limit, work).await.map_err(late)?
+    let timed_out = |_| RpcError::Lost("no response within the timeout".to_owned());
+    tokio::time::timeout(timeout, work).await.map_err(timed_out)?
 }
 
 async fn call(stream: TcpStream, update: &Update) -> Result<(Update, u64), capnp::Error> {
@@ -120,7 +122,7 @@
     let answer = answer.and_then(|a| {
         let update = a.get()?.get_update()?;
         let words = sent + update.total_size()?.word_count;
-        Ok((peer_codec::read(update)?, words * WORD_BYTES + OVERHEAD))
+        Ok((peer_codec::read(update)?, words * WORD_BYTES + OVERHEAD_BYTES))
     });
     let _ = disconnector.await;
     running.abort();
@@ -130,7 +132,7 @@
 pub(crate) type Network = VatNetwork<futures::io::ReadHalf<tokio_util::compat::Compat<TcpStream>>>;
 
 pub(crate) fn network(stream: TcpStream, side: Side) -> Box<Network> {
-    // Without it an exchange may wait for a delayed acknowledgement; it still works.
+    // Without this option an exchange still works, but may wait for a delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.compat().split();
     let mut options = capnp::message::ReaderOptions::new();
--- a/crates/net/src/peer_codec.rs
+++ b/crates/net/src/peer_codec.rs
@@ -1,4 +1,4 @@
-//! Cap'n Proto form of what peers exchange.
+//! Cap'n Proto encoding of the updates exchanged by peers.
 
 use capnp::Result;
 use heathpitch_core::{Epoch, Incarnation, LayerRange, Name, Revision};
@@ -7,10 +7,10 @@
 use crate::peer_capnp::{document, member, report, update};
 use crate::{Demand, Packed, Update};
 
-/// Entries accepted in each list of an update.
+/// Maximum number of entries in each list of an update.
 const MAX_ENTRIES: u32 = 4_096;
 
-/// Writes an update.
+/// Encodes an update.
 pub(crate) fn write(from: &Update, mut to: update::Builder<'_>) {
     let mut members = to.reborrow().init_members(from.members.len() as u32);
     for (i, m) in from.members.iter().enumerate() {
@@ -31,13 +31,13 @@
     to.set_epoch(from.epoch);
 }
 
-/// Reads an update.
+/// Decodes an update.
 pub(crate) fn read(from: update::Reader<'_>) -> Result<Update> {
     let members = from.get_members()?;
     let reports = from.get_reports()?;
     let demand = from.get_demand()?;
     if members.len().max(reports.len()).max(demand.len()) > MAX_ENTRIES {
-        return Err(capnp::Error::failed("too many entries in an update".to_owned()));
+        return Err(capnp::Error::failed("a list in the update has too many entries".to_owned()));
     }
     Ok(Update {
         members: members.iter().map(read_member).collect::<Result<_>>()?,
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -1,4 +1,4 @@
-//! The edge towards the platform: its key-value service, leases and list of VMs.
+//! Interface of platform clients: key-value store, leases and the list of VMs.
 
 use std::time::Duration;
 
@@ -13,50 +13,50 @@
 pub struct Stored {
     /// Revision of the write that stored it.
     pub revision: Revision,
-    /// Value, a text of at most one megabyte.
+    /// Value: a text of at most one megabyte.
     pub value: String,
 }
 
-/// Why a write did not succeed for certain.
+/// Error of a write: it failed, or its outcome is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PutError {
-    /// The key has another revision; nothing was written.
-    #[error("the value changed, it is at revision {0} now")]
+    /// The revision of the key differs; nothing was written.
+    #[error("the value has changed; its revision is now {0}")]
     Conflict(Revision),
-    /// The platform turned the call away, or was not reached; nothing was written.
-    #[error("the platform turned the write away: {0}")]
+    /// The platform rejected the call or was unreachable; nothing was written.
+    #[error("the platform rejected the write or was unreachable: {0}")]
     Refused(RpcError),
-    /// The answer was lost; the write may have taken effect.
-    #[error("the answer was lost, the write may have taken effect: {0}")]
-    Unsure(RpcError),
+    /// There was no usable response; the write may have taken effect.
+    #[error("no usable response; the write may have taken effect: {0}")]
+    Unknown(RpcError),
 }
 
-/// A lease as the platform grants it.
+/// State of a lease of the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Who holds it.
+    /// Current holder.
     pub holder: Name,
-    /// Grows with each change of holder.
+    /// Increases with each change of holder.
     pub epoch: Epoch,
-    /// Time left, milliseconds.
+    /// Time until expiry, milliseconds.
     pub left: Millis,
 }
 
 /// The platform's list of VMs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// Number of the list; grows with each change.
+    /// Revision of the list; increases with each change.
     pub number: Revision,
-    /// VMs, live and leaving.
+    /// VMs, including those that are about to leave.
     pub vms: Vec<Vm>,
 }
 
-/// What nodes and the command line ask of the platform.
+/// Requests of nodes and the command line to the platform.
 pub trait PlatformClient: Send + Sync + 'static {
-    /// Reads a key; none if it does not exist.
+    /// Reads a key; `None` if it does not exist.
     fn get(&self, key: &str) -> BoxFuture<'static, Result<Option<Stored>, RpcError>>;
 
-    /// Waits at most `wait` for a revision of the key above `after`; none if there was none.
+    /// Waits up to `wait` for a revision of the key above `after`; `None` if there was none.
     fn watch(
         &self,
         key: &str,
@@ -64,7 +64,7 @@
         wait: Duration,
     ) -> BoxFuture<'static, Result<Option<Stored>, RpcError>>;
 
-    /// Writes a key if its revision is `expect`; 0 for a key that must not exist.
+    /// Writes a key if its revision is `expect`; 0 means that the key must not exist.
     fn put(
         &self,
         key: &str,
@@ -72,7 +72,7 @@
         value: String,
     ) -> BoxFuture<'static, Result<Revision, PutError>>;
 
-    /// Takes or renews a lease; the answer says who holds it.
+    /// Acquires or renews a lease; returns its state, whoever holds it.
     fn lease(
         &self,
         name: &str,
@@ -80,6 +80,6 @@
         ttl: Duration,
     ) -> BoxFuture<'static, Result<Lease, RpcError>>;
 
-    /// Reads the list of VMs and its number, if it is above `after`.
+    /// Reads the list of VMs if its revision is above `after`.
     fn vms(&self, after: Revision) -> BoxFuture<'static, Result<Option<VmList>, RpcError>>;
 }
--- a/crates/net/src/platform_http.rs
+++ b/crates/net/src/platform_http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP and JSON.
+//! Platform client over HTTP and JSON.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use crate::client::parse;
 use crate::{Client, Lease, PlatformClient, PutError, RpcError, Stored, VmList};
 
-/// Time for a call that does not wait.
-const QUICK: Duration = Duration::from_millis(1_500);
+/// Timeout of a call, in addition to the waiting time of a watch.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A [`PlatformClient`] over HTTP, with several endpoints tried in turn.
+/// A [`PlatformClient`] over HTTP; after a failed call it switches to the next endpoint.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     client: Client,
@@ -44,7 +44,7 @@
 
 /// # Construction
 impl HttpPlatform {
-    /// A platform at these endpoints.
+    /// A client of the platform at these endpoints.
     pub fn new(client: Client, endpoints: &[SocketAddr]) -> Self {
         Self { client, endpoints: endpoints.into(), current: Arc::default() }
     }
@@ -52,30 +52,30 @@
 
 /// # Calls
 impl HttpPlatform {
-    fn uri(&self, rest: &str) -> String {
-        let at = self.current.load(Relaxed) % self.endpoints.len().max(1);
-        match self.endpoints.get(at) {
-            Some(endpoint) => format!("http://{endpoint}/{rest}"),
-            None => format!("http:///{rest}"),
+    fn uri(&self, path: &str) -> String {
+        let index = self.current.load(Relaxed) % self.endpoints.len().max(1);
+        match self.endpoints.get(index) {
+            Some(endpoint) => format!("http://{endpoint}/{path}"),
+            None => format!("http:///{path}"),
         }
     }
 
     async fn exchange<Q: Serialize>(
         &self,
         method: Method,
-        rest: &str,
+        path: &str,
         content: Option<&Q>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(u16, Bytes), RpcError> {
-        let answer = self.client.exchange(method, &self.uri(rest), content, limit).await;
+        let answer = self.client.exchange(method, &self.uri(path), content, timeout).await;
         if matches!(answer, Err(_) | Ok((500.., _))) {
             self.current.fetch_add(1, Relaxed);
         }
         answer
     }
 
-    async fn read(&self, rest: &str, limit: Duration) -> Result<Option<Stored>, RpcError> {
-        let (status, bytes) = self.exchange(Method::GET, rest, None::<&()>, limit).await?;
+    async fn read(&self, path: &str, timeout: Duration) -> Result<Option<Stored>, RpcError> {
+        let (status, bytes) = self.exchange(Method::GET, path, None::<&()>, timeout).await?;
         match status {
             200 => parse(&bytes).map(Some),
             404 | 304 => Ok(None),
@@ -86,9 +86,9 @@
 
 impl PlatformClient for HttpPlatform {
     fn get(&self, key: &str) -> BoxFuture<'static, Result<Option<Stored>, RpcError>> {
-        let me = self.clone();
-        let rest = format!("kv/{key}");
-        Box::pin(async move { me.read(&rest, QUICK).await })
+        let this = self.clone();
+        let path = format!("kv/{key}");
+        Box::pin(async move { this.read(&path, CALL_TIMEOUT).await })
     }
 
     fn watch(
@@ -97,9 +97,9 @@
         after: Revision,
         wait: Duration,
     ) -> BoxFuture<'static, Result<Option<Stored>, RpcError>> {
-        let me = self.clone();
-        let rest = format!("kv/{key}?after={after}&wait={}", wait.as_millis());
-        Box::pin(async move { me.read(&rest, wait + QUICK).await })
+        let this = self.clone();
+        let path = format!("kv/{key}?after={after}&wait={}", wait.as_millis());
+        Box::pin(async move { this.read(&path, wait + CALL_TIMEOUT).await })
     }
 
     fn put(
@@ -108,26 +108,26 @@
         expect: Revision,
         value: String,
     ) -> BoxFuture<'static, Result<Revision, PutError>> {
-        let me = self.clone();
-        let rest = format!("kv/{key}");
+        let this = self.clone();
+        let path = format!("kv/{key}");
         Box::pin(async move {
             let call = PutCall { expect, value };
-            let answer = me.exchange(Method::PUT, &rest, Some(&call), QUICK).await;
+            let answer = this.exchange(Method::PUT, &path, Some(&call), CALL_TIMEOUT).await;
             match answer {
                 Ok((200, bytes)) => {
                     let read = parse::<PutAnswer>(&bytes).map(|a| a.revision);
-                    read.map_err(PutError::Unsure)
+                    read.map_err(PutError::Unknown)
                 }
                 Ok((409, bytes)) => {
-                    let read = parse::<PutAnswer>(&bytes).map_err(PutError::Unsure)?;
+                    let read = parse::<PutAnswer>(&bytes).map_err(PutError::Unknown)?;
                     Err(PutError::Conflict(read.revision))
                 }
                 Ok((status @ (400..=407 | 410..=499), _)) => {
                     Err(PutError::Refused(RpcError::Status(status)))
                 }
-                Ok((status, _)) => Err(PutError::Unsure(RpcError::Status(status))),
+                Ok((status, _)) => Err(PutError::Unknown(RpcError::Status(status))),
                 Err(e @ RpcError::Connect(_)) => Err(PutError::Refused(e)),
-                Err(e) => Err(PutError::Unsure(e)),
+                Err(e) => Err(PutError::Unknown(e)),
             }
         })
     }
@@ -138,11 +138,12 @@
         holder: &Name,
         ttl: Duration,
     ) -> BoxFuture<'static, Result<Lease, RpcError>> {
-        let me = self.clone();
-        let rest = format!("leases/{name}");
+        let this = self.clone();
+        let path = format!("leases/{name}");
         let call = LeaseCall { holder: holder.clone(), ttl: ttl.as_millis() as Millis };
         Box::pin(async move {
-            let (status, bytes) = me.exchange(Method::POST, &rest, Some(&call), QUICK).await?;
+            let (status, bytes) =
+                this.exchange(Method::POST, &path, Some(&call), CALL_TIMEOUT).await?;
             match status {
                 200 | 409 => parse(&bytes),
                 other => Err(RpcError::Status(other)),
@@ -151,10 +152,11 @@
     }
 
     fn vms(&self, after: Revision) -> BoxFuture<'static, Result<Option<VmList>, RpcError>> {
-        let me = self.clone();
-        let rest = format!("vms?after={after}");
+        let this = self.clone();
+        let path = format!("vms?after={after}");
         Box::pin(async move {
-            let (status, bytes) = me.exchange(Method::GET, &rest, None::<&()>, QUICK).await?;
+            let (status, bytes) =
+                this.exchange(Method::GET, &path, None::<&()>, CALL_TIMEOUT).await?;
             match status {
                 200 => parse(&bytes).map(Some),
                 304 => Ok(None),
