--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -115,7 +115,7 @@
     match answer.await {
         Ok(told) => {
             take_nodes(control, seed, &told);
-            control.hear_news(&told.news, sent, &seed.node);
+            control.hear_news(&told.notices, sent, &seed.node);
         }
         Err(e) => log::info!("seed {} does not tell: {e}", seed.address),
     }
@@ -179,8 +179,8 @@
     told: FeedResponse,
 ) -> Heard {
     take_nodes(control, source, &told);
-    control.hear_news(&told.news, sent, &source.node);
-    let proven = sent.saturating_sub(told.list_ms);
+    control.hear_news(&told.notices, sent, &source.node);
+    let proven = sent.saturating_sub(told.entries_age_ms);
     let own = control.shared.listed.load().at();
     // One who is asked for everything and tells no change has the same.
     let same = told.engines == FeedEngines::default();
@@ -191,19 +191,19 @@
         log::warn!("the configuration that node {} tells cannot be read: {e}", source.node);
         return Heard::Empty;
     }
-    if !told.live || !control.sources.borrow().takes(&source.node, proven, own, same) {
+    if !told.fresh || !control.sources.borrow().takes(&source.node, proven, own, same) {
         return Heard::Empty;
     }
     if let Err(e) = take_engines(control, &told.engines) {
         log::warn!("the engines that node {} tells cannot be read: {e}", source.node);
         return Heard::Empty;
     }
-    followed.known = told.known;
+    followed.known = told.cursor;
     reports::hear(control, &told.reports, sent);
     prove(&control.shared.listed, proven);
     followed.until = proven + LIST_OLD;
     if control.revision() >= told.revision {
-        prove(&control.shared.fresh, sent.saturating_sub(told.proof_ms));
+        prove(&control.shared.fresh, sent.saturating_sub(told.config_age_ms));
     }
     Heard::Told
 }
@@ -221,12 +221,12 @@
             standbys.map(|(node, address)| Source { node: node.clone(), address: *address });
         control.sources.borrow_mut().stand_by(standbys.collect());
     }
-    if near && told.vacant {
+    if near && told.planner_released {
         control.vacate();
     }
-    if told.nodes > 0 {
+    if told.fleet_size > 0 {
         let known = control.fleet.get().map(|f| f.beside).filter(|_| !near);
-        let fleet = Fleet { nodes: told.nodes, beside: known.unwrap_or(told.beside) };
+        let fleet = Fleet { nodes: told.fleet_size, beside: known.unwrap_or(told.domain_size) };
         if control.fleet.replace(Some(fleet)) != Some(fleet) {
             control.publish();
         }
@@ -282,9 +282,9 @@
             revision: self.revision(),
             version: self.version(),
             digest: self.mirror.borrow().digest(),
-            known,
-            reports,
-            news,
+            cursor: known,
+            reports_only: reports,
+            notices: news,
             notice_cursor: marks.known,
         };
         (ask, told)
@@ -292,18 +292,19 @@
 
     /// What others have not heard who know this node's news up to `known`; and up to where they do then.
     pub(super) fn news_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
-        let known = if known.life == self.life { known } else { NoticeCursor::default() };
-        let (ends, ended) = self.ends_since(known.ends);
-        let (leaves, left) = self.leaves_since(known.leaves);
+        let known = if known.incarnation == self.life { known } else { NoticeCursor::default() };
+        let (ends, ended) = self.ends_since(known.exits);
+        let (leaves, left) = self.leaves_since(known.drains);
         let (limits, limited) = self.limits_since(known.limits);
-        let mark = NoticeCursor { life: self.life, ends: ended, leaves: left, limits: limited };
-        (FeedNotices { ends, leaves, limits }, mark)
+        let mark =
+            NoticeCursor { incarnation: self.life, exits: ended, drains: left, limits: limited };
+        (FeedNotices { exits: ends, drains: leaves, limits }, mark)
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
     pub(super) fn hear_news(&self, news: &FeedNotices, sent: Millis, by: &Name) {
-        self.hear_ends(&news.ends, sent, by);
-        self.hear_leaves(&news.leaves, sent);
+        self.hear_ends(&news.exits, sent, by);
+        self.hear_leaves(&news.drains, sent);
         self.hear_limits(&news.limits, sent);
     }
 }
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -97,12 +97,12 @@
     told: &FeedResponse,
     sent: Millis,
 ) {
-    neighbour.known = told.known;
-    if told.beside > 0 {
-        control.besides.borrow_mut().insert(domain.clone(), told.beside);
+    neighbour.known = told.cursor;
+    if told.domain_size > 0 {
+        control.besides.borrow_mut().insert(domain.clone(), told.domain_size);
     }
     reports::hear(control, &told.reports, sent);
-    control.hear_news(&told.news, sent, &neighbour.planner.node);
+    control.hear_news(&told.notices, sent, &neighbour.planner.node);
 }
 
 /// Asks on the kept connection, or on a new one; one without an answer is not kept.
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -119,12 +119,12 @@
     pub(super) fn ends_since(&self, serial: u64) -> (Vec<FeedExit>, u64) {
         let (ends, upto) = self.quarantine.borrow().since(serial, TOLD_MOST, self.now());
         let told = ends.into_iter().map(|(end, age_ms)| FeedExit {
-            print: end.print,
+            fingerprint: end.print,
             engine: end.life.engine,
             born: end.life.born,
             events: end.events,
             renewed: end.renewed,
-            void: end.void,
+            cleared: end.void,
             age_ms,
         });
         (told.collect(), upto)
@@ -136,11 +136,11 @@
         for told in ends {
             let life = EngineLife { engine: told.engine.clone(), born: told.born };
             let end = End {
-                print: told.print,
+                print: told.fingerprint,
                 life: life.clone(),
                 events: told.events,
                 renewed: told.renewed,
-                void: told.void,
+                void: told.cleared,
             };
             let now = self.now();
             let age = now.saturating_sub(sent) + told.age_ms;
@@ -148,7 +148,7 @@
                 continue;
             }
             new += 1;
-            if !told.void && age < LEAVE_WITHIN_MS {
+            if !told.cleared && age < LEAVE_WITHIN_MS {
                 self.leave(&life);
             }
         }
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -89,8 +89,8 @@
         |(engine, r): &(&Name, &Report)| r.serial > known && now < r.at + OLD && wanted(engine);
     let report = |(engine, r): (&Name, &Report)| FeedReport {
         engine: engine.clone(),
-        pace: r.pace,
-        held: r.held,
+        slowdown: r.pace,
+        held_tokens: r.held,
         age_ms: now.saturating_sub(r.at),
     };
     (reports.iter().filter(new).map(report).collect(), control.reported.get())
@@ -101,7 +101,7 @@
     let mut changed = false;
     for r in reports {
         let at = sent.saturating_sub(r.age_ms);
-        changed |= put(control, &r.engine, r.pace, r.held, at);
+        changed |= put(control, &r.engine, r.slowdown, r.held_tokens, at);
     }
     if changed {
         control.publish();
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -156,12 +156,12 @@
         let limit = self.limits.borrow().of(&life);
         let Some((rate, _)) = limit else {
             // Its limit is over, as the one asking will hear.
-            return RightsResponse { active: true, given: ask.wanted, wait_ms: 0 };
+            return RightsResponse { active: true, issued: ask.requested, wait_ms: 0 };
         };
         let draw = rand::rng().random_range(0.0..1.0);
         let mut rights = self.rights.borrow_mut();
-        let grant = rights.hand_out(&life, rate, &ask.node, ask.wanted, draw, now);
-        RightsResponse { active: true, given: grant.given, wait_ms: grant.wait }
+        let grant = rights.hand_out(&life, rate, &ask.node, ask.requested, draw, now);
+        RightsResponse { active: true, issued: grant.given, wait_ms: grant.wait }
     }
 }
 
@@ -210,7 +210,7 @@
     let ask = RightsRequest {
         node: control.node(),
         limit: FeedLimit { engine: engine.id.clone(), born: engine.born, rate, age_ms },
-        wanted: count,
+        requested: count,
     };
     let told = match engine.domain == control.domain() && control.plans() {
         true => Ok(control.hand_out(&ask)),
@@ -218,8 +218,8 @@
     };
     let granted = match told {
         Ok(RightsResponse { active: false, .. }) | Err(_) => Granted::Nobody,
-        Ok(RightsResponse { given: 0, wait_ms, .. }) => Granted::Wait(wait_ms),
-        Ok(RightsResponse { given, .. }) => Granted::Given(given, sent),
+        Ok(RightsResponse { issued: 0, wait_ms, .. }) => Granted::Wait(wait_ms),
+        Ok(RightsResponse { issued: given, .. }) => Granted::Given(given, sent),
     };
     let label = match granted {
         Granted::Given(..) => "given",
--- a/crates/heathpitchd/src/gateway/control/tell.rs
+++ b/crates/heathpitchd/src/gateway/control/tell.rs
@@ -56,15 +56,16 @@
 /// Answers a node.
 pub(super) fn answer(control: &Control, ask: FeedRequest) -> FeedResponse {
     // It cannot have been sent later than it came.
-    control.hear_news(&ask.news, control.now(), &ask.node);
+    control.hear_news(&ask.notices, control.now(), &ask.node);
     let (news, notice_cursor) = control.news_since(ask.notice_cursor);
     let told = answer_only(control, ask);
-    FeedResponse { news, notice_cursor, ..told }
+    FeedResponse { notices: news, notice_cursor, ..told }
 }
 
 fn answer_only(control: &Control, ask: FeedRequest) -> FeedResponse {
-    let known = if ask.known.life == control.life { ask.known } else { FeedCursor::default() };
-    if ask.reports {
+    let known =
+        if ask.cursor.incarnation == control.life { ask.cursor } else { FeedCursor::default() };
+    if ask.reports_only {
         return near_reports(control, known);
     }
     let follower = Source { node: ask.node.clone(), address: ask.address };
@@ -79,8 +80,8 @@
 /// Reports of this failure domain's engines, for the planner of another one.
 fn near_reports(control: &Control, known: FeedCursor) -> FeedResponse {
     let (reports, reported) = reports::told(control, Some(&control.domain()), known.reported);
-    let known = FeedCursor { life: control.life, reported, ..FeedCursor::default() };
-    FeedResponse { known, reports, ..nodes(control) }
+    let known = FeedCursor { incarnation: control.life, reported, ..FeedCursor::default() };
+    FeedResponse { cursor: known, reports, ..nodes(control) }
 }
 
 /// What this node knows of nodes, whether or not it hears from the store.
@@ -101,9 +102,9 @@
     FeedResponse {
         planners: planners.collect(),
         standbys: standbys.collect(),
-        vacant: control.vacant.get(),
-        nodes: fleet.map_or(0, |f| f.nodes),
-        beside: fleet.map_or(0, |f| f.beside),
+        planner_released: control.vacant.get(),
+        fleet_size: fleet.map_or(0, |f| f.nodes),
+        domain_size: fleet.map_or(0, |f| f.beside),
         ..FeedResponse::default()
     }
 }
@@ -134,15 +135,15 @@
     let packed = if let FeedEngines::Whole(packed) = &engines { packed.len() } else { 0 };
     let large = packed + config.as_ref().map_or(0, |c| c.value.len());
     if !control.large.take(large, now) {
-        told.busy = true;
+        told.withheld = true;
         return Ok(());
     }
     let (reports, reported) = reports::told(control, None, known.reported);
     let serial = control.mirror.borrow().serial();
-    told.live = true;
-    told.known = FeedCursor { life: control.life, serial, reported };
+    told.fresh = true;
+    told.cursor = FeedCursor { incarnation: control.life, serial, reported };
     told.revision = control.revision();
-    (told.proof_ms, told.list_ms) = (proof_ms, list_ms);
+    (told.config_age_ms, told.entries_age_ms) = (proof_ms, list_ms);
     (told.engines, told.config, told.reports) = (engines, config, reports);
     Ok(())
 }
--- a/crates/net/src/feed.rs
+++ b/crates/net/src/feed.rs
@@ -16,8 +16,8 @@
 
 use crate::feed_capnp::feed;
 use crate::feed_codec::{
-    read_ask, read_right_ask, read_right_told, read_told, write_ask, write_right_ask,
-    write_right_told, write_told,
+    read_request, read_response, read_rights_request, read_rights_response, write_request,
+    write_response, write_rights_request, write_rights_response,
 };
 use crate::peer::{network, serve_rpc};
 use crate::{FeedRequest, FeedResponse, RightsRequest, RightsResponse, RpcError};
@@ -57,8 +57,8 @@
         params: feed::AskParams,
         mut results: feed::AskResults,
     ) -> Result<(), capnp::Error> {
-        let ask = read_ask(params.get()?.get_ask()?)?;
-        write_told(&(self.respond)(ask), results.get().init_told());
+        let request = read_request(params.get()?.get_ask()?)?;
+        write_response(&(self.respond)(request), results.get().init_told());
         Ok(())
     }
 
@@ -67,8 +67,8 @@
         params: feed::RightParams,
         mut results: feed::RightResults,
     ) -> Result<(), capnp::Error> {
-        let ask = read_right_ask(params.get()?.get_ask()?)?;
-        write_right_told(&(self.issue_rights)(ask), results.get().init_told());
+        let request = read_rights_request(params.get()?.get_ask()?)?;
+        write_rights_response(&(self.issue_rights)(request), results.get().init_told());
         Ok(())
     }
 }
@@ -101,14 +101,14 @@
     /// [`RpcError::Lost`], also after `timeout`; [`RpcError::Malformed`].
     pub async fn ask(
         &self,
-        ask: &FeedRequest,
+        request: &FeedRequest,
         timeout: Duration,
     ) -> Result<FeedResponse, RpcError> {
-        let mut request = self.client.ask_request();
-        write_ask(ask, request.get().init_ask());
-        let response = within(timeout, request.send().promise).await?;
-        let told = response.get().and_then(|a| read_told(a.get_told()?));
-        told.map_err(|e| RpcError::Malformed(e.to_string()))
+        let mut call = self.client.ask_request();
+        write_request(request, call.get().init_ask());
+        let response = within(timeout, call.send().promise).await?;
+        let message = response.get().and_then(|a| read_response(a.get_told()?));
+        message.map_err(|e| RpcError::Malformed(e.to_string()))
     }
 
     /// Requests rights to send requests to an engine.
@@ -118,14 +118,14 @@
     /// [`RpcError::Lost`], also after `timeout`; [`RpcError::Malformed`].
     pub async fn right(
         &self,
-        ask: &RightsRequest,
+        request: &RightsRequest,
         timeout: Duration,
     ) -> Result<RightsResponse, RpcError> {
-        let mut request = self.client.right_request();
-        write_right_ask(ask, request.get().init_ask());
-        let response = within(timeout, request.send().promise).await?;
-        let told = response.get().and_then(|a| Ok(read_right_told(a.get_told()?)));
-        told.map_err(|e| RpcError::Malformed(e.to_string()))
+        let mut call = self.client.right_request();
+        write_rights_request(request, call.get().init_ask());
+        let response = within(timeout, call.send().promise).await?;
+        let message = response.get().and_then(|a| Ok(read_rights_response(a.get_told()?)));
+        message.map_err(|e| RpcError::Malformed(e.to_string()))
     }
 }
 
--- a/crates/net/src/feed_codec.rs
+++ b/crates/net/src/feed_codec.rs
@@ -42,27 +42,27 @@
     read.map_err(|e| malformed(&e))
 }
 
-pub(crate) fn write_ask(from: &FeedRequest, mut to: ask::Builder<'_>) {
+pub(crate) fn write_request(from: &FeedRequest, mut to: ask::Builder<'_>) {
     to.set_node(from.node.as_str());
     to.set_address(from.address.to_string());
     to.set_able(from.able);
     to.set_revision(from.revision.0);
     to.set_version(from.version);
     to.set_digest(from.digest);
-    to.set_life(from.known.life);
-    to.set_serial(from.known.serial);
-    to.set_reported(from.known.reported);
-    to.set_reports(from.reports);
-    to.set_ends_life(from.notice_cursor.life);
-    to.set_ends_serial(from.notice_cursor.ends);
-    to.set_leaves_serial(from.notice_cursor.leaves);
+    to.set_life(from.cursor.incarnation);
+    to.set_serial(from.cursor.serial);
+    to.set_reported(from.cursor.reported);
+    to.set_reports(from.reports_only);
+    to.set_ends_life(from.notice_cursor.incarnation);
+    to.set_ends_serial(from.notice_cursor.exits);
+    to.set_leaves_serial(from.notice_cursor.drains);
     to.set_limits_serial(from.notice_cursor.limits);
-    write_ends(&from.news.ends, to.reborrow().init_ends(from.news.ends.len() as u32));
-    write_leaves(&from.news.leaves, to.reborrow().init_leaves(from.news.leaves.len() as u32));
-    write_limits(&from.news.limits, to.init_limits(from.news.limits.len() as u32));
+    write_exits(&from.notices.exits, to.reborrow().init_ends(from.notices.exits.len() as u32));
+    write_drains(&from.notices.drains, to.reborrow().init_leaves(from.notices.drains.len() as u32));
+    write_limits(&from.notices.limits, to.init_limits(from.notices.limits.len() as u32));
 }
 
-pub(crate) fn read_ask(from: ask::Reader<'_>) -> capnp::Result<FeedRequest> {
+pub(crate) fn read_request(from: ask::Reader<'_>) -> capnp::Result<FeedRequest> {
     Ok(FeedRequest {
         node: name(from.get_node()?)?,
         address: address(from.get_address()?)?,
@@ -70,34 +70,34 @@
         revision: Revision(from.get_revision()),
         version: from.get_version(),
         digest: from.get_digest(),
-        known: FeedCursor {
-            life: from.get_life(),
+        cursor: FeedCursor {
+            incarnation: from.get_life(),
             serial: from.get_serial(),
             reported: from.get_reported(),
         },
-        reports: from.get_reports(),
-        news: read_news(from.get_ends()?, from.get_leaves()?, from.get_limits()?)?,
+        reports_only: from.get_reports(),
+        notices: read_notices(from.get_ends()?, from.get_leaves()?, from.get_limits()?)?,
         notice_cursor: NoticeCursor {
-            life: from.get_ends_life(),
-            ends: from.get_ends_serial(),
-            leaves: from.get_leaves_serial(),
+            incarnation: from.get_ends_life(),
+            exits: from.get_ends_serial(),
+            drains: from.get_leaves_serial(),
             limits: from.get_limits_serial(),
         },
     })
 }
 
-pub(crate) fn write_told(from: &FeedResponse, mut to: told::Builder<'_>) {
-    to.set_live(from.live);
-    to.set_life(from.known.life);
-    to.set_serial(from.known.serial);
-    to.set_reported(from.known.reported);
+pub(crate) fn write_response(from: &FeedResponse, mut to: told::Builder<'_>) {
+    to.set_live(from.fresh);
+    to.set_life(from.cursor.incarnation);
+    to.set_serial(from.cursor.serial);
+    to.set_reported(from.cursor.reported);
     to.set_revision(from.revision.0);
-    to.set_busy(from.busy);
-    to.set_proof_ms(from.proof_ms);
-    to.set_list_ms(from.list_ms);
-    to.set_nodes(from.nodes);
-    to.set_beside(from.beside);
-    to.set_vacant(from.vacant);
+    to.set_busy(from.withheld);
+    to.set_proof_ms(from.config_age_ms);
+    to.set_list_ms(from.entries_age_ms);
+    to.set_nodes(from.fleet_size);
+    to.set_beside(from.domain_size);
+    to.set_vacant(from.planner_released);
     match &from.engines {
         FeedEngines::Whole(packed) => {
             to.set_whole(true);
@@ -122,20 +122,20 @@
     for (i, p) in from.planners.iter().enumerate() {
         write_planner(p, planners.reborrow().get(i as u32));
     }
-    to.set_ends_life(from.notice_cursor.life);
-    to.set_ends_serial(from.notice_cursor.ends);
-    to.set_leaves_serial(from.notice_cursor.leaves);
+    to.set_ends_life(from.notice_cursor.incarnation);
+    to.set_ends_serial(from.notice_cursor.exits);
+    to.set_leaves_serial(from.notice_cursor.drains);
     to.set_limits_serial(from.notice_cursor.limits);
-    write_ends(&from.news.ends, to.reborrow().init_ends(from.news.ends.len() as u32));
-    write_leaves(&from.news.leaves, to.reborrow().init_leaves(from.news.leaves.len() as u32));
-    write_limits(&from.news.limits, to.reborrow().init_limits(from.news.limits.len() as u32));
+    write_exits(&from.notices.exits, to.reborrow().init_ends(from.notices.exits.len() as u32));
+    write_drains(&from.notices.drains, to.reborrow().init_leaves(from.notices.drains.len() as u32));
+    write_limits(&from.notices.limits, to.reborrow().init_limits(from.notices.limits.len() as u32));
     let mut standbys = to.init_standbys(from.standbys.len() as u32);
     for (i, (node, address)) in from.standbys.iter().enumerate() {
         write_source(node, *address, standbys.reborrow().get(i as u32));
     }
 }
 
-pub(crate) fn read_told(from: told::Reader<'_>) -> capnp::Result<FeedResponse> {
+pub(crate) fn read_response(from: told::Reader<'_>) -> capnp::Result<FeedResponse> {
     let key = |k: capnp::Result<capnp::text::Reader<'_>>| {
         Ok::<Arc<str>, capnp::Error>(k?.to_str()?.into())
     };
@@ -147,29 +147,29 @@
         },
     };
     Ok(FeedResponse {
-        live: from.get_live(),
-        known: FeedCursor {
-            life: from.get_life(),
+        fresh: from.get_live(),
+        cursor: FeedCursor {
+            incarnation: from.get_life(),
             serial: from.get_serial(),
             reported: from.get_reported(),
         },
         engines,
         revision: Revision(from.get_revision()),
         config: from.has_config().then(|| read_item(from.get_config()?)).transpose()?,
-        busy: from.get_busy(),
-        proof_ms: from.get_proof_ms(),
-        list_ms: from.get_list_ms(),
-        nodes: from.get_nodes(),
-        beside: from.get_beside(),
+        withheld: from.get_busy(),
+        config_age_ms: from.get_proof_ms(),
+        entries_age_ms: from.get_list_ms(),
+        fleet_size: from.get_nodes(),
+        domain_size: from.get_beside(),
         reports: from.get_reports()?.iter().map(read_report).collect::<capnp::Result<_>>()?,
         planners: from.get_planners()?.iter().map(read_planner).collect::<capnp::Result<_>>()?,
-        vacant: from.get_vacant(),
+        planner_released: from.get_vacant(),
         standbys: from.get_standbys()?.iter().map(read_source).collect::<capnp::Result<_>>()?,
-        news: read_news(from.get_ends()?, from.get_leaves()?, from.get_limits()?)?,
+        notices: read_notices(from.get_ends()?, from.get_leaves()?, from.get_limits()?)?,
         notice_cursor: NoticeCursor {
-            life: from.get_ends_life(),
-            ends: from.get_ends_serial(),
-            leaves: from.get_leaves_serial(),
+            incarnation: from.get_ends_life(),
+            exits: from.get_ends_serial(),
+            drains: from.get_leaves_serial(),
             limits: from.get_limits_serial(),
         },
     })
@@ -201,58 +201,58 @@
 
 fn write_report(from: &FeedReport, mut to: report::Builder<'_>) {
     to.set_engine(from.engine.as_str());
-    to.set_pace(from.pace);
-    to.set_held(from.held);
+    to.set_pace(from.slowdown);
+    to.set_held(from.held_tokens);
     to.set_age_ms(from.age_ms);
 }
 
 fn read_report(from: report::Reader<'_>) -> capnp::Result<FeedReport> {
     Ok(FeedReport {
         engine: name(from.get_engine()?)?,
-        pace: from.get_pace(),
-        held: from.get_held(),
+        slowdown: from.get_pace(),
+        held_tokens: from.get_held(),
         age_ms: from.get_age_ms(),
     })
 }
 
-fn write_ends(from: &[FeedExit], mut to: capnp::struct_list::Builder<'_, end::Owned>) {
+fn write_exits(from: &[FeedExit], mut to: capnp::struct_list::Builder<'_, end::Owned>) {
     for (i, e) in from.iter().enumerate() {
         let mut to = to.reborrow().get(i as u32);
-        to.set_print(e.print.0);
+        to.set_print(e.fingerprint.0);
         to.set_engine(e.engine.as_str());
         to.set_born(e.born.unwrap_or(0));
         to.set_events(e.events);
         to.set_renewed(e.renewed);
-        to.set_void(e.void);
+        to.set_void(e.cleared);
         to.set_age_ms(e.age_ms);
     }
 }
 
-fn read_news(
+fn read_notices(
     ends: capnp::struct_list::Reader<'_, end::Owned>,
     leaves: capnp::struct_list::Reader<'_, leave::Owned>,
     limits: capnp::struct_list::Reader<'_, limit::Owned>,
 ) -> capnp::Result<FeedNotices> {
     Ok(FeedNotices {
-        ends: ends.iter().map(read_end).collect::<capnp::Result<_>>()?,
-        leaves: leaves.iter().map(read_leave).collect::<capnp::Result<_>>()?,
+        exits: ends.iter().map(read_exit).collect::<capnp::Result<_>>()?,
+        drains: leaves.iter().map(read_drain).collect::<capnp::Result<_>>()?,
         limits: limits.iter().map(read_limit).collect::<capnp::Result<_>>()?,
     })
 }
 
-fn read_end(from: end::Reader<'_>) -> capnp::Result<FeedExit> {
+fn read_exit(from: end::Reader<'_>) -> capnp::Result<FeedExit> {
     Ok(FeedExit {
-        print: RequestPrint(from.get_print()),
+        fingerprint: RequestPrint(from.get_print()),
         engine: name(from.get_engine()?)?,
         born: Some(from.get_born()).filter(|born| *born > 0),
         events: from.get_events(),
         renewed: from.get_renewed(),
-        void: from.get_void(),
+        cleared: from.get_void(),
         age_ms: from.get_age_ms(),
     })
 }
 
-fn write_leaves(from: &[FeedDrain], mut to: capnp::struct_list::Builder<'_, leave::Owned>) {
+fn write_drains(from: &[FeedDrain], mut to: capnp::struct_list::Builder<'_, leave::Owned>) {
     for (i, l) in from.iter().enumerate() {
         let mut to = to.reborrow().get(i as u32);
         to.set_engine(l.engine.as_str());
@@ -261,7 +261,7 @@
     }
 }
 
-fn read_leave(from: leave::Reader<'_>) -> capnp::Result<FeedDrain> {
+fn read_drain(from: leave::Reader<'_>) -> capnp::Result<FeedDrain> {
     Ok(FeedDrain {
         engine: name(from.get_engine()?)?,
         born: Some(from.get_born()).filter(|born| *born > 0),
@@ -291,30 +291,30 @@
     })
 }
 
-pub(crate) fn write_right_ask(from: &RightsRequest, mut to: right_ask::Builder<'_>) {
+pub(crate) fn write_rights_request(from: &RightsRequest, mut to: right_ask::Builder<'_>) {
     to.set_node(from.node.as_str());
-    to.set_wanted(from.wanted);
+    to.set_wanted(from.requested);
     write_limit(&from.limit, to.init_limit());
 }
 
-pub(crate) fn read_right_ask(from: right_ask::Reader<'_>) -> capnp::Result<RightsRequest> {
+pub(crate) fn read_rights_request(from: right_ask::Reader<'_>) -> capnp::Result<RightsRequest> {
     Ok(RightsRequest {
         node: name(from.get_node()?)?,
         limit: read_limit(from.get_limit()?)?,
-        wanted: from.get_wanted(),
+        requested: from.get_wanted(),
     })
 }
 
-pub(crate) fn write_right_told(from: &RightsResponse, mut to: right_told::Builder<'_>) {
+pub(crate) fn write_rights_response(from: &RightsResponse, mut to: right_told::Builder<'_>) {
     to.set_active(from.active);
-    to.set_given(from.given);
+    to.set_given(from.issued);
     to.set_wait_ms(from.wait_ms);
 }
 
-pub(crate) fn read_right_told(from: right_told::Reader<'_>) -> RightsResponse {
+pub(crate) fn read_rights_response(from: right_told::Reader<'_>) -> RightsResponse {
     RightsResponse {
         active: from.get_active(),
-        given: from.get_given(),
+        issued: from.get_given(),
         wait_ms: from.get_wait_ms(),
     }
 }
--- a/crates/net/src/feed_message.rs
+++ b/crates/net/src/feed_message.rs
@@ -24,11 +24,11 @@
     /// Digest of its engine entries.
     pub digest: u64,
     /// What it already has from the polled node.
-    pub known: FeedCursor,
+    pub cursor: FeedCursor,
     /// Whether only reports are requested, of engines in the failure domain of the polled node.
-    pub reports: bool,
+    pub reports_only: bool,
     /// Notices that the requesting node has learned since its last poll of the same node.
-    pub news: FeedNotices,
+    pub notices: FeedNotices,
     /// Notices of the polled node that the requesting node already has.
     pub notice_cursor: NoticeCursor,
 }
@@ -39,9 +39,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedNotices {
     /// Engines that ended while they ran a request.
-    pub ends: Vec<FeedExit>,
+    pub exits: Vec<FeedExit>,
     /// Engines that are draining.
-    pub leaves: Vec<FeedDrain>,
+    pub drains: Vec<FeedDrain>,
     /// Rate limits advertised by engines.
     pub limits: Vec<FeedLimit>,
 }
@@ -50,11 +50,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NoticeCursor {
     /// Incarnation of the node.
-    pub life: u64,
+    pub incarnation: u64,
     /// Serial of the last engine exit; 0 for none.
-    pub ends: u64,
+    pub exits: u64,
     /// Serial of the last drain notice; 0 for none.
-    pub leaves: u64,
+    pub drains: u64,
     /// Serial of the last rate limit; 0 for none.
     pub limits: u64,
 }
@@ -80,7 +80,7 @@
     /// The engine, and its rate limit as known to the requesting node.
     pub limit: FeedLimit,
     /// Number of rights requested.
-    pub wanted: u16,
+    pub requested: u16,
 }
 
 /// Response to a request for rights.
@@ -89,7 +89,7 @@
     /// Whether the polled node issues rights for this engine.
     pub active: bool,
     /// Number of rights issued.
-    pub given: u16,
+    pub issued: u16,
     /// Time after which to ask again, milliseconds.
     pub wait_ms: Millis,
 }
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedExit {
     /// Fingerprint of the request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestPrint,
     /// The engine.
     pub engine: Name,
     /// Unix time of the engine's start in milliseconds, if known.
@@ -119,7 +119,7 @@
     /// How often the request was seen again much later.
     pub renewed: u32,
     /// Whether it no longer counts as evidence against the request.
-    pub void: bool,
+    pub cleared: bool,
     /// Time since it was first known.
     pub age_ms: Millis,
 }
@@ -128,7 +128,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FeedCursor {
     /// Incarnation of the followed node that the serials belong to.
-    pub life: u64,
+    pub incarnation: u64,
     /// Serial of the last change of engine entries; 0 for none.
     pub serial: u64,
     /// Serial of the last report; 0 for none.
@@ -139,9 +139,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FeedResponse {
     /// Whether the rest is recent enough to be used.
-    pub live: bool,
+    pub fresh: bool,
     /// Position of the follower after this response.
-    pub known: FeedCursor,
+    pub cursor: FeedCursor,
     /// Engine entries.
     pub engines: FeedEngines,
     /// Revision of the active configuration.
@@ -149,25 +149,25 @@
     /// The configuration with its value compressed, if the requesting node has an older one.
     pub config: Option<Item>,
     /// Whether large data is withheld because the link is at capacity.
-    pub busy: bool,
+    pub withheld: bool,
     /// Time since the configuration was verified to be the latest.
-    pub proof_ms: Millis,
+    pub config_age_ms: Millis,
     /// Time since the engine entries were verified against the store.
-    pub list_ms: Millis,
+    pub entries_age_ms: Millis,
     /// Number of nodes in the fleet; 0 if unknown.
-    pub nodes: u32,
+    pub fleet_size: u32,
     /// Number of nodes in the failure domain; 0 if unknown.
-    pub beside: u32,
+    pub domain_size: u32,
     /// State reported by engines.
     pub reports: Vec<FeedReport>,
     /// Known planners of all failure domains.
     pub planners: Vec<FeedPlanner>,
     /// Whether the polled node was the planner of its failure domain and has released that role.
-    pub vacant: bool,
+    pub planner_released: bool,
     /// Standbys that read the store if the planner does not, in order of priority.
     pub standbys: Vec<(Name, SocketAddr)>,
     /// Notices that the polled node has learned.
-    pub news: FeedNotices,
+    pub notices: FeedNotices,
     /// Position in the notices after this response.
     pub notice_cursor: NoticeCursor,
 }
@@ -198,9 +198,9 @@
     /// The engine.
     pub engine: Name,
     /// Factor by which it is slower than its accelerator.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Tokens held by requests.
-    pub held: f64,
+    pub held_tokens: f64,
     /// Age of the report.
     pub age_ms: Millis,
 }
