--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -111,7 +111,7 @@
     let Some(seed) = control.seeds.choose(&mut rand::rng()) else { return };
     let (ask, _) = control.question(FeedCursor::default(), &NewsMarks::default(), true);
     let sent = control.now();
-    let answer = async { FeedClient::open(seed.address, LIMIT).await?.ask(&ask, LIMIT).await };
+    let answer = async { FeedClient::open(seed.address, LIMIT).await?.poll(&ask, LIMIT).await };
     match answer.await {
         Ok(told) => {
             take_nodes(control, seed, &told);
@@ -152,7 +152,7 @@
     let (ask, told_to) = control.question(followed.known, &followed.news, false);
     if let Some(client) = &followed.client {
         let sent = control.now();
-        match client.ask(&ask, LIMIT).await {
+        match client.poll(&ask, LIMIT).await {
             Ok(told) => {
                 followed.news.answered(told_to, &told);
                 return Ok((sent, told));
@@ -164,7 +164,7 @@
     let client = FeedClient::open(source.address, LIMIT).await?;
     let sent = control.now();
     let limit = if followed.known.serial == 0 { LIMIT_WHOLE } else { LIMIT };
-    let told = client.ask(&ask, limit).await?;
+    let told = client.poll(&ask, limit).await?;
     followed.news.answered(told_to, &told);
     followed.client = Some(client);
     Ok((sent, told))
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -112,7 +112,7 @@
         None => FeedClient::open(neighbour.planner.address, LIMIT).await?,
     };
     let (ask, told_to) = control.question(neighbour.known, &neighbour.news, true);
-    let told = client.ask(&ask, LIMIT).await?;
+    let told = client.poll(&ask, LIMIT).await?;
     neighbour.news.answered(told_to, &told);
     neighbour.client = Some(client);
     Ok(told)
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -275,13 +275,13 @@
     ask: &RightsRequest,
 ) -> Result<(RightsResponse, Rc<FeedClient>), RpcError> {
     if let Some(client) = kept {
-        match client.right(ask, LIMIT).await {
+        match client.request_rights(ask, LIMIT).await {
             Ok(told) => return Ok((told, client)),
             Err(e) => log::info!("the connection to node {} was lost: {e}", planner.node),
         }
     }
     let client = Rc::new(FeedClient::open(planner.address, LIMIT_NEW).await?);
-    let told = client.right(ask, LIMIT).await?;
+    let told = client.request_rights(ask, LIMIT).await?;
     Ok((told, client))
 }
 
--- a/crates/net/src/feed.rs
+++ b/crates/net/src/feed.rs
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// [`RpcError::Lost`], also after `timeout`; [`RpcError::Malformed`].
-    pub async fn ask(
+    pub async fn poll(
         &self,
         request: &FeedRequest,
         timeout: Duration,
@@ -116,7 +116,7 @@
     /// # Errors
     ///
     /// [`RpcError::Lost`], also after `timeout`; [`RpcError::Malformed`].
-    pub async fn right(
+    pub async fn request_rights(
         &self,
         request: &RightsRequest,
         timeout: Duration,
