--- a/crates/net/schema/feed.capnp
+++ b/crates/net/schema/feed.capnp
@@ -132,7 +132,7 @@
 struct Report {
   engine @0 :Text;
   pace @1 :Float64;
-  # Factor by which it is slower than its accelerator.
+  # Factor by which it is slower than expected for its accelerator.
   ageMs @2 :UInt64;
   held @3 :Float64;
   # Tokens held by requests.
--- a/crates/net/src/feed_message.rs
+++ b/crates/net/src/feed_message.rs
@@ -197,7 +197,7 @@
 pub struct FeedReport {
     /// The engine.
     pub engine: Name,
-    /// Factor by which it is slower than its accelerator.
+    /// Factor by which it is slower than expected for its accelerator.
     pub slowdown: f64,
     /// Tokens held by requests.
     pub held_tokens: f64,
--- a/crates/net/src/frame.rs
+++ b/crates/net/src/frame.rs
@@ -33,7 +33,7 @@
     pub priority: Priority,
     /// Prompt text.
     pub prompt: String,
-    /// Tokens of the completion that the caller has already received.
+    /// Tokens of the completion already sent to the caller.
     pub resumed: Vec<u32>,
     /// Maximum length of the completion in tokens, including those resumed.
     pub wanted: u32,
