--- a/crates/heathpitchd/src/control/placement.rs
+++ b/crates/heathpitchd/src/control/placement.rs
@@ -148,7 +148,7 @@
                 self.lead(None);
                 false
             }
-            Err(OrderError::Edge(_)) => true,
+            Err(OrderError::Rpc(_)) => true,
         }
     }
 
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -13,8 +13,8 @@
 
 use heathpitch_core::{Millis, Name};
 use heathpitch_net::{
-    EdgeError, FeedAsk, FeedClient, FeedEngines, FeedKnown, FeedMark, FeedNews, FeedTold, Item,
-    inflate_bytes, unpack,
+    FeedClient, FeedCursor, FeedEngines, FeedNotices, FeedRequest, FeedResponse, Item,
+    NoticeCursor, RpcError, inflate_bytes, unpack,
 };
 use heathpitch_policy::{DomainPlanner, PollOutcome, Source};
 use rand::seq::IndexedRandom;
@@ -46,15 +46,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct NewsMarks {
     /// Up to where the other one knows what this node does.
-    told: FeedMark,
+    told: NoticeCursor,
     /// Up to where this node knows what the other one does.
-    known: FeedMark,
+    known: NoticeCursor,
 }
 
 impl NewsMarks {
     /// Takes the answer to a question that told up to `told`.
-    pub(super) fn answered(&mut self, told: FeedMark, answer: &FeedTold) {
-        *self = Self { told, known: answer.news_known };
+    pub(super) fn answered(&mut self, told: NoticeCursor, answer: &FeedResponse) {
+        *self = Self { told, known: answer.notice_cursor };
     }
 }
 
@@ -63,7 +63,7 @@
 struct Followed {
     node: Option<Name>,
     client: Option<FeedClient>,
-    known: FeedKnown,
+    known: FeedCursor,
     news: NewsMarks,
     /// Until when the list of engines that was told last is young enough.
     until: Millis,
@@ -109,13 +109,13 @@
 /// Asks one of the seeds who plans; lists and the configuration are left to planners.
 async fn ask_seed(control: &Control) {
     let Some(seed) = control.seeds.choose(&mut rand::rng()) else { return };
-    let (ask, _) = control.question(FeedKnown::default(), &NewsMarks::default(), true);
+    let (ask, _) = control.question(FeedCursor::default(), &NewsMarks::default(), true);
     let sent = control.now();
-    let answer = async { FeedClient::open(seed.address, LIMIT).await?.ask(&ask, LIMIT).await };
+    let answer = async { FeedClient::open(seed.address, LIMIT).await?.poll(&ask, LIMIT).await };
     match answer.await {
         Ok(told) => {
             take_nodes(control, seed, &told);
-            control.hear_news(&told.news, sent, &seed.node);
+            control.hear_news(&told.notices, sent, &seed.node);
         }
         Err(e) => log::info!("seed {} does not tell: {e}", seed.address),
     }
@@ -145,14 +145,14 @@
     control: &Control,
     followed: &mut Followed,
     source: &Source,
-) -> Result<(Millis, FeedTold), EdgeError> {
+) -> Result<(Millis, FeedResponse), RpcError> {
     if followed.node.as_ref() != Some(&source.node) {
         *followed = Followed { node: Some(source.node.clone()), ..Followed::default() };
     }
     let (ask, told_to) = control.question(followed.known, &followed.news, false);
     if let Some(client) = &followed.client {
         let sent = control.now();
-        match client.ask(&ask, LIMIT).await {
+        match client.poll(&ask, LIMIT).await {
             Ok(told) => {
                 followed.news.answered(told_to, &told);
                 return Ok((sent, told));
@@ -164,7 +164,7 @@
     let client = FeedClient::open(source.address, LIMIT).await?;
     let sent = control.now();
     let limit = if followed.known.serial == 0 { LIMIT_WHOLE } else { LIMIT };
-    let told = client.ask(&ask, limit).await?;
+    let told = client.poll(&ask, limit).await?;
     followed.news.answered(told_to, &told);
     followed.client = Some(client);
     Ok((sent, told))
@@ -176,11 +176,11 @@
     followed: &mut Followed,
     source: &Source,
     sent: Millis,
-    told: FeedTold,
+    told: FeedResponse,
 ) -> PollOutcome {
     take_nodes(control, source, &told);
-    control.hear_news(&told.news, sent, &source.node);
-    let proven = sent.saturating_sub(told.list_ms);
+    control.hear_news(&told.notices, sent, &source.node);
+    let proven = sent.saturating_sub(told.entries_age_ms);
     let own = control.shared.listed.load().at();
     // One who is asked for everything and tells no change has the same.
     let same = told.engines == FeedEngines::default();
@@ -191,25 +191,25 @@
         log::warn!("the configuration that node {} tells cannot be read: {e}", source.node);
         return PollOutcome::Declined;
     }
-    if !told.live || !control.sources.borrow().accepts(&source.node, proven, own, same) {
+    if !told.fresh || !control.sources.borrow().accepts(&source.node, proven, own, same) {
         return PollOutcome::Declined;
     }
     if let Err(e) = take_engines(control, &told.engines) {
         log::warn!("the engines that node {} tells cannot be read: {e}", source.node);
         return PollOutcome::Declined;
     }
-    followed.known = told.known;
+    followed.known = told.cursor;
     reports::hear(control, &told.reports, sent);
     prove(&control.shared.listed, proven);
     followed.until = proven + LIST_OLD;
     if control.revision() >= told.revision {
-        prove(&control.shared.fresh, sent.saturating_sub(told.proof_ms));
+        prove(&control.shared.fresh, sent.saturating_sub(told.config_age_ms));
     }
     PollOutcome::Fresh
 }
 
 /// Takes what a node tells of nodes, which it may know though it does not hear from the store.
-fn take_nodes(control: &Control, source: &Source, told: &FeedTold) {
+fn take_nodes(control: &Control, source: &Source, told: &FeedResponse) {
     for p in &told.planners {
         let source = Source { node: p.node.clone(), address: p.address };
         nodes::meet(control, &p.domain, DomainPlanner { source, revision: p.revision });
@@ -221,25 +221,25 @@
             standbys.map(|(node, address)| Source { node: node.clone(), address: *address });
         control.sources.borrow_mut().set_standbys(standbys.collect());
     }
-    if near && told.vacant {
+    if near && told.planner_released {
         control.vacate();
     }
-    if told.nodes > 0 {
+    if told.fleet_size > 0 {
         let known = control.fleet.get().map(|f| f.beside).filter(|_| !near);
-        let fleet = Fleet { nodes: told.nodes, beside: known.unwrap_or(told.beside) };
+        let fleet = Fleet { nodes: told.fleet_size, beside: known.unwrap_or(told.domain_size) };
         if control.fleet.replace(Some(fleet)) != Some(fleet) {
             control.publish();
         }
     }
 }
 
-fn adopt(control: &Control, deflated: &Item) -> Result<(), EdgeError> {
+fn adopt(control: &Control, deflated: &Item) -> Result<(), RpcError> {
     let value = inflate_bytes(&deflated.value)?.into();
     config::adopt(control, &Item { value, ..deflated.clone() });
     Ok(())
 }
 
-fn take_engines(control: &Control, told: &FeedEngines) -> Result<(), EdgeError> {
+fn take_engines(control: &Control, told: &FeedEngines) -> Result<(), RpcError> {
     let (items, gone) = match told {
         FeedEngines::Whole(packed) => {
             let items = unpack(packed)?;
@@ -269,41 +269,42 @@
     /// A question to another node, and up to where it tells what this one learned of engines.
     pub(super) fn question(
         &self,
-        known: FeedKnown,
+        known: FeedCursor,
         marks: &NewsMarks,
         reports: bool,
-    ) -> (FeedAsk, FeedMark) {
+    ) -> (FeedRequest, NoticeCursor) {
         let settings = self.shared.settings.load();
         let (news, told) = self.news_since(marks.told);
-        let ask = FeedAsk {
+        let ask = FeedRequest {
             node: settings.node.clone(),
             address: self.shared.peer.unwrap_or(settings.listen),
             able: nodes::is_able(&settings),
             revision: self.revision(),
             version: self.version(),
             digest: self.mirror.borrow().digest(),
-            known,
-            reports,
-            news,
-            news_known: marks.known,
+            cursor: known,
+            reports_only: reports,
+            notices: news,
+            notice_cursor: marks.known,
         };
         (ask, told)
     }
 
     /// What others have not heard who know this node's news up to `known`; and up to where they do then.
-    pub(super) fn news_since(&self, known: FeedMark) -> (FeedNews, FeedMark) {
-        let known = if known.life == self.life { known } else { FeedMark::default() };
-        let (ends, ended) = self.ends_since(known.ends);
-        let (leaves, left) = self.leaves_since(known.leaves);
+    pub(super) fn news_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
+        let known = if known.incarnation == self.life { known } else { NoticeCursor::default() };
+        let (ends, ended) = self.ends_since(known.exits);
+        let (leaves, left) = self.leaves_since(known.drains);
         let (limits, limited) = self.limits_since(known.limits);
-        let mark = FeedMark { life: self.life, ends: ended, leaves: left, limits: limited };
-        (FeedNews { ends, leaves, limits }, mark)
+        let mark =
+            NoticeCursor { incarnation: self.life, exits: ended, drains: left, limits: limited };
+        (FeedNotices { exits: ends, drains: leaves, limits }, mark)
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_news(&self, news: &FeedNews, sent: Millis, by: &Name) {
-        self.hear_ends(&news.ends, sent, by);
-        self.hear_leaves(&news.leaves, sent);
+    pub(super) fn hear_news(&self, news: &FeedNotices, sent: Millis, by: &Name) {
+        self.hear_ends(&news.exits, sent, by);
+        self.hear_leaves(&news.drains, sent);
         self.hear_limits(&news.limits, sent);
     }
 }
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -11,7 +11,7 @@
 
 use futures::future::join_all;
 use heathpitch_core::{Millis, Name};
-use heathpitch_net::{EdgeError, FeedClient, FeedKnown, FeedTold};
+use heathpitch_net::{FeedClient, FeedCursor, FeedResponse, RpcError};
 use heathpitch_policy::Source;
 
 use super::feed::NewsMarks;
@@ -33,7 +33,7 @@
     /// Whether it answered last.
     answers: bool,
     client: Option<FeedClient>,
-    known: FeedKnown,
+    known: FeedCursor,
     news: NewsMarks,
     /// When it is asked next.
     next: Millis,
@@ -66,7 +66,7 @@
                 planner: planner.source.clone(),
                 answers: false,
                 client: None,
-                known: FeedKnown::default(),
+                known: FeedCursor::default(),
                 news: NewsMarks::default(),
                 next: 0,
             };
@@ -94,25 +94,25 @@
     control: &Control,
     domain: &Name,
     neighbour: &mut Neighbour,
-    told: &FeedTold,
+    told: &FeedResponse,
     sent: Millis,
 ) {
-    neighbour.known = told.known;
-    if told.beside > 0 {
-        control.besides.borrow_mut().insert(domain.clone(), told.beside);
+    neighbour.known = told.cursor;
+    if told.domain_size > 0 {
+        control.besides.borrow_mut().insert(domain.clone(), told.domain_size);
     }
     reports::hear(control, &told.reports, sent);
-    control.hear_news(&told.news, sent, &neighbour.planner.node);
+    control.hear_news(&told.notices, sent, &neighbour.planner.node);
 }
 
 /// Asks on the kept connection, or on a new one; one without an answer is not kept.
-async fn ask(control: &Control, neighbour: &mut Neighbour) -> Result<FeedTold, EdgeError> {
+async fn ask(control: &Control, neighbour: &mut Neighbour) -> Result<FeedResponse, RpcError> {
     let client = match neighbour.client.take() {
         Some(client) => client,
         None => FeedClient::open(neighbour.planner.address, LIMIT).await?,
     };
     let (ask, told_to) = control.question(neighbour.known, &neighbour.news, true);
-    let told = client.ask(&ask, LIMIT).await?;
+    let told = client.poll(&ask, LIMIT).await?;
     neighbour.news.answered(told_to, &told);
     neighbour.client = Some(client);
     Ok(told)
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use heathpitch_core::{EngineEntry, Millis, Name, RequestFingerprint, Revision};
-use heathpitch_net::{FeedEnd, Item, StoreError, Write};
+use heathpitch_net::{FeedExit, Item, StoreError, Write};
 use heathpitch_policy::{End, EngineIncarnation, just_started};
 
 use super::looks;
@@ -116,31 +116,31 @@
 /// # What nodes tell each other
 impl Control {
     /// Ends that others have not heard of who know this node's up to `serial`; and up to where they do then.
-    pub(super) fn ends_since(&self, serial: u64) -> (Vec<FeedEnd>, u64) {
+    pub(super) fn ends_since(&self, serial: u64) -> (Vec<FeedExit>, u64) {
         let (ends, upto) = self.quarantine.borrow().since(serial, TOLD_MOST, self.now());
-        let told = ends.into_iter().map(|(end, age_ms)| FeedEnd {
-            print: end.print,
+        let told = ends.into_iter().map(|(end, age_ms)| FeedExit {
+            fingerprint: end.print,
             engine: end.life.engine,
             born: end.life.born,
             events: end.events,
             renewed: end.renewed,
-            void: end.void,
+            cleared: end.void,
             age_ms,
         });
         (told.collect(), upto)
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_ends(&self, ends: &[FeedEnd], sent: Millis, by: &Name) {
+    pub(super) fn hear_ends(&self, ends: &[FeedExit], sent: Millis, by: &Name) {
         let mut new = 0;
         for told in ends {
             let life = EngineIncarnation { engine: told.engine.clone(), born: told.born };
             let end = End {
-                print: told.print,
+                print: told.fingerprint,
                 life: life.clone(),
                 events: told.events,
                 renewed: told.renewed,
-                void: told.void,
+                void: told.cleared,
             };
             let now = self.now();
             let age = now.saturating_sub(sent) + told.age_ms;
@@ -148,7 +148,7 @@
                 continue;
             }
             new += 1;
-            if !told.void && age < LEAVE_WITHIN_MS {
+            if !told.cleared && age < LEAVE_WITHIN_MS {
                 self.leave(&life);
             }
         }
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -89,8 +89,8 @@
         |(engine, r): &(&Name, &Report)| r.serial > known && now < r.at + OLD && wanted(engine);
     let report = |(engine, r): (&Name, &Report)| FeedReport {
         engine: engine.clone(),
-        pace: r.pace,
-        held: r.held,
+        slowdown: r.pace,
+        held_tokens: r.held,
         age_ms: now.saturating_sub(r.at),
     };
     (reports.iter().filter(new).map(report).collect(), control.reported.get())
@@ -101,7 +101,7 @@
     let mut changed = false;
     for r in reports {
         let at = sent.saturating_sub(r.age_ms);
-        changed |= put(control, &r.engine, r.pace, r.held, at);
+        changed |= put(control, &r.engine, r.slowdown, r.held_tokens, at);
     }
     if changed {
         control.publish();
@@ -143,10 +143,10 @@
     let model = service.as_ref().and_then(|s| s.model.as_ref());
     let late = model.map_or(0, |m| m.report_lag_ms);
     let usual = model.map_or(0.0, LayeredModel::mean_tokens);
-    let held = status.held(usual).unwrap_or(0.0);
+    let held = status.held_tokens(usual).unwrap_or(0.0);
     let at = control.now().saturating_sub(late);
     // All of a round are published together.
-    let _ = put(control, &engine.id, status.pace, held, at);
+    let _ = put(control, &engine.id, status.slowdown, held, at);
 }
 
 /// Takes a report; gives whether it may make another engine the faster one.
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -57,11 +57,11 @@
         prefix: &str,
         after: Revision,
         wait: Millis,
-    ) -> Result<heathpitch_net::Watched, StoreError> {
+    ) -> Result<heathpitch_net::WatchResponse, StoreError> {
         let sent = self.now();
         let result = self.edges.store.watch(prefix, after, wait).await;
         match &result {
-            Err(StoreError::Edge(e)) => {
+            Err(StoreError::Rpc(e)) => {
                 self.shared.metrics.store.with_label_values(&["watch", "lost"]).inc();
                 let asked_ms = self.now().saturating_sub(sent);
                 GatewayEvent::WatchLost { of, asked_ms, error: e.to_string() }.log();
@@ -120,12 +120,12 @@
         let (word, answers) = match result {
             Ok(_) => ("ok", true),
             Err(StoreError::Conflict(_)) => ("conflict", true),
-            Err(StoreError::Forgotten) => ("forgotten", true),
-            Err(StoreError::LeaseOver) => ("lease_over", true),
+            Err(StoreError::Compacted) => ("forgotten", true),
+            Err(StoreError::LeaseExpired) => ("lease_over", true),
             // Nothing was asked.
-            Err(StoreError::Returned) => return,
+            Err(StoreError::Restored) => return,
             Err(StoreError::Refused(_)) => ("refused", false),
-            Err(StoreError::Edge(_)) => ("lost", false),
+            Err(StoreError::Rpc(_)) => ("lost", false),
         };
         self.shared.metrics.store.with_label_values(&[call, word]).inc();
         if !answers {
