--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use crate::switch::{Mechanism, on};
-use heathpitch_core::{Millis, Name, NotRun, Outcome, Invariant, check};
+use heathpitch_core::{Invariant, Millis, Name, NotRun, Outcome, check};
 
 /// Time for which an answer is kept.
 const ANSWER_TTL_MS: Millis = 600_000;
