--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -18,39 +18,39 @@
 
 /// Longest wait of a watch, milliseconds: below the store's 30 s. Only speed rests on it: the
 /// next proof brings what a dead watch does not.
-const WATCH: Millis = 25_000;
+const WATCH_MS: Millis = 25_000;
 /// Time between two proofs: two and more fit into the shortest time agreed for removed keys.
-const PROVE: Duration = Duration::from_millis(2_000);
+const PROOF_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Time between two proofs of a planner: with an answer's time and a question of a follower (400 ms) below
 /// the age up to which calls are denied.
-const PROVE_PLANNER: Duration = Duration::from_millis(1_000);
+const PLANNER_PROOF_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Time between two tries while the store does not answer, at first; doubled each time.
 const RETRY: Duration = Duration::from_millis(300);
 /// Longest such time: a fraction of the shortest time agreed for removed keys.
-const RETRY_LONGEST: Duration = Duration::from_millis(1_200);
+const MAX_RETRY: Duration = Duration::from_millis(1_200);
 
 /// Keeps the newest configuration in force.
 pub(super) async fn follow(control: Rc<Control>) {
     let (read, watch) = (async || read(&control).await, async |at| watch(&control, at).await);
-    control.keep(RETRY, read, watch).await;
+    control.read_and_watch(RETRY, read, watch).await;
 }
 
 /// Proves again and again that the configuration in force is the newest.
 pub(super) async fn keep_proven(control: Rc<Control>) {
     let mut retry = RETRY;
     loop {
-        if !control.reads() {
-            control.turned.notified().await;
+        if !control.reads_store() {
+            control.role_changed.notified().await;
             continue;
         }
         let sent = control.now();
-        let proven = once(&control).await;
-        retry = if proven { RETRY } else { (retry * 2).min(RETRY_LONGEST) };
+        let proven = prove_once(&control).await;
+        retry = if proven { RETRY } else { (retry * 2).min(MAX_RETRY) };
         let pause = match proven {
-            true if control.plans() || control.stopping() => {
-                PROVE_PLANNER.saturating_sub(Duration::from_millis(control.now() - sent))
+            true if control.is_planner() || control.stopping() => {
+                PLANNER_PROOF_INTERVAL.saturating_sub(Duration::from_millis(control.now() - sent))
             }
-            true => PROVE,
+            true => PROOF_INTERVAL,
             false => retry,
         };
         tokio::time::sleep(pause).await;
@@ -77,9 +77,9 @@
     let key = control.edges.dialect.config_key();
     let mut at = from;
     loop {
-        let asked = control.watch("configuration", prefix, at, WATCH);
+        let asked = control.watch("configuration", prefix, at, WATCH_MS);
         let Some(answer) = control.until_doubt(asked).await else {
-            if control.direct().await {
+            if control.wait_to_read().await {
                 return;
             }
             // Its connection may be dead: asked anew from where it was, which costs no read of the whole.
@@ -99,13 +99,13 @@
             }
         }
         at = watched.at;
-        if !control.reads() {
+        if !control.reads_store() {
             return;
         }
     }
 }
 
-async fn once(control: &Control) -> bool {
+async fn prove_once(control: &Control) -> bool {
     let Some(revision) = control.shared.catalog.load().as_ref().map(|c| c.revision) else {
         return false;
     };
--- a/crates/heathpitchd/src/gateway/control/ends.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_exits.rs
@@ -22,30 +22,30 @@
 /// and its listener with them, but not in one instant.
 const GATHER: Duration = Duration::from_millis(20);
 /// Time for a look at the engine: many times the delay between failure domains.
-const LOOK: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time for which a call lost with an engine that has ended is taken to be lost by that, milliseconds: engines
 /// start again after seconds, and connections cut off by a lost link end later.
-const ENDED: Millis = 1_000;
+const EXITED_MS: Millis = 1_000;
 /// Calls named in one line of the log.
-const LOGGED: usize = 16;
+const MAX_LOGGED: usize = 16;
 
 /// Engines whose connections calls lost a moment ago.
 #[derive(Debug, Default)]
-pub(super) struct Ends {
+pub(super) struct EngineExits {
     /// Calls lost, until it is known whether their engine ended.
     lost: HashMap<Name, Vec<LostSend>>,
     /// Engines found to have ended, and when.
-    ended: HashMap<Name, Millis>,
+    exited: HashMap<Name, Millis>,
 }
 
 /// Takes a call whose connection was lost.
-pub(super) fn take(control: &Rc<Control>, lost: LostSend) {
+pub(super) fn record_lost(control: &Rc<Control>, lost: LostSend) {
     let (engine, address, now) = (lost.engine.id.clone(), lost.engine.address, control.now());
     let (known, first) = {
-        let mut ends = control.ends.borrow_mut();
-        ends.ended.retain(|_, at| now < *at + ENDED);
-        let known = ends.ended.contains_key(&engine);
-        let waiting = ends.lost.entry(engine.clone()).or_default();
+        let mut exits = control.engine_exits.borrow_mut();
+        exits.exited.retain(|_, at| now < *at + EXITED_MS);
+        let known = exits.exited.contains_key(&engine);
+        let waiting = exits.lost.entry(engine.clone()).or_default();
         waiting.push(lost);
         (known, waiting.len() == 1)
     };
@@ -55,21 +55,21 @@
     let control = control.clone();
     spawn_local(async move {
         tokio::time::sleep(GATHER).await;
-        let ended = known || refuses(address).await;
-        let lost = control.ends.borrow_mut().lost.remove(&engine).unwrap_or_default();
-        if ended {
-            note(&control, &lost);
+        let exited = known || refuses(address).await;
+        let lost = control.engine_exits.borrow_mut().lost.remove(&engine).unwrap_or_default();
+        if exited {
+            record_exit(&control, &lost);
         }
     });
 }
 
 /// Takes note that the engine of these calls has ended.
-fn note(control: &Control, lost: &[LostSend]) {
+fn record_exit(control: &Control, lost: &[LostSend]) {
     let Some(LostSend { engine, .. }) = lost.first() else { return };
-    control.ends.borrow_mut().ended.entry(engine.id.clone()).or_insert(control.now());
+    control.engine_exits.borrow_mut().exited.entry(engine.id.clone()).or_insert(control.now());
     let mut youngest: Vec<_> = lost.iter().map(|l| (l.print, l.events)).collect();
     youngest.sort_by_key(|(_, events)| *events);
-    youngest.truncate(LOGGED);
+    youngest.truncate(MAX_LOGGED);
     let (name, calls) = (engine.id.clone(), lost.len());
     GatewayEvent::EngineEnded { engine: name, calls, youngest }.log();
     control.engine_ended(engine, lost);
@@ -77,7 +77,7 @@
 
 /// Whether nothing listens at an address.
 async fn refuses(address: SocketAddr) -> bool {
-    match tokio::time::timeout(LOOK, TcpStream::connect(address)).await {
+    match tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Err(e)) => e.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(_)) | Err(_) => false,
     }
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -16,41 +16,41 @@
 use heathpitch_core::{Millis, Name, Revision};
 use heathpitch_net::ItemChange;
 
-use super::engines::{id, put_all, remove};
+use super::engines::{engine_id, put_all, remove};
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::shared::prove;
 
 /// Longest wait of a watch that nothing else proves, milliseconds. Keeps the age of the list below 1.4 s and two
 /// answers' time, and a dead watch from hiding for longer than this and the limit of a call that an engine leaves.
-const WATCH: Millis = 600;
+const WATCH_MS: Millis = 600;
 /// The same while proofs of the configuration prove the list.
-const WATCH_PROVEN: Millis = 20_000;
+const PROVEN_WATCH_MS: Millis = 20_000;
 /// Age of the list from which a watch that waits is asked anew, milliseconds: below that beyond which a list is not told.
-const LIST_UNPROVEN: Millis = 1_200;
+const LIST_MAX_AGE_MS: Millis = 1_200;
 /// Wait of the watch that takes the place of one in doubt, milliseconds: it tells at once what there is, so that the list
 /// does not grow too old to be told.
-const WATCH_NOW: Millis = 1;
+const IMMEDIATE_WATCH_MS: Millis = 1;
 /// Time over which changes are gathered into one call: a small part of the time for which a leaving
 /// engine may still be sent work.
-const GATHER: Duration = Duration::from_millis(200);
+const BATCH: Duration = Duration::from_millis(200);
 /// The same while no engine holds a layer and engines are coming up.
-const GATHER_START: Duration = Duration::from_millis(600);
+const STARTUP_BATCH: Duration = Duration::from_millis(600);
 /// Time between two tries while the store does not answer.
 const RETRY: Duration = Duration::from_millis(350);
 /// Time after which the list is read anew although the watch works, milliseconds, for each page of it that there may be:
 /// calls for that do not grow with the fleet.
-const RELIST: Millis = 15_000;
+const RELIST_PER_PAGE_MS: Millis = 15_000;
 /// Entries of a page.
 const PAGE_ENTRIES: usize = 500;
 /// One missing entry in so many listed ones shows that entries lapsed, not that engines left.
-const LAPSED: usize = 4;
+const LAPSED_FRACTION: usize = 4;
 /// Time in which all nodes hear of what their planner has heard of, milliseconds: gathering (200), a
 /// question (400) and the limit of its answer (300), with margin. Without it followers knew of engines
 /// that went just after an outage up to 2 255 ms later, where 2 000 are agreed.
-const TOLD_WITHIN: Millis = 1_000;
+const PROPAGATION_MS: Millis = 1_000;
 /// Time between two looks at many entries that are waited for, milliseconds.
-const LAPSED_LOOK: Millis = 200;
+const LAPSED_RECHECK_MS: Millis = 200;
 
 /// Keeps the list of engines.
 pub(super) async fn follow(control: Rc<Control>) {
@@ -59,7 +59,7 @@
     let watch = async |at| {
         control.until_doubt(watch(&control, at)).await;
     };
-    control.keep(RETRY, read, watch).await;
+    control.read_and_watch(RETRY, read, watch).await;
 }
 
 async fn list(control: &Control) -> Option<Revision> {
@@ -69,41 +69,41 @@
     let kept = put_all(control, &listing.items);
     let missing = |id: &&Name| !kept.contains(*id);
     let gone: Vec<Name> = control.entries.borrow().keys().filter(missing).cloned().collect();
-    control.lapsed.borrow_mut().retain(|id, _| !kept.contains(id) && control.patience() > 0);
+    control.lapsed.borrow_mut().retain(|id, _| !kept.contains(id) && control.lapse_grace() > 0);
     drop_missing(control, gone, "not listed");
-    heard(control, "list", sent, sent, listing.items.len());
+    record_answer(control, "list", sent, sent, listing.items.len());
     control.publish();
-    control.engines_at.set(listing.at);
+    control.engines_revision.set(listing.at);
     Some(listing.at)
 }
 
 /// Takes note that the store was at a revision when it answered a proof sent at `sent`: if the watch has told all
 /// changes up to it, the list is proven too.
 pub(super) fn prove_at(control: &Control, at: Revision, sent: Millis) {
-    control.store_at.set(at);
-    match at == control.engines_at.get() {
+    control.store_revision.set(at);
+    match at == control.engines_revision.get() {
         true => prove(&control.shared.listed, sent),
-        false => control.engines_behind.notify_waiters(),
+        false => control.engines_outdated.notify_waiters(),
     }
 }
 
 /// Whether proofs of the configuration prove the list.
 fn is_proven(control: &Control) -> bool {
     let age = control.shared.listed.load().age(control.now());
-    let told = control.store_at.get() == control.engines_at.get();
-    control.plans() && told && age.is_some_and(|age| age < LIST_UNPROVEN)
+    let told = control.store_revision.get() == control.engines_revision.get();
+    control.is_planner() && told && age.is_some_and(|age| age < LIST_MAX_AGE_MS)
 }
 
 /// Waits until the list grows old, or the store holds what its watch has not told.
-async fn watch_doubted(control: &Control) {
+async fn watch_outdated(control: &Control) {
     loop {
-        let age = control.shared.listed.load().age(control.now()).unwrap_or(LIST_UNPROVEN);
-        if age >= LIST_UNPROVEN {
+        let age = control.shared.listed.load().age(control.now()).unwrap_or(LIST_MAX_AGE_MS);
+        if age >= LIST_MAX_AGE_MS {
             return;
         }
-        let left = Duration::from_millis(LIST_UNPROVEN - age);
+        let left = Duration::from_millis(LIST_MAX_AGE_MS - age);
         tokio::select! {
-            () = control.engines_behind.notified() => return,
+            () = control.engines_outdated.notified() => return,
             () = tokio::time::sleep(left) => {}
         }
     }
@@ -112,15 +112,15 @@
 async fn watch(control: &Control, from: Revision) {
     let prefix = control.edges.dialect.engines_prefix();
     let pages = control.entries.borrow().len() / PAGE_ENTRIES + 1;
-    let over = control.now() + RELIST * pages as Millis;
+    let over = control.now() + RELIST_PER_PAGE_MS * pages as Millis;
     let mut at = from;
-    let mut doubted = false;
-    while control.now() < over && control.reads() {
+    let mut outdated = false;
+    while control.now() < over && control.reads_store() {
         let left = over.saturating_sub(control.now()).max(1);
         let wait = match expire(control) {
-            None if doubted => WATCH_NOW,
-            None if is_proven(control) => WATCH_PROVEN.min(left),
-            None => WATCH,
+            None if outdated => IMMEDIATE_WATCH_MS,
+            None if is_proven(control) => PROVEN_WATCH_MS.min(left),
+            None => WATCH_MS,
             // Read the list again: whatever is still missing is gone.
             Some(0) => return,
             Some(soon) => soon,
@@ -129,24 +129,24 @@
         let answer = control.watch("engines", prefix, at, wait);
         let answer = tokio::select! {
             answer = answer => answer,
-            () = watch_doubted(control), if wait > WATCH => {
-                doubted = true;
+            () = watch_outdated(control), if wait > WATCH_MS => {
+                outdated = true;
                 continue;
             }
         };
-        doubted = false;
+        outdated = false;
         let Ok(watched) = answer else {
-            return tokio::time::sleep(GATHER).await;
+            return tokio::time::sleep(BATCH).await;
         };
         // An empty answer comes when the wait is over: until then there was no change.
         let waited = if watched.changes.is_empty() { wait } else { 0 };
         let proven = control.now().min(sent + waited);
-        heard(control, "watch", sent, proven, watched.changes.len());
+        record_answer(control, "watch", sent, proven, watched.changes.len());
         let (mut items, mut gone) = (Vec::new(), Vec::new());
         for change in watched.changes {
             match change {
                 ItemChange::Put(item) => items.push(item),
-                ItemChange::Deleted(key) => gone.extend(id(control, &key)),
+                ItemChange::Deleted(key) => gone.extend(engine_id(control, &key)),
             }
         }
         let changed = !items.is_empty() || !gone.is_empty();
@@ -155,17 +155,23 @@
         }
         drop_missing(control, gone, "its entry is gone");
         at = watched.at;
-        control.engines_at.set(at);
+        control.engines_revision.set(at);
         if changed {
             control.publish();
-            tokio::time::sleep(gather(control)).await;
+            tokio::time::sleep(batch_time(control)).await;
         }
     }
 }
 
 /// Takes note of an answer of the store about engines to a call sent at `sent`, which shows what was
 /// listed at `proven` or later.
-fn heard(control: &Control, by: &'static str, sent: Millis, proven: Millis, entries: usize) {
+fn record_answer(
+    control: &Control,
+    by: &'static str,
+    sent: Millis,
+    proven: Millis,
+    entries: usize,
+) {
     prove(&control.shared.listed, proven);
     if entries > 0 {
         let asked_ms = control.now().saturating_sub(sent);
@@ -174,15 +180,15 @@
 }
 
 /// Time to gather changes: longer while nothing is served yet and engines are still coming up.
-fn gather(control: &Control) -> Duration {
+fn batch_time(control: &Control) -> Duration {
     let serves = control.entries.borrow().values().any(|e| e.layers.count() > 0);
-    if control.settles() && !serves { GATHER_START } else { GATHER }
+    if control.is_settling() && !serves { STARTUP_BATCH } else { BATCH }
 }
 
 /// Takes engines off the list whose entries are missing; at once, unless these may have lapsed
 /// while the store was away.
 fn drop_missing(control: &Control, gone: Vec<Name>, why: &'static str) {
-    if control.patience() == 0 {
+    if control.lapse_grace() == 0 {
         return gone.iter().for_each(|id| remove(control, id, why));
     }
     let now = control.now();
@@ -196,9 +202,9 @@
 /// if any entry is waited for.
 fn expire(control: &Control) -> Option<Millis> {
     let now = control.now();
-    let few = control.lapsed.borrow().len() * LAPSED <= control.entries.borrow().len();
-    let comeback = comeback_few(control);
-    let due = |since: Millis| few && now >= since + comeback;
+    let few = control.lapsed.borrow().len() * LAPSED_FRACTION <= control.entries.borrow().len();
+    let grace = few_grace(control);
+    let due = |since: Millis| few && now >= since + grace;
     let over: Vec<Name> = {
         let lapsed = control.lapsed.borrow();
         lapsed.iter().filter(|(_, since)| due(**since)).map(|(id, _)| id.clone()).collect()
@@ -211,14 +217,14 @@
         control.publish();
     }
     let oldest = control.lapsed.borrow().values().min().copied()?;
-    let due = (oldest + comeback).saturating_sub(now);
+    let due = (oldest + grace).saturating_sub(now);
     // Many missing entries are past their time and wait for the store's own.
-    let soon = if few { due } else { LAPSED_LOOK };
-    Some(control.patience().min(soon))
+    let soon = if few { due } else { LAPSED_RECHECK_MS };
+    Some(control.lapse_grace().min(soon))
 }
 
 /// Time for which a few missing entries are waited for after an outage: what is left, of the time for
 /// which an engine that left may be sent work, once all nodes have heard of it.
-fn comeback_few(control: &Control) -> Millis {
-    control.shared.settings.load().bounds.drain_ms.saturating_sub(TOLD_WITHIN)
+fn few_grace(control: &Control) -> Millis {
+    control.shared.settings.load().bounds.drain_ms.saturating_sub(PROPAGATION_MS)
 }
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -16,7 +16,7 @@
 
 /// Entries that are logged one by one if they change together; more are logged in one line. A node that
 /// begins hears all.
-const LOGGED_ALONE: usize = 16;
+const MAX_LOGGED_SINGLY: usize = 16;
 
 /// Takes an engine out of use: its address answers for another one.
 pub(super) fn mark_replaced(control: &Control, engine: &Name) {
@@ -28,15 +28,15 @@
 }
 
 /// Takes an engine's own word for the layers it holds, where a request found its entry wrong.
-pub(super) fn reread(control: &Rc<Control>, engine: &Name) {
+pub(super) fn refresh_layers(control: &Rc<Control>, engine: &Name) {
     let Some(entry) = control.entries.borrow().get(engine).cloned() else { return };
-    if !control.may_question(engine) {
+    if !control.may_query_status(engine) {
         return;
     }
     let control = control.clone();
     tokio::task::spawn_local(async move {
-        match ask(&control, &entry).await {
-            Ok(status) => correct(&control, &entry, &status),
+        match query_status(&control, &entry).await {
+            Ok(status) => update_layers(&control, &entry, &status),
             Err(RpcError::Status(421)) => mark_replaced(&control, &entry.id),
             Err(e) => log::warn!("engine {} does not tell its state: {e}", entry.id),
         }
@@ -50,16 +50,19 @@
 ///
 /// As [`EngineControl::status`](heathpitch_net::EngineControl::status), and [`RpcError::Lost`] if the answer is of an
 /// older life than the one that is known.
-pub(super) async fn ask(control: &Control, engine: &EngineEntry) -> Result<EngineStatus, RpcError> {
+pub(super) async fn query_status(
+    control: &Control,
+    engine: &EngineEntry,
+) -> Result<EngineStatus, RpcError> {
     let sent = control.now();
     let answer = control.edges.orders.status(engine).await?;
     let status = control.heed(engine, "report", sent, answer);
-    let word = control.lives.borrow_mut().observe(&engine.id, status.born, control.now());
-    match word {
+    let recency = control.incarnations.borrow_mut().observe(&engine.id, status.born, control.now());
+    match recency {
         Recency::Current => {}
         Recency::Stale => return Err(RpcError::Lost("an answer of its last life".to_owned())),
         Recency::Restarted => {
-            begin_anew(control, &engine.id, status.born, "its own state");
+            reset_restarted(control, &engine.id, status.born, "its own state");
             // Its entry says later what it holds; until then its own word does.
             let layers = status.layers.unwrap_or(LayerRange::new(0, 0));
             let (state, born) = (EntryState::Ready, status.born);
@@ -73,16 +76,16 @@
 
 /// Forgets what is known of an engine that has started again under its id, as `by` shows: its last life
 /// holds no layers and no tokens any more, and owes no answers.
-fn begin_anew(control: &Control, engine: &Name, born: Option<Millis>, by: &'static str) {
+fn reset_restarted(control: &Control, engine: &Name, born: Option<Millis>, by: &'static str) {
     forget(control, engine);
-    control.wishes.borrow_mut().remove(engine);
+    control.backpressure.borrow_mut().remove(engine);
     control.leaving.borrow_mut().remove(engine);
     control.lapsed.borrow_mut().remove(engine);
     GatewayEvent::EngineReborn { engine: engine.clone(), born, by }.log();
 }
 
 /// Corrects an entry by the engine's own word.
-pub(super) fn correct(control: &Control, entry: &EngineEntry, status: &EngineStatus) {
+pub(super) fn update_layers(control: &Control, entry: &EngineEntry, status: &EngineStatus) {
     let layers = status.layers.unwrap_or(LayerRange::new(0, 0));
     let current = control.entries.borrow().get(&entry.id).cloned();
     let Some(current) = current.filter(|c| c.layers != layers) else { return };
@@ -93,7 +96,7 @@
 }
 
 /// The engine whose entry stands under a key.
-pub(super) fn id(control: &Control, key: &str) -> Option<Name> {
+pub(super) fn engine_id(control: &Control, key: &str) -> Option<Name> {
     key.strip_prefix(control.edges.dialect.engines_prefix())?.parse().ok()
 }
 
@@ -104,7 +107,7 @@
     let mut changed = Vec::new();
     let ids = items.iter().filter_map(|item| put(control, item, &mut changed)).collect();
     match changed.len() {
-        0..=LOGGED_ALONE => changed.iter().for_each(|e| log_listed(e)),
+        0..=MAX_LOGGED_SINGLY => changed.iter().for_each(|e| log_listed(e)),
         _ => {
             let engines = changed.iter().map(|e| (e.id.clone(), e.layers)).collect();
             GatewayEvent::EnginesListed { engines }.log();
@@ -121,16 +124,16 @@
         Ok(entry) => entry,
         Err(e) => {
             log::warn!("entry of an engine cannot be read: {e}");
-            let id = id(control, &item.key)?;
+            let id = engine_id(control, &item.key)?;
             remove(control, &id, "its entry cannot be read");
             return None;
         }
     };
     let id = entry.id.clone();
-    let word = control.lives.borrow_mut().observe(&id, entry.born, control.now());
-    match word {
+    let recency = control.incarnations.borrow_mut().observe(&id, entry.born, control.now());
+    match recency {
         Recency::Current => {}
-        Recency::Restarted => begin_anew(control, &id, entry.born, "its entry"),
+        Recency::Restarted => reset_restarted(control, &id, entry.born, "its entry"),
         Recency::Stale => {
             log::info!("entry of engine {id} is passed over: it is of an older life");
             return Some(id);
@@ -139,7 +142,7 @@
     let old = control.entries.borrow().get(&id).cloned();
     // What an engine once said, here or in an answer, binds it for as long as it lives.
     let left = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
-    let said = left || control.leavers.borrow().is_draining(&life(&entry));
+    let said = left || control.drain_notices.borrow().is_draining(&life(&entry));
     let state = if said { EntryState::Leaving } else { entry.state };
     let entry = EngineEntry { state, ..entry };
     control.mirror.borrow_mut().put(item.key.clone(), item.revision.0, item.clone());
@@ -147,15 +150,15 @@
         return Some(id);
     }
     if old.is_none() {
-        control.since.borrow_mut().insert(id.clone(), control.now());
+        control.listed_since.borrow_mut().insert(id.clone(), control.now());
     }
     if old.is_none() && entry.domain == control.domain() {
-        control.joined.set(control.now());
+        control.last_join.set(control.now());
     }
     match entry.state {
         EntryState::Leaving if !left => {
             control.leaving.borrow_mut().insert(id.clone(), control.now());
-            control.leavers.borrow_mut().learn(life(&entry), 0, control.now());
+            control.drain_notices.borrow_mut().learn(life(&entry), 0, control.now());
         }
         EntryState::Leaving => {}
         // It was off the list, and is back: streams stay on it.
@@ -183,7 +186,7 @@
     let model = service.as_ref().and_then(|s| s.model.as_ref());
     match model {
         Some(model) if entry.layers.end > model.layers => wrong("its model has fewer layers"),
-        _ if entry.born.is_none() && control.lives.borrow().born(&entry.id).is_some() => {
+        _ if entry.born.is_none() && control.incarnations.borrow().born(&entry.id).is_some() => {
             wrong("it does not tell when the engine started, which earlier ones did")
         }
         _ => Ok(entry),
@@ -227,13 +230,13 @@
 /// Forgets all that is kept of an engine: entry, orders, doubts, reports, what requests met.
 fn forget(control: &Control, id: &Name) {
     control.entries.borrow_mut().remove(id);
-    control.tallies.borrow_mut().remove(id);
-    control.lost.borrow_mut().remove(id);
+    control.engine_stats.borrow_mut().remove(id);
+    control.unreachable.borrow_mut().remove(id);
     control.pending.borrow_mut().remove(id);
     control.orders.borrow_mut().remove(id);
-    control.since.borrow_mut().remove(id);
+    control.listed_since.borrow_mut().remove(id);
     control.refusing.borrow_mut().remove(id);
-    control.questioned.borrow_mut().remove(id);
+    control.status_queried.borrow_mut().remove(id);
     control.replaced.borrow_mut().remove(id);
     control.reports.borrow_mut().remove(id);
 }
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -4,7 +4,7 @@
 //! configuration and the age of its proof. Whom to ask, and when a node reads the store itself, is decided
 //! by [`Sources`](heathpitch_policy::Sources).
 //!
-//! What is heard counts from the moment at which it was asked for, so that neither a slow link nor
+//! What is outcome counts from the moment at which it was asked for, so that neither a slow link nor
 //! a source that stood still makes it look newer than it is.
 
 use std::collections::HashSet;
@@ -25,115 +25,115 @@
 
 /// Time between two questions: a small part of the time for which a leaving engine may still be
 /// sent work, and 175 questions a second for a planner with 70 followers.
-const ASK: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
 /// The same while nobody tells, and when what was told last is about to be too old.
-const ASK_SOON: Duration = Duration::from_millis(60);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(60);
 /// Time for a connection and for an answer: many times the delay inside a failure domain.
-const LIMIT: Duration = Duration::from_millis(300);
+const TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for an answer that may hold all engines and the configuration: 100 kB on a link of 20 Mbit/s take
 /// 40 ms, and sixty nodes may ask at once.
-const LIMIT_WHOLE: Duration = Duration::from_millis(1_000);
+const FULL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Age beyond which a proof of the configuration is not told, milliseconds: one and a half of a planner's
 /// proofs, and below the age up to which calls are denied.
-pub(super) const PROOF_OLD: Millis = 1_600;
+pub(super) const MAX_PROOF_AGE_MS: Millis = 1_600;
 /// Age beyond which a list of engines is not told, milliseconds: two watches, with a change
 /// at the end of the first one and the time to gather changes between them. With the limit of a
 /// question and a read of the list (1.9 s) below the shortest time for which a leaving engine may be
 /// sent work. A proof of the configuration says nothing of the list.
-pub(super) const LIST_OLD: Millis = 1_500;
+pub(super) const MAX_LIST_AGE_MS: Millis = 1_500;
 
 /// What this node and one that it asks have told each other of engines.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct NewsMarks {
+pub(super) struct NoticeCursors {
     /// Up to where the other one knows what this node does.
-    told: NoticeCursor,
+    sent: NoticeCursor,
     /// Up to where this node knows what the other one does.
-    known: NoticeCursor,
+    received: NoticeCursor,
 }
 
-impl NewsMarks {
+impl NoticeCursors {
     /// Takes the answer to a question that told up to `told`.
-    pub(super) fn answered(&mut self, told: NoticeCursor, answer: &FeedResponse) {
-        *self = Self { told, known: answer.notice_cursor };
+    pub(super) fn advance(&mut self, told: NoticeCursor, answer: &FeedResponse) {
+        *self = Self { sent: told, received: answer.notice_cursor };
     }
 }
 
-/// The source followed, and what was told so far.
+/// The source state, and what was told so far.
 #[derive(Default)]
-struct Followed {
+struct FeedState {
     node: Option<Name>,
     client: Option<FeedClient>,
-    known: FeedCursor,
-    news: NewsMarks,
+    cursor: FeedCursor,
+    notices: NoticeCursors,
     /// Until when the list of engines that was told last is young enough.
-    until: Millis,
+    fresh_until: Millis,
 }
 
-impl Followed {
+impl FeedState {
     /// Time to the next question: before the list is too old, so that one told at the end of its
     /// time is not kept for another while.
     fn pause(&self, control: &Control) -> Duration {
-        let left = Duration::from_millis(self.until.saturating_sub(control.now()));
+        let left = Duration::from_millis(self.fresh_until.saturating_sub(control.now()));
         match () {
-            () if control.fed() => left.clamp(ASK_SOON, ASK),
-            () if control.plans() => ASK,
-            () => ASK_SOON,
+            () if control.has_feed() => left.clamp(MIN_POLL_INTERVAL, POLL_INTERVAL),
+            () if control.is_planner() => POLL_INTERVAL,
+            () => MIN_POLL_INTERVAL,
         }
     }
 }
 
 /// Asks one source after the other until one tells, again and again.
 pub(super) async fn follow(control: Rc<Control>) {
-    let mut followed = Followed::default();
+    let mut state = FeedState::default();
     loop {
-        tokio::time::sleep(followed.pause(&control)).await;
-        round(&control, &mut followed).await;
-        control.look_at_turn();
+        tokio::time::sleep(state.pause(&control)).await;
+        poll_round(&control, &mut state).await;
+        control.update_role();
     }
 }
 
-async fn round(control: &Rc<Control>, followed: &mut Followed) {
+async fn poll_round(control: &Rc<Control>, state: &mut FeedState) {
     if control.sources.borrow().knows_no_planner() {
-        ask_seed(control).await;
+        poll_seed(control).await;
     }
     while let Some(source) = control.next_source() {
-        let heard = hear(control, followed, &source).await;
-        control.heard(&source.node, heard);
-        if heard == PollOutcome::Fresh {
+        let outcome = poll_source(control, state, &source).await;
+        control.record_poll(&source.node, outcome);
+        if outcome == PollOutcome::Fresh {
             return;
         }
     }
-    control.silent();
+    control.sources_exhausted();
 }
 
 /// Asks one of the seeds who plans; lists and the configuration are left to planners.
-async fn ask_seed(control: &Control) {
+async fn poll_seed(control: &Control) {
     let Some(seed) = control.seeds.choose(&mut rand::rng()) else { return };
-    let (ask, _) = control.question(FeedCursor::default(), &NewsMarks::default(), true);
+    let (ask, _) = control.feed_request(FeedCursor::default(), &NoticeCursors::default(), true);
     let sent = control.now();
-    let answer = async { FeedClient::open(seed.address, LIMIT).await?.poll(&ask, LIMIT).await };
+    let answer = async { FeedClient::open(seed.address, TIMEOUT).await?.poll(&ask, TIMEOUT).await };
     match answer.await {
         Ok(told) => {
-            take_nodes(control, seed, &told);
-            control.hear_news(&told.notices, sent, &seed.node);
+            record_nodes(control, seed, &told);
+            control.record_notices(&told.notices, sent, &seed.node);
         }
         Err(e) => log::info!("seed {} does not tell: {e}", seed.address),
     }
 }
 
-async fn hear(control: &Rc<Control>, followed: &mut Followed, source: &Source) -> PollOutcome {
+async fn poll_source(control: &Rc<Control>, state: &mut FeedState, source: &Source) -> PollOutcome {
     let begun = control.now();
-    let answer = ask(control, followed, source).await;
+    let answer = poll(control, state, source).await;
     let label = if answer.is_ok() { "ok" } else { "failed" };
     control.shared.metrics.feed.with_label_values(&[label]).inc();
     match answer {
-        Ok((sent, told)) => take(control, followed, source, sent, told),
+        Ok((sent, told)) => apply(control, state, source, sent, told),
         Err(e) => {
-            *followed = Followed::default();
+            *state = FeedState::default();
             log::info!("node {} does not tell: {e}", source.node);
             // A VM that refuses connections starts or restarts, and answers soon.
             match control.now().saturating_sub(begun) {
-                took if took < LIMIT.as_millis() as Millis => PollOutcome::Declined,
+                took if took < TIMEOUT.as_millis() as Millis => PollOutcome::Declined,
                 _ => PollOutcome::NoAnswer,
             }
         }
@@ -141,45 +141,45 @@
 }
 
 /// Asks on the kept connection, or on a new one; gives also when that was.
-async fn ask(
+async fn poll(
     control: &Control,
-    followed: &mut Followed,
+    state: &mut FeedState,
     source: &Source,
 ) -> Result<(Millis, FeedResponse), RpcError> {
-    if followed.node.as_ref() != Some(&source.node) {
-        *followed = Followed { node: Some(source.node.clone()), ..Followed::default() };
+    if state.node.as_ref() != Some(&source.node) {
+        *state = FeedState { node: Some(source.node.clone()), ..FeedState::default() };
     }
-    let (ask, told_to) = control.question(followed.known, &followed.news, false);
-    if let Some(client) = &followed.client {
+    let (ask, told_to) = control.feed_request(state.cursor, &state.notices, false);
+    if let Some(client) = &state.client {
         let sent = control.now();
-        match client.poll(&ask, LIMIT).await {
+        match client.poll(&ask, TIMEOUT).await {
             Ok(told) => {
-                followed.news.answered(told_to, &told);
+                state.notices.advance(told_to, &told);
                 return Ok((sent, told));
             }
             Err(e) => log::info!("the connection to node {} was lost: {e}", source.node),
         }
     }
-    followed.client = None;
-    let client = FeedClient::open(source.address, LIMIT).await?;
+    state.client = None;
+    let client = FeedClient::open(source.address, TIMEOUT).await?;
     let sent = control.now();
-    let limit = if followed.known.serial == 0 { LIMIT_WHOLE } else { LIMIT };
+    let limit = if state.cursor.serial == 0 { FULL_TIMEOUT } else { TIMEOUT };
     let told = client.poll(&ask, limit).await?;
-    followed.news.answered(told_to, &told);
-    followed.client = Some(client);
+    state.notices.advance(told_to, &told);
+    state.client = Some(client);
     Ok((sent, told))
 }
 
 /// Takes what was told in answer to a question sent at `sent`.
-fn take(
+fn apply(
     control: &Rc<Control>,
-    followed: &mut Followed,
+    state: &mut FeedState,
     source: &Source,
     sent: Millis,
     told: FeedResponse,
 ) -> PollOutcome {
-    take_nodes(control, source, &told);
-    control.hear_news(&told.notices, sent, &source.node);
+    record_nodes(control, source, &told);
+    control.record_notices(&told.notices, sent, &source.node);
     let proven = sent.saturating_sub(told.entries_age_ms);
     let own = control.shared.listed.load().at();
     // One who is asked for everything and tells no change has the same.
@@ -194,14 +194,14 @@
     if !told.fresh || !control.sources.borrow().accepts(&source.node, proven, own, same) {
         return PollOutcome::Declined;
     }
-    if let Err(e) = take_engines(control, &told.engines) {
+    if let Err(e) = apply_engines(control, &told.engines) {
         log::warn!("the engines that node {} tells cannot be read: {e}", source.node);
         return PollOutcome::Declined;
     }
-    followed.known = told.cursor;
+    state.cursor = told.cursor;
     reports::hear(control, &told.reports, sent);
     prove(&control.shared.listed, proven);
-    followed.until = proven + LIST_OLD;
+    state.fresh_until = proven + MAX_LIST_AGE_MS;
     if control.revision() >= told.revision {
         prove(&control.shared.fresh, sent.saturating_sub(told.config_age_ms));
     }
@@ -209,10 +209,10 @@
 }
 
 /// Takes what a node tells of nodes, which it may know though it does not hear from the store.
-fn take_nodes(control: &Control, source: &Source, told: &FeedResponse) {
+fn record_nodes(control: &Control, source: &Source, told: &FeedResponse) {
     for p in &told.planners {
         let source = Source { node: p.node.clone(), address: p.address };
-        nodes::meet(control, &p.domain, DomainPlanner { source, revision: p.revision });
+        nodes::record_planner(control, &p.domain, DomainPlanner { source, revision: p.revision });
     }
     let near = control.sources.borrow().is_local(&source.node);
     if near {
@@ -222,11 +222,12 @@
         control.sources.borrow_mut().set_standbys(standbys.collect());
     }
     if near && told.planner_released {
-        control.vacate();
+        control.planner_released_lease();
     }
     if told.fleet_size > 0 {
-        let known = control.fleet.get().map(|f| f.beside).filter(|_| !near);
-        let fleet = Fleet { nodes: told.fleet_size, beside: known.unwrap_or(told.domain_size) };
+        let known = control.fleet.get().map(|f| f.domain_size).filter(|_| !near);
+        let fleet =
+            Fleet { nodes: told.fleet_size, domain_size: known.unwrap_or(told.domain_size) };
         if control.fleet.replace(Some(fleet)) != Some(fleet) {
             control.publish();
         }
@@ -239,18 +240,19 @@
     Ok(())
 }
 
-fn take_engines(control: &Control, told: &FeedEngines) -> Result<(), RpcError> {
+fn apply_engines(control: &Control, told: &FeedEngines) -> Result<(), RpcError> {
     let (items, gone) = match told {
         FeedEngines::Whole(packed) => {
             let items = unpack(packed)?;
             let kept: HashSet<Name> =
-                items.iter().filter_map(|i| engines::id(control, &i.key)).collect();
+                items.iter().filter_map(|i| engines::engine_id(control, &i.key)).collect();
             let entries = control.entries.borrow();
             let gone = entries.keys().filter(|id| !kept.contains(*id)).cloned().collect();
             (items, gone)
         }
         FeedEngines::Changes { items, gone } => {
-            let gone: Vec<Name> = gone.iter().filter_map(|key| engines::id(control, key)).collect();
+            let gone: Vec<Name> =
+                gone.iter().filter_map(|key| engines::engine_id(control, key)).collect();
             (items.clone(), gone)
         }
     };
@@ -267,14 +269,14 @@
 /// # Feed
 impl Control {
     /// A question to another node, and up to where it tells what this one learned of engines.
-    pub(super) fn question(
+    pub(super) fn feed_request(
         &self,
         known: FeedCursor,
-        marks: &NewsMarks,
-        reports: bool,
+        cursors: &NoticeCursors,
+        reports_only: bool,
     ) -> (FeedRequest, NoticeCursor) {
         let settings = self.shared.settings.load();
-        let (news, told) = self.news_since(marks.told);
+        let (news, told) = self.notices_since(cursors.sent);
         let ask = FeedRequest {
             node: settings.node.clone(),
             address: self.shared.peer.unwrap_or(settings.listen),
@@ -283,26 +285,31 @@
             version: self.version(),
             digest: self.mirror.borrow().digest(),
             cursor: known,
-            reports_only: reports,
+            reports_only,
             notices: news,
-            notice_cursor: marks.known,
+            notice_cursor: cursors.received,
         };
         (ask, told)
     }
 
-    /// What others have not heard who know this node's news up to `known`; and up to where they do then.
-    pub(super) fn news_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
-        let known = if known.incarnation == self.life { known } else { NoticeCursor::default() };
+    /// What others have not outcome who know this node's news up to `known`; and up to where they do then.
+    pub(super) fn notices_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
+        let known =
+            if known.incarnation == self.incarnation { known } else { NoticeCursor::default() };
         let (ends, ended) = self.ends_since(known.exits);
         let (leaves, left) = self.leaves_since(known.drains);
         let (limits, limited) = self.limits_since(known.limits);
-        let mark =
-            NoticeCursor { incarnation: self.life, exits: ended, drains: left, limits: limited };
+        let mark = NoticeCursor {
+            incarnation: self.incarnation,
+            exits: ended,
+            drains: left,
+            limits: limited,
+        };
         (FeedNotices { exits: ends, drains: leaves, limits }, mark)
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_news(&self, news: &FeedNotices, sent: Millis, by: &Name) {
+    pub(super) fn record_notices(&self, news: &FeedNotices, sent: Millis, by: &Name) {
         self.hear_ends(&news.exits, sent, by);
         self.hear_leaves(&news.drains, sent);
         self.hear_limits(&news.limits, sent);
--- a/crates/heathpitchd/src/gateway/control/tell.rs
+++ b/crates/heathpitchd/src/gateway/control/feed_server.rs
@@ -14,29 +14,29 @@
 };
 use heathpitch_policy::{Bucket, Source};
 
-use super::feed::{LIST_OLD, PROOF_OLD};
+use super::feed::{MAX_LIST_AGE_MS, MAX_PROOF_AGE_MS};
 use super::reports;
 use super::state::Control;
 
 /// Part of the VM's link that whole lists and configurations may take.
 const LINK_SHARE: f64 = 0.5;
 /// Bytes a second of one Mbit/s.
-const MBIT: f64 = 125_000.0;
+const BYTES_PER_MBIT: f64 = 125_000.0;
 
 /// What is told whole, packed once, and the link's room for it.
-pub(super) struct Large {
-    room: RefCell<Bucket>,
+pub(super) struct FullTransfers {
+    budget: RefCell<Bucket>,
     engines: RefCell<Option<(u64, Bytes)>>,
     config: RefCell<Option<Item>>,
 }
 
-impl Large {
+impl FullTransfers {
     /// For a VM of this size.
     pub(super) fn new(vm: VmCapacity, now: Millis) -> Self {
-        let rate = vm.link_mbps * MBIT * LINK_SHARE;
+        let rate = vm.link_mbps * BYTES_PER_MBIT * LINK_SHARE;
         Self {
             // What was begun is finished, and owed: the room for one is enough to begin.
-            room: RefCell::new(Bucket::new(rate, 1.0, now)),
+            budget: RefCell::new(Bucket::new(rate, 1.0, now)),
             engines: RefCell::default(),
             config: RefCell::default(),
         }
@@ -44,10 +44,10 @@
 
     /// Takes the link for so many bytes, if it has room.
     fn take(&self, bytes: usize, now: Millis) -> bool {
-        let mut room = self.room.borrow_mut();
-        let taken = bytes == 0 || room.take(now).is_ok();
+        let mut budget = self.budget.borrow_mut();
+        let taken = bytes == 0 || budget.take(now).is_ok();
         if taken {
-            room.spend(bytes as f64);
+            budget.spend(bytes as f64);
         }
         taken
     }
@@ -56,17 +56,20 @@
 /// Answers a node.
 pub(super) fn answer(control: &Control, ask: FeedRequest) -> FeedResponse {
     // It cannot have been sent later than it came.
-    control.hear_news(&ask.notices, control.now(), &ask.node);
-    let (news, notice_cursor) = control.news_since(ask.notice_cursor);
-    let told = answer_only(control, ask);
-    FeedResponse { notices: news, notice_cursor, ..told }
+    control.record_notices(&ask.notices, control.now(), &ask.node);
+    let (notices, notice_cursor) = control.notices_since(ask.notice_cursor);
+    let told = answer_feed(control, ask);
+    FeedResponse { notices, notice_cursor, ..told }
 }
 
-fn answer_only(control: &Control, ask: FeedRequest) -> FeedResponse {
-    let known =
-        if ask.cursor.incarnation == control.life { ask.cursor } else { FeedCursor::default() };
+fn answer_feed(control: &Control, ask: FeedRequest) -> FeedResponse {
+    let known = if ask.cursor.incarnation == control.incarnation {
+        ask.cursor
+    } else {
+        FeedCursor::default()
+    };
     if ask.reports_only {
-        return near_reports(control, known);
+        return local_reports(control, known);
     }
     let follower = Source { node: ask.node.clone(), address: ask.address };
     control.followers.borrow_mut().record_poll(follower, ask.able, control.now());
@@ -78,15 +81,15 @@
 }
 
 /// Reports of this failure domain's engines, for the planner of another one.
-fn near_reports(control: &Control, known: FeedCursor) -> FeedResponse {
+fn local_reports(control: &Control, known: FeedCursor) -> FeedResponse {
     let (reports, reported) = reports::told(control, Some(&control.domain()), known.reported);
-    let known = FeedCursor { incarnation: control.life, reported, ..FeedCursor::default() };
+    let known = FeedCursor { incarnation: control.incarnation, reported, ..FeedCursor::default() };
     FeedResponse { cursor: known, reports, ..nodes(control) }
 }
 
 /// What this node knows of nodes, whether or not it hears from the store.
 fn nodes(control: &Control) -> FeedResponse {
-    if control.plans() {
+    if control.is_planner() {
         let standbys = control.followers.borrow_mut().standbys(control.now());
         control.sources.borrow_mut().set_standbys(standbys);
     }
@@ -102,9 +105,9 @@
     FeedResponse {
         planners: planners.collect(),
         standbys: standbys.collect(),
-        planner_released: control.vacant.get(),
+        planner_released: control.planner_released.get(),
         fleet_size: fleet.map_or(0, |f| f.nodes),
-        domain_size: fleet.map_or(0, |f| f.beside),
+        domain_size: fleet.map_or(0, |f| f.domain_size),
         ..FeedResponse::default()
     }
 }
@@ -117,31 +120,33 @@
     told: &mut FeedResponse,
 ) -> Result<(), RpcError> {
     let (shared, now) = (&control.shared, control.now());
-    let config = match control.has_newer(ask) {
+    let config = match control.has_newer_config(ask) {
         true => config(control)?,
         false => None,
     };
     let ages = (shared.fresh.load().age(now), shared.listed.load().age(now));
     let (proof_ms, list_ms) = match ages {
-        (Some(proof), Some(list)) if proof < PROOF_OLD && list < LIST_OLD => (proof, list),
+        (Some(proof), Some(list)) if proof < MAX_PROOF_AGE_MS && list < MAX_LIST_AGE_MS => {
+            (proof, list)
+        }
         // Whether there is a newer one still is not known, but this one is newer than theirs.
         _ => {
             let length = config.as_ref().map_or(0, |c| c.value.len());
-            told.config = config.filter(|_| control.large.take(length, now));
+            told.config = config.filter(|_| control.full_transfers.take(length, now));
             return Ok(());
         }
     };
     let engines = engines(control, ask.digest, known.serial)?;
     let packed = if let FeedEngines::Whole(packed) = &engines { packed.len() } else { 0 };
     let large = packed + config.as_ref().map_or(0, |c| c.value.len());
-    if !control.large.take(large, now) {
+    if !control.full_transfers.take(large, now) {
         told.withheld = true;
         return Ok(());
     }
     let (reports, reported) = reports::told(control, None, known.reported);
     let serial = control.mirror.borrow().serial();
     told.fresh = true;
-    told.cursor = FeedCursor { incarnation: control.life, serial, reported };
+    told.cursor = FeedCursor { incarnation: control.incarnation, serial, reported };
     told.revision = control.revision();
     (told.config_age_ms, told.entries_age_ms) = (proof_ms, list_ms);
     (told.engines, told.config, told.reports) = (engines, config, reports);
@@ -158,7 +163,7 @@
     if !delta.full {
         return Ok(FeedEngines::Changes { items: delta.items, gone: delta.removed });
     }
-    let mut kept = control.large.engines.borrow_mut();
+    let mut kept = control.full_transfers.engines.borrow_mut();
     match &*kept {
         Some((serial, packed)) if *serial == delta.serial => Ok(FeedEngines::Whole(packed.clone())),
         _ => {
@@ -173,7 +178,7 @@
 fn config(control: &Control) -> Result<Option<Item>, RpcError> {
     let document = control.document.borrow();
     let Some(item) = &*document else { return Ok(None) };
-    let mut kept = control.large.config.borrow_mut();
+    let mut kept = control.full_transfers.config.borrow_mut();
     if kept.as_ref().is_none_or(|k| k.revision != item.revision) {
         let value = deflate_bytes(&item.value)?.into();
         *kept = Some(Item { value, ..item.clone() });
@@ -184,7 +189,7 @@
 /// # Revision
 impl Control {
     /// Whether the configuration in force is newer than that of a node that asks.
-    fn has_newer(&self, ask: &FeedRequest) -> bool {
+    fn has_newer_config(&self, ask: &FeedRequest) -> bool {
         let (revision, version) = (self.revision(), self.version());
         match revision.era() == ask.revision.era() {
             true => ask.revision < revision,
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -20,13 +20,13 @@
 
 /// The record of this node's failure domain, as far as it knows the store's.
 #[derive(Debug, Default)]
-pub(super) struct Stored {
+pub(super) struct StoredLimits {
     recorder: LimitRecorder,
     /// Revision of its item; none if there is none.
     revision: Option<Revision>,
 }
 
-impl Stored {
+impl StoredLimits {
     /// Takes none to stand in the store.
     pub(super) fn forget(&mut self) {
         *self = Self::default();
@@ -36,13 +36,13 @@
 /// Keeps the record for as long as this node runs, whenever it plans.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
-        control.planning().await;
+        control.wait_until_planner().await;
         tokio::time::sleep(TICK).await;
-        if !control.plans() || !control.reachable() || control.stopping() {
+        if !control.is_planner() || !control.reachable() || control.stopping() {
             continue;
         }
         let current = current(&control);
-        let due = control.limit_record.borrow().recorder.is_due(&current, control.now());
+        let due = control.stored_limits.borrow().recorder.is_due(&current, control.now());
         if due && let Err(e) = write(&control, current).await {
             log::warn!("the record of engines' limits cannot be written to the store: {e}");
         }
@@ -54,20 +54,20 @@
     let (domain, entries) = (control.domain(), control.entries.borrow());
     let own =
         |life: &EngineIncarnation| entries.get(&life.engine).is_some_and(|e| e.domain == domain);
-    let (limits, wishes) = (control.limits.borrow(), control.wishes.borrow());
-    let aside = |life: &EngineIncarnation| {
+    let (limits, wishes) = (control.limits.borrow(), control.backpressure.borrow());
+    let in_probes = |life: &EngineIncarnation| {
         wishes.get(&life.engine).is_some_and(|w| w.limit().is_in_probes())
     };
-    let named = limits.named().filter(|(life, _)| own(life));
-    LimitRecord::of(named.map(|(life, rate)| {
-        let limit = LimitEntry { rate, in_probes: aside(&life) };
+    let advertised = limits.named().filter(|(life, _)| own(life));
+    LimitRecord::of(advertised.map(|(life, rate)| {
+        let limit = LimitEntry { rate, in_probes: in_probes(&life) };
         (life, limit)
     }))
 }
 
 async fn write(control: &Control, record: LimitRecord) -> Result<(), StoreError> {
     let key = key(&control.domain());
-    let known = control.limit_record.borrow().revision;
+    let known = control.stored_limits.borrow().revision;
     let write = Write {
         conditions: vec![(key.clone(), known.unwrap_or(Revision(0)))],
         puts: vec![(key, record.text().into(), None)],
@@ -83,7 +83,7 @@
         Err(StoreError::Conflict(items)) => {
             match items.first() {
                 Some(item) => take(control, item),
-                None => control.limit_record.borrow_mut().forget(),
+                None => control.stored_limits.borrow_mut().forget(),
             }
             Ok(())
         }
@@ -92,7 +92,7 @@
 }
 
 fn keep(control: &Control, record: LimitRecord, revision: Revision) {
-    let mut stored = control.limit_record.borrow_mut();
+    let mut stored = control.stored_limits.borrow_mut();
     stored.recorder.stored(record, control.now());
     stored.revision = Some(revision);
 }
@@ -115,7 +115,7 @@
 /// Takes note that a record is gone from the store.
 pub(super) fn gone(control: &Control, key_gone: &str) {
     if key_gone == key(&control.domain()) {
-        control.limit_record.borrow_mut().forget();
+        control.stored_limits.borrow_mut().forget();
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -10,26 +10,26 @@
 //! finds out that the VM was suspended. They publish snapshots in [`Shared`], that of engines by `publish`; nothing else is shared with traffic.
 
 mod config;
-mod ends;
+mod engine_exits;
 mod engine_list;
 mod engines;
 mod feed;
+mod feed_server;
 mod limit_records;
-mod looks;
 mod neighbours;
 mod nodes;
 mod orders;
 mod planner;
 mod publish;
 mod quarantine;
+mod reachability;
 mod recovery;
 mod reports;
 mod rights;
+mod sources;
 mod state;
 mod store;
 mod suspended;
-mod tell;
-mod turns;
 mod wishes;
 
 use std::io;
@@ -80,10 +80,10 @@
             let control = Rc::new(Control::new(shared, edges));
             if let Some(peers) = peers {
                 let c = control.clone();
-                let hander = control.clone();
+                let issuer = control.clone();
                 let server = FeedServer::new(
-                    Rc::new(move |ask| tell::answer(&c, ask)),
-                    Rc::new(move |ask| hander.hand_out(&ask)),
+                    Rc::new(move |ask| feed_server::answer(&c, ask)),
+                    Rc::new(move |ask| issuer.hand_out(&ask)),
                 );
                 spawn_local(server.serve(peers.into_socket()));
             }
@@ -116,9 +116,9 @@
         match notice {
             Notice::Stream(live) => recovery::take(&control, &live),
             Notice::Replaced(engine) => engines::mark_replaced(&control, &engine),
-            Notice::Misplaced(engine) => engines::reread(&control, &engine),
-            Notice::Refused(engine) => looks::question(&control, &engine),
-            Notice::Lost(lost) => ends::take(&control, lost),
+            Notice::Misplaced(engine) => engines::refresh_layers(&control, &engine),
+            Notice::Refused(engine) => reachability::check_refusal(&control, &engine),
+            Notice::Lost(lost) => engine_exits::record_lost(&control, lost),
             Notice::Answered(print) => control.answered(print),
             Notice::Incarnations(life) => control.engine_lives(&life),
             Notice::Leaves(life) => control.engine_leaves(&life),
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -14,18 +14,18 @@
 use heathpitch_net::{FeedClient, FeedCursor, FeedResponse, RpcError};
 use heathpitch_policy::Source;
 
-use super::feed::NewsMarks;
+use super::feed::NoticeCursors;
 use super::reports;
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
 /// Time between two questions: that between two questions to engines that are filling up. Each
 /// answer takes some 2 kB of the link between failure domains.
-const ASK: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for a connection and for an answer: many times the delay between failure domains.
-const LIMIT: Duration = Duration::from_millis(200);
+const TIMEOUT: Duration = Duration::from_millis(200);
 /// Time for which a planner that did not answer is not asked, milliseconds.
-const REST: Millis = 1_500;
+const RETRY_AFTER_MS: Millis = 1_500;
 
 /// A planner of another failure domain.
 struct Neighbour {
@@ -33,8 +33,8 @@
     /// Whether it answered last.
     answers: bool,
     client: Option<FeedClient>,
-    known: FeedCursor,
-    news: NewsMarks,
+    cursor: FeedCursor,
+    notices: NoticeCursors,
     /// When it is asked next.
     next: Millis,
 }
@@ -44,21 +44,22 @@
 pub(super) async fn follow(control: Rc<Control>) {
     let mut neighbours: HashMap<Name, Neighbour> = HashMap::new();
     loop {
-        let asks = || (control.plans() || control.reads()) && control.shared.peer.is_some();
-        while !asks() {
+        let active =
+            || (control.is_planner() || control.reads_store()) && control.shared.peer.is_some();
+        while !active() {
             neighbours.clear();
-            control.turned.notified().await;
+            control.role_changed.notified().await;
         }
-        tokio::time::sleep(ASK).await;
-        meet(&control, &mut neighbours);
+        tokio::time::sleep(POLL_INTERVAL).await;
+        add_planners(&control, &mut neighbours);
         let now = control.now();
         let due = neighbours.iter_mut().filter(|(_, n)| now >= n.next);
-        join_all(due.map(|(domain, n)| hear(&control, domain, n))).await;
+        join_all(due.map(|(domain, n)| poll_neighbour(&control, domain, n))).await;
     }
 }
 
 /// Takes note of planners that are new.
-fn meet(control: &Control, neighbours: &mut HashMap<Name, Neighbour>) {
+fn add_planners(control: &Control, neighbours: &mut HashMap<Name, Neighbour>) {
     let own = control.domain();
     for (domain, planner) in control.sources.borrow().planners().filter(|(d, _)| **d != own) {
         if neighbours.get(domain).is_none_or(|n| n.planner != planner.source) {
@@ -66,8 +67,8 @@
                 planner: planner.source.clone(),
                 answers: false,
                 client: None,
-                known: FeedCursor::default(),
-                news: NewsMarks::default(),
+                cursor: FeedCursor::default(),
+                notices: NoticeCursors::default(),
                 next: 0,
             };
             neighbours.insert(domain.clone(), neighbour);
@@ -75,45 +76,45 @@
     }
 }
 
-async fn hear(control: &Control, domain: &Name, neighbour: &mut Neighbour) {
+async fn poll_neighbour(control: &Control, domain: &Name, neighbour: &mut Neighbour) {
     let sent = control.now();
-    let heard = ask(control, neighbour).await;
-    match &heard {
-        Ok(told) => take(control, domain, neighbour, told, sent),
-        Err(_) => neighbour.next = control.now() + REST,
+    let result = poll(control, neighbour).await;
+    match &result {
+        Ok(told) => apply(control, domain, neighbour, told, sent),
+        Err(_) => neighbour.next = control.now() + RETRY_AFTER_MS,
     }
-    if neighbour.answers != heard.is_ok() {
-        neighbour.answers = heard.is_ok();
-        let error = heard.err().map(|e| e.to_string());
+    if neighbour.answers != result.is_ok() {
+        neighbour.answers = result.is_ok();
+        let error = result.err().map(|e| e.to_string());
         let (planner, domain) = (neighbour.planner.node.clone(), domain.clone());
         GatewayEvent::NeighbourChanged { planner, domain, error }.log();
     }
 }
 
-fn take(
+fn apply(
     control: &Control,
     domain: &Name,
     neighbour: &mut Neighbour,
     told: &FeedResponse,
     sent: Millis,
 ) {
-    neighbour.known = told.cursor;
+    neighbour.cursor = told.cursor;
     if told.domain_size > 0 {
-        control.besides.borrow_mut().insert(domain.clone(), told.domain_size);
+        control.domain_sizes.borrow_mut().insert(domain.clone(), told.domain_size);
     }
     reports::hear(control, &told.reports, sent);
-    control.hear_news(&told.notices, sent, &neighbour.planner.node);
+    control.record_notices(&told.notices, sent, &neighbour.planner.node);
 }
 
 /// Asks on the kept connection, or on a new one; one without an answer is not kept.
-async fn ask(control: &Control, neighbour: &mut Neighbour) -> Result<FeedResponse, RpcError> {
+async fn poll(control: &Control, neighbour: &mut Neighbour) -> Result<FeedResponse, RpcError> {
     let client = match neighbour.client.take() {
         Some(client) => client,
-        None => FeedClient::open(neighbour.planner.address, LIMIT).await?,
+        None => FeedClient::open(neighbour.planner.address, TIMEOUT).await?,
     };
-    let (ask, told_to) = control.question(neighbour.known, &neighbour.news, true);
-    let told = client.poll(&ask, LIMIT).await?;
-    neighbour.news.answered(told_to, &told);
+    let (ask, told_to) = control.feed_request(neighbour.cursor, &neighbour.notices, true);
+    let told = client.poll(&ask, TIMEOUT).await?;
+    neighbour.notices.advance(told_to, &told);
     neighbour.client = Some(client);
     Ok(told)
 }
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -26,33 +26,33 @@
 /// Prefix of the planners' leases; the value is the node that plans and its address for others.
 const PLANNERS: &str = "heathpitch/planners/";
 /// Time for which a planner's lease holds without a renewal, milliseconds: three renewals.
-pub(super) const PLANNER_TTL: Millis = 2_400;
+pub(super) const PLANNER_TTL_MS: Millis = 2_400;
 /// Time between two renewals of the planner's lease.
 const PLANNER_RENEW: Duration = Duration::from_millis(700);
 /// Longest wait before a node asks for a free planner's lease, milliseconds: nodes ask one after
 /// the other, many times the store's answer apart.
-const STAGGER: Millis = 200;
+const MAX_STAGGER_MS: Millis = 200;
 /// Time that a node whose VM is small leaves to the others, milliseconds: theirs, and two answers.
-const SMALL: Millis = 250;
+const SMALL_VM_DELAY_MS: Millis = 250;
 /// Link from which a VM can carry a planner's work, Mbit/s: sixty followers that begin together are told
 /// 30 kB each, twice over, within 0.6 s.
-const ABLE_MBPS: f64 = 50.0;
+const MIN_LINK_MBPS: f64 = 50.0;
 /// The same for its share of a core: a planner of sixty followers and fifty engines takes 5 % of one.
-const ABLE_CPU: f64 = 0.2;
+const MIN_CPU_SHARE: f64 = 0.2;
 /// Longest wait of a watch, milliseconds.
-const WATCH: Millis = 25_000;
+const WATCH_MS: Millis = 25_000;
 /// Time between two counts of the fleet: its size only sets shares.
-const COUNT: Duration = Duration::from_millis(500);
+const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for which a node has planned once all its followers have asked it, milliseconds.
-const COUNT_FIRST: Millis = 1_500;
+const FIRST_COUNT_MS: Millis = 1_500;
 /// Time between two tries while the store does not answer.
 const RETRY: Duration = Duration::from_millis(500);
 /// Longest such time; the store's return ends it.
-const RETRY_LONGEST: Duration = Duration::from_millis(4_000);
+const MAX_RETRY: Duration = Duration::from_millis(4_000);
 
 /// Whether a VM can carry a planner's work.
 pub(super) fn is_able(settings: &GatewaySettings) -> bool {
-    settings.vm.link_mbps >= ABLE_MBPS && settings.vm.cpu_share >= ABLE_CPU
+    settings.vm.link_mbps >= MIN_LINK_MBPS && settings.vm.cpu_share >= MIN_CPU_SHARE
 }
 
 /// Keeps knowing who plans, and asks for the lease of this failure domain's planner when it is free.
@@ -67,11 +67,11 @@
     control.sources.borrow_mut().schedule_first_lookup(start, control.now(), &mut rand::rng());
     let mut seen = None;
     loop {
-        control.claim().await;
+        control.wait_to_claim().await;
         let result = control.call("list", control.edges.store.list(ROOT)).await;
         let Ok(listing) = result else {
             control.pause(retry).await;
-            retry = (retry * 2).min(RETRY_LONGEST);
+            retry = (retry * 2).min(MAX_RETRY);
             continue;
         };
         retry = RETRY;
@@ -83,16 +83,16 @@
         let found = holder.as_ref().map(|item| item.revision);
         if found.is_some() && found != seen && !is_own(&control, holder.as_ref()) {
             seen = found;
-            control.put_claim_off();
+            control.defer_claim();
             continue;
         }
         // The watch's connection may be dead, and the planner with it.
         let watched = watch(&control, &key, holder, listing.at);
         let watched = tokio::select! {
             watched = control.until_doubt(watched) => watched,
-            () = control.unclaim() => None,
+            () = control.wait_until_no_claim() => None,
         };
-        if watched != Some(Watched::Won) {
+        if watched != Some(WatchEnd::BecamePlanner) {
             control.pause(RETRY).await;
         }
     }
@@ -105,32 +105,32 @@
 
 /// How a watch of planners ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Watched {
+enum WatchEnd {
     /// This node plans now, and has to know all planners.
-    Won,
+    BecamePlanner,
     /// It was lost, or this node need not watch any more.
-    Over,
+    Stopped,
 }
 
 /// Watches the planners, all of them if this node is one.
-async fn watch(control: &Control, key: &str, holder: Option<Item>, from: Revision) -> Watched {
+async fn watch(control: &Control, key: &str, holder: Option<Item>, from: Revision) -> WatchEnd {
     let mut holder = holder;
     let mut at = from;
-    while control.claims() {
+    while control.may_claim() {
         let free = match &holder {
-            _ if control.plans() || control.stopping() => false,
+            _ if control.is_planner() || control.stopping() => false,
             None => true,
             Some(item) => is_own(control, Some(item)),
         };
         let own = holder.as_ref().filter(|_| free).map(|item| item.revision);
         if own.is_some() && contend(control, own).await {
-            return Watched::Won;
+            return WatchEnd::BecamePlanner;
         }
-        let prefix = if control.plans() { ROOT } else { key };
+        let prefix = if control.is_planner() { ROOT } else { key };
         // Who waits longest finds that another one was faster.
-        let wait = if free { stagger(&control.shared.settings.load()) } else { WATCH };
+        let wait = if free { stagger(&control.shared.settings.load()) } else { WATCH_MS };
         let Ok(watched) = control.watch("planner", prefix, at, wait).await else {
-            return Watched::Over;
+            return WatchEnd::Stopped;
         };
         for change in &watched.changes {
             match change {
@@ -145,21 +145,21 @@
         }
         at = watched.at;
         if free && holder.is_none() && contend(control, None).await {
-            return Watched::Won;
+            return WatchEnd::BecamePlanner;
         }
     }
-    Watched::Over
+    WatchEnd::Stopped
 }
 
 /// Renews the planner's lease for as long as this node plans; ends it when the node stops.
 pub(super) async fn renew(control: Rc<Control>) {
     loop {
-        control.planning().await;
+        control.wait_until_planner().await;
         tokio::time::sleep(PLANNER_RENEW).await;
         let Some(lease) = control.lease() else { continue };
         if control.stopping() {
-            resign(&control, "this node stops");
-            control.vacant.set(true);
+            step_down(&control, "this node stops");
+            control.planner_released.set(true);
             // One that cannot be ended runs out by itself.
             let _ = control.call("end", control.edges.store.end(lease)).await;
             continue;
@@ -170,7 +170,7 @@
             control.lease_renewed(sent);
         }
         if matches!(result, Err(StoreError::LeaseExpired)) {
-            resign(&control, "the lease is over");
+            step_down(&control, "the lease is over");
         }
     }
 }
@@ -178,13 +178,13 @@
 /// Counts the nodes of the fleet for as long as this node plans.
 pub(super) async fn count(control: Rc<Control>) {
     loop {
-        control.planning().await;
+        control.wait_until_planner().await;
         control.followers.borrow_mut().clear();
         let begun = control.now();
-        while control.plans() {
-            tokio::time::sleep(COUNT).await;
+        while control.is_planner() {
+            tokio::time::sleep(COUNT_INTERVAL).await;
             let now = control.now();
-            if control.plans() && now >= begun + COUNT_FIRST {
+            if control.is_planner() && now >= begun + FIRST_COUNT_MS {
                 count_once(&control, now);
             }
         }
@@ -192,14 +192,14 @@
 }
 
 fn count_once(control: &Control, now: Millis) {
-    let beside = control.followers.borrow().count(now) + 1;
+    let domain_size = control.followers.borrow().count(now) + 1;
     let domain = control.domain();
     let sources = control.sources.borrow();
     let others = sources.planners().filter(|(d, _)| **d != domain);
     // One that has not told its count yet is as large as this one.
-    let besides = control.besides.borrow();
-    let others = others.map(|(d, _)| besides.get(d).copied().unwrap_or(beside));
-    let fleet = Fleet { nodes: beside + others.sum::<u32>(), beside };
+    let sizes = control.domain_sizes.borrow();
+    let others = others.map(|(d, _)| sizes.get(d).copied().unwrap_or(domain_size));
+    let fleet = Fleet { nodes: domain_size + others.sum::<u32>(), domain_size };
     if control.fleet.replace(Some(fleet)) != Some(fleet) {
         control.publish();
     }
@@ -209,7 +209,7 @@
 /// gives whether this node plans now.
 async fn contend(control: &Control, own: Option<Revision>) -> bool {
     let settings = control.shared.settings.load_full();
-    let ttl = PLANNER_TTL.max(settings.bounds.lease_min_ms);
+    let ttl = PLANNER_TTL_MS.max(settings.bounds.lease_min_ms);
     let granted = control.call("grant", control.edges.store.grant(ttl)).await;
     let Ok(lease) = granted else { return false };
     let key = planner_key(&settings.domain);
@@ -226,14 +226,14 @@
             let source = Source { node: settings.node.clone(), address };
             let planner = DomainPlanner { source, revision };
             control.sources.borrow_mut().learn_planner(settings.domain.clone(), planner);
-            control.plan_by(Some(lease));
+            control.set_planner_lease(Some(lease));
             let why =
                 if own.is_some() { "it was this node's before" } else { "the lease was free" };
             GatewayEvent::DomainPlanner { active: true, why }.log();
             true
         }
         Err(StoreError::Conflict(items)) => {
-            items.iter().for_each(|item| note(control, item));
+            items.iter().for_each(|item| record_entry(control, item));
             false
         }
         Err(_) => false,
@@ -241,21 +241,21 @@
 }
 
 /// Ends this node's planning; it reads the store on until another node tells it.
-pub(super) fn resign(control: &Control, why: &'static str) {
-    if control.plans() {
+pub(super) fn step_down(control: &Control, why: &'static str) {
+    if control.is_planner() {
         control.sources.borrow_mut().allow_reads(control.now());
-        control.plan_by(None);
+        control.set_planner_lease(None);
         GatewayEvent::DomainPlanner { active: false, why }.log();
     }
 }
 
 /// Takes note of the planner of a failure domain.
-pub(super) fn meet(control: &Control, domain: &Name, planner: DomainPlanner) {
+pub(super) fn record_planner(control: &Control, domain: &Name, planner: DomainPlanner) {
     let other = *domain == control.domain() && planner.source.node != control.node();
     let new = control.sources.borrow_mut().learn_planner(domain.clone(), planner);
     if new && other {
-        control.vacant.set(false);
-        resign(control, "another node holds the lease");
+        control.planner_released.set(false);
+        step_down(control, "another node holds the lease");
     }
 }
 
@@ -264,10 +264,10 @@
     if &*item.key == key {
         *holder = Some(item.clone());
     }
-    note(control, item);
+    record_entry(control, item);
 }
 
-fn note(control: &Control, item: &Item) {
+fn record_entry(control: &Control, item: &Item) {
     if item.key.starts_with(quarantine::PREFIX) {
         return quarantine::take(control, item);
     }
@@ -277,14 +277,14 @@
     let domain = item.key.strip_prefix(PLANNERS).and_then(|d| d.parse().ok());
     // One without an address may not be asked.
     if let (Some(domain), Some(source)) = (domain, read_entry(item)) {
-        meet(control, &domain, DomainPlanner { source, revision: item.revision });
+        record_planner(control, &domain, DomainPlanner { source, revision: item.revision });
     }
 }
 
 /// Time for which a free lease is left to other nodes, milliseconds.
 fn stagger(settings: &GatewaySettings) -> Millis {
-    let wait = rand::rng().random_range(1..STAGGER);
-    if is_able(settings) { wait } else { SMALL + 2 * wait }
+    let wait = rand::rng().random_range(1..MAX_STAGGER_MS);
+    if is_able(settings) { wait } else { SMALL_VM_DELAY_MS + 2 * wait }
 }
 
 /// Key of a failure domain's planner.
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -12,7 +12,7 @@
 use tokio::task::spawn_local;
 
 use super::state::Control;
-use super::{engines, looks, nodes};
+use super::{engines, nodes, reachability};
 use crate::gateway::event::GatewayEvent;
 
 /// Time beside that of the load after which an engine is asked for the end of an order,
@@ -106,18 +106,18 @@
 
 /// Asks an engine whether its order is done.
 async fn ask(control: Rc<Control>, engine: Arc<EngineEntry>) {
-    match engines::ask(&control, &engine).await {
+    match engines::query_status(&control, &engine).await {
         Ok(status) if !status.busy => {
             control.pending.borrow_mut().remove(&engine.id);
             control.orders.borrow_mut().insert(engine.id.clone(), status.orders);
-            engines::correct(&control, &engine, &status);
+            engines::update_layers(&control, &engine, &status);
         }
         Ok(_) => {}
         // What it was ordered to hold went with it, if it has ended; it is looked at again, and asked then.
         Err(RpcError::Connect(e)) => {
             log::warn!("engine {} cannot be asked for the end of its order: {e}", engine.id);
             control.pending.borrow_mut().remove(&engine.id);
-            looks::leave(&control, &engine.id, "a question finds no connection");
+            reachability::mark_unreachable(&control, &engine.id, "a question finds no connection");
         }
         Err(e) => log::warn!("engine {} does not tell its state: {e}", engine.id),
     }
@@ -158,7 +158,7 @@
             // Nothing was sent. Counted as taken it would stand in for layers that nobody loads, for as long as
             // the engine's entry stays.
             Err(RpcError::Connect(_)) => {
-                looks::leave(control, &engine.id, "an order finds no connection");
+                reachability::mark_unreachable(control, &engine.id, "an order finds no connection");
                 return Sent::Refused;
             }
             // An order without an answer may still be carried out: it stays pending.
@@ -187,7 +187,7 @@
 /// An engine's state after it refused an order; that it had orders of another planner ends the
 /// planning of a node whose lease is in doubt.
 async fn stand(control: &Control, engine: &EngineEntry) -> Option<EngineStatus> {
-    let status = match engines::ask(control, engine).await {
+    let status = match engines::query_status(control, engine).await {
         Ok(status) => status,
         Err(e) => {
             log::warn!("engine {} does not tell its state: {e}", engine.id);
@@ -195,8 +195,8 @@
         }
     };
     let known = control.orders.borrow().get(&engine.id).copied().unwrap_or(0);
-    if status.orders > known && control.lease_doubted() {
-        nodes::resign(control, "another node gives orders and the lease could not be renewed");
+    if status.orders > known && control.lease_may_have_expired() {
+        nodes::step_down(control, "another node gives orders and the lease could not be renewed");
     }
     control.orders.borrow_mut().insert(engine.id.clone(), status.orders);
     Some(status)
--- a/crates/heathpitchd/src/gateway/control/planner.rs
+++ b/crates/heathpitchd/src/gateway/control/planner.rs
@@ -22,9 +22,9 @@
 /// Plans for as long as this node holds the lease.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
-        control.planning().await;
+        control.wait_until_planner().await;
         tokio::time::sleep(TICK).await;
-        if control.plans() {
+        if control.is_planner() {
             plan(&control);
         }
     }
@@ -44,7 +44,7 @@
             }
             let workers = workers(control, model, &engines);
             let fresh = workers.iter().all(|w| w.layers.count() == 0);
-            if fresh && control.settles() {
+            if fresh && control.is_settling() {
                 continue;
             }
             let plan = plan_layout(model, &workers);
@@ -82,7 +82,7 @@
     let (mut all, mut lost) = (0, 0);
     for entry in near {
         all += 1;
-        lost += usize::from(control.is_lost(&entry.id));
+        lost += usize::from(control.is_unreachable(&entry.id));
     }
     lost * ISOLATED > all
 }
@@ -100,7 +100,7 @@
         &e.service == service
             && e.domain == domain
             && e.state == EntryState::Ready
-            && !control.is_lost(&e.id)
+            && !control.is_unreachable(&e.id)
             && !control.is_refusing(&e.id)
             && !control.replaced.borrow().contains(&e.id)
     };
@@ -111,8 +111,8 @@
 
 fn workers(control: &Control, model: &LayeredModel, engines: &[Arc<EngineEntry>]) -> Vec<Worker> {
     let pending = control.pending.borrow();
-    let tallies = control.tallies.borrow();
-    let since = control.since.borrow();
+    let tallies = control.engine_stats.borrow();
+    let since = control.listed_since.borrow();
     let now = control.now();
     let worker = |e: &Arc<EngineEntry>| {
         let card = model.card(e.card.as_ref()?.as_str())?.clone();
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -24,7 +24,7 @@
             let holds = e.state == EntryState::Ready && e.layers.count() > 0;
             let model = catalog.services.get(&e.service).and_then(|s| s.model.as_ref());
             let card = model.zip(e.card.as_ref()).and_then(|(m, card)| m.card(card.as_str()));
-            if let Some(card) = card.filter(|_| holds && !self.is_lost(&e.id)) {
+            if let Some(card) = card.filter(|_| holds && !self.is_unreachable(&e.id)) {
                 let pace = card.step_factor * self.slowness(&e.id);
                 holders.entry((&e.service, &e.domain)).or_default().push((&e.id, pace, e.layers));
             }
@@ -43,10 +43,10 @@
         let catalog = self.shared.catalog.load();
         let mut services: HashMap<Name, Vec<EngineView>> = HashMap::new();
         let primaries = self.primaries();
-        let mut tallies = self.tallies.borrow_mut();
+        let mut tallies = self.engine_stats.borrow_mut();
         let entries = self.entries.borrow();
         tallies.retain(|engine, _| entries.contains_key(engine));
-        let (mut wishes, now) = (self.wishes.borrow_mut(), self.now());
+        let (mut wishes, now) = (self.backpressure.borrow_mut(), self.now());
         // Of one off the list a call may still be at work, whose answer asks for something.
         let kept = |w: &Arc<Backpressure>| Arc::strong_count(w) > 1 || w.is_active(now);
         wishes.retain(|engine, w| entries.contains_key(engine) || kept(w));
@@ -67,7 +67,7 @@
         self.shared.metrics.engines.set(entries.len() as i64);
         let nodes = self.fleet.get().map(|f| f.nodes);
         self.shared.metrics.nodes.set(i64::from(nodes.unwrap_or(0)));
-        let beside = self.fleet.get().map_or(1, |f| f.beside.max(1));
+        let beside = self.fleet.get().map_or(1, |f| f.domain_size.max(1));
         let table = EngineTable { services, beside, nodes };
         self.shared.table.store(Arc::new(table));
     }
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -17,7 +17,7 @@
 use heathpitch_net::{FeedExit, Item, StoreError, Write};
 use heathpitch_policy::{End, EngineIncarnation, just_started};
 
-use super::looks;
+use super::reachability;
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::shared::LostSend;
@@ -107,8 +107,8 @@
     /// Leaves an engine that has ended, if it is still listed.
     fn leave(&self, life: &EngineIncarnation) {
         let listed = self.entries.borrow().get(&life.engine).is_some_and(|e| e.born == life.born);
-        if listed && !self.is_lost(&life.engine) {
-            looks::leave(self, &life.engine, "it has ended");
+        if listed && !self.is_unreachable(&life.engine) {
+            reachability::mark_unreachable(self, &life.engine, "it has ended");
         }
     }
 }
@@ -200,7 +200,7 @@
         if expired {
             control.decide("it has not come for long");
         }
-        if control.plans() && control.reachable() && !control.stopping() {
+        if control.is_planner() && control.reachable() && !control.stopping() {
             write_due(&control).await;
         }
     }
@@ -217,7 +217,7 @@
 }
 
 fn due(control: &Control) -> Vec<RequestFingerprint> {
-    let (quarantine, entries) = (control.quarantine.borrow(), control.quarantined.borrow());
+    let (quarantine, entries) = (control.quarantine.borrow(), control.stored_quarantine.borrow());
     let own = control.domain();
     let first = control.sources.borrow().planners().all(|(domain, _)| own <= *domain);
     let now = control.now();
@@ -233,7 +233,7 @@
 async fn write(control: &Control, print: RequestFingerprint) -> Result<(), StoreError> {
     let lease = control.call("grant", control.edges.store.grant(ENTRY_TTL)).await?;
     let key = format!("{PREFIX}{print}");
-    let known = control.quarantined.borrow().known.get(&print).copied();
+    let known = control.stored_quarantine.borrow().known.get(&print).copied();
     let (value, renewed) = {
         let quarantine = control.quarantine.borrow();
         (entry(&quarantine, print, control.now()), quarantine.renewed(print))
@@ -246,7 +246,7 @@
     match control.call("quarantine", control.edges.store.write(write)).await {
         Ok(revision) => {
             let entry = Entry { revision, renewed };
-            control.quarantined.borrow_mut().known.insert(print, entry);
+            control.stored_quarantine.borrow_mut().known.insert(print, entry);
             Ok(())
         }
         // Another planner was faster; the lease that nothing stands under runs out by itself.
@@ -290,7 +290,7 @@
     }
     let renewed = control.quarantine.borrow().renewed(print);
     let entry = Entry { revision: item.revision, renewed };
-    control.quarantined.borrow_mut().known.insert(print, entry);
+    control.stored_quarantine.borrow_mut().known.insert(print, entry);
     if new {
         control.decide("it stands in the store");
     }
@@ -313,7 +313,7 @@
 }
 
 fn removed(control: &Control, print: RequestFingerprint) {
-    let known = control.quarantined.borrow_mut().known.remove(&print).is_some();
+    let known = control.stored_quarantine.borrow_mut().known.remove(&print).is_some();
     if known && control.quarantine.borrow_mut().clear_request(print) {
         control.decide("its entry was taken from the store");
     }
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -16,7 +16,7 @@
 use heathpitch_policy::{ChainQuery, find_local_chain};
 use tokio::task::spawn_local;
 
-use super::looks;
+use super::reachability;
 use super::state::Control;
 use crate::gateway::engine_table::{EngineView, Wanted};
 use crate::gateway::event::{GatewayEvent, parts};
@@ -74,7 +74,7 @@
     let mut forgotten = 0;
     let mut looked: Vec<(Name, Millis)> = Vec::new();
     loop {
-        let idle = control.streams.borrow().is_empty() && control.lost.borrow().is_empty();
+        let idle = control.streams.borrow().is_empty() && control.unreachable.borrow().is_empty();
         let tick = if idle { TICK_IDLE } else { TICK };
         tokio::time::sleep(tick).await;
         let now = control.now();
@@ -91,7 +91,7 @@
         if now < rest {
             continue;
         }
-        looks::round(&control, &mut looked, now).await;
+        reachability::probe_round(&control, &mut looked, now).await;
         mend(&control);
     }
 }
@@ -112,7 +112,8 @@
             continue;
         }
         let path = live.path.load_full();
-        let gone = |s: &Stage| control.is_lost(&s.engine) || is_reborn(control, &live, &s.engine);
+        let gone =
+            |s: &Stage| control.is_unreachable(&s.engine) || is_reborn(control, &live, &s.engine);
         let broken = path.stages().iter().find(|s| gone(s) || !holds(control, s));
         match broken {
             Some(_) if !is_silent(&live, now) => {}
@@ -129,8 +130,8 @@
                 watched.next.set(now + MOVE_AGAIN);
                 reroute(control, &live, &path, None, watched);
             }
-            None if live.silent(now) >= ASK && control.may_question(&path.head().engine) => {
-                looks::ask(control, &path);
+            None if live.silent(now) >= ASK && control.may_query_status(&path.head().engine) => {
+                reachability::query_stalled(control, &path);
             }
             None => {}
         }
@@ -149,7 +150,7 @@
 /// Whether an engine has started again since a stream was given its path, and holds none of its tokens.
 fn is_reborn(control: &Control, live: &LiveStream, engine: &Name) -> bool {
     let routed = live.routed.load(std::sync::atomic::Ordering::Relaxed);
-    control.lives.borrow().restarted_since(engine, routed)
+    control.incarnations.borrow().restarted_since(engine, routed)
 }
 
 /// Whether an engine behind the first one has been leaving for a while.
@@ -238,7 +239,7 @@
             false => s.open(now) && wish.limit().rate().is_none(),
         };
         // One that has started again lost its tokens, and the same path would not be ordered.
-        id == head || (taken && !control.is_lost(id) && !is_reborn(control, live, id))
+        id == head || (taken && !control.is_unreachable(id) && !is_reborn(control, live, id))
     };
     let (service, tokens) = (&live.service, live.tokens);
     let links = table.links(&Wanted { service, model, tokens, now, current: Some(path) }, usable);
@@ -254,6 +255,6 @@
     fn forget_lives(&self) {
         let (entries, leaving) = (self.entries.borrow(), self.leaving.borrow());
         let kept = |engine: &Name| entries.contains_key(engine) || leaving.contains_key(engine);
-        self.lives.borrow_mut().retain(kept);
+        self.incarnations.borrow_mut().retain(kept);
     }
 }
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -54,14 +54,14 @@
 /// Asks engines for as long as this node plans.
 pub(super) async fn run(control: Rc<Control>) {
     for round in 0_u32.. {
-        control.planning().await;
+        control.wait_until_planner().await;
         tokio::time::sleep(ROUND).await;
-        if !control.plans() {
+        if !control.is_planner() {
             continue;
         }
         let all = round % ALL == 0;
         let asked = if all { used(&control) } else { filling(&control) };
-        let answers = asked.iter().map(|e| engines::ask(&control, e));
+        let answers = asked.iter().map(|e| engines::query_status(&control, e));
         let answers = futures::future::join_all(answers).await;
         for (engine, answer) in asked.iter().zip(answers) {
             match answer {
@@ -93,7 +93,7 @@
         held_tokens: r.held,
         age_ms: now.saturating_sub(r.at),
     };
-    (reports.iter().filter(new).map(report).collect(), control.reported.get())
+    (reports.iter().filter(new).map(report).collect(), control.report_serial.get())
 }
 
 /// Takes reports that another node told in answer to a question sent at `sent`.
@@ -133,7 +133,7 @@
         v.entry.domain == domain
             && v.entry.layers.count() > 0
             && (v.main || v.tally.gauge().count() > 0)
-            && !control.is_lost(&v.entry.id)
+            && !control.is_unreachable(&v.entry.id)
     });
     used.map(|v| v.entry.clone()).collect()
 }
@@ -153,15 +153,15 @@
 fn put(control: &Control, engine: &Name, pace: f64, held: f64, at: Millis) -> bool {
     let known = control.reports.borrow().get(engine).is_some_and(|r| r.at >= at);
     // What another node tells may be of the life before.
-    if known || control.lives.borrow().restarted_since(engine, at) {
+    if known || control.incarnations.borrow().restarted_since(engine, at) {
         return false;
     }
     let mut report = Report { pace, held, at, serial: 0 };
     report.serial = match control.reports.borrow().get(engine) {
         Some(old) if old.is_idle() && report.is_idle() => old.serial,
         _ => {
-            control.reported.set(control.reported.get() + 1);
-            control.reported.get()
+            control.report_serial.set(control.report_serial.get() + 1);
+            control.report_serial.get()
         }
     };
     let changed = (report.pace - control.slowness(engine)).abs() > CHANGE;
@@ -169,7 +169,7 @@
         GatewayEvent::EnginePaced { engine: engine.clone(), pace: report.pace }.log();
     }
     control.reports.borrow_mut().insert(engine.clone(), report);
-    if let Some(tally) = control.tallies.borrow().get(engine) {
+    if let Some(tally) = control.engine_stats.borrow().get(engine) {
         tally.record_slowdown(report.pace, report.at);
         tally.occupancy().report(report.held as u64, report.at);
     }
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -51,7 +51,7 @@
 impl Control {
     /// An engine named another limit to this node than before, or none any more.
     pub(super) fn engine_limited(&self, life: &EngineIncarnation) {
-        let Some(wish) = self.wishes.borrow().get(&life.engine).cloned() else { return };
+        let Some(wish) = self.backpressure.borrow().get(&life.engine).cloned() else { return };
         let (now, limit) = (self.now(), wish.limit());
         let at = now.saturating_sub(limit.age(now));
         self.learn_limit(life, limit.rate(), at, "its own answer");
@@ -106,7 +106,7 @@
         let now = self.now();
         let new = self.limits.borrow_mut().restore(life.clone(), limit, now);
         if limit.in_probes
-            && let Some(wish) = self.wishes.borrow().get(&life.engine)
+            && let Some(wish) = self.backpressure.borrow().get(&life.engine)
         {
             wish.limit().set_in_probes();
         }
@@ -134,9 +134,9 @@
     /// Whether this node hands out rights for the engines of its failure domain.
     fn hands_out(&self) -> bool {
         let now = self.now();
-        let settled = self.planned().is_some_and(|since| now >= since + QUIET);
-        let asked = 2 * (self.followers.borrow().present(now) + 1) > self.beside();
-        settled && !self.stopping() && (!self.lease_doubted() || asked)
+        let settled = self.planner_since().is_some_and(|since| now >= since + QUIET);
+        let asked = 2 * (self.followers.borrow().present(now) + 1) > self.domain_size();
+        settled && !self.stopping() && (!self.lease_may_have_expired() || asked)
     }
 
     /// Whether an engine takes less than is asked for.
@@ -212,7 +212,7 @@
         limit: FeedLimit { engine: engine.id.clone(), born: engine.born, rate, age_ms },
         requested: count,
     };
-    let told = match engine.domain == control.domain() && control.plans() {
+    let told = match engine.domain == control.domain() && control.is_planner() {
         true => Ok(control.hand_out(&ask)),
         false => ask_planner(control, &engine.domain, &ask).await,
     };
@@ -240,7 +240,7 @@
     let planner = control.sources.borrow().planner(domain).map(|p| p.source.clone());
     let (Some(planner), Some(_)) = (planner, control.shared.peer) else { return Err(none()) };
     let kept = {
-        let mut handers = control.handers.borrow_mut();
+        let mut handers = control.rights_issuers.borrow_mut();
         let hander = handers.entry(domain.clone()).or_default();
         let same = |(at, _): &&(SocketAddr, _)| *at == planner.address;
         let kept = hander.client.as_ref().filter(same).map(|(_, client)| client.clone());
@@ -250,7 +250,7 @@
         kept
     };
     let told = asked(kept, &planner, ask).await;
-    let mut handers = control.handers.borrow_mut();
+    let mut handers = control.rights_issuers.borrow_mut();
     let hander = handers.entry(domain.clone()).or_default();
     let (active, why) = match &told {
         Ok((told, _)) if told.active => (true, "it answers".to_owned()),
@@ -296,7 +296,7 @@
         if entries.is_empty() {
             continue;
         }
-        let wishes = control.wishes.borrow();
+        let wishes = control.backpressure.borrow();
         let kept = |life: &EngineIncarnation| {
             entries.contains_key(&life.engine) || wishes.contains_key(&life.engine)
         };
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -14,15 +14,15 @@
 };
 use tokio::sync::Notify;
 
-use super::ends::Ends;
-use super::limit_records::Stored;
-use super::looks::Lost;
+use super::engine_exits::EngineExits;
+use super::feed_server::FullTransfers;
+use super::limit_records::StoredLimits;
 use super::orders::Pending;
 use super::quarantine::Entries;
+use super::reachability::Unreachable;
 use super::recovery::Watched;
 use super::reports::Report;
 use super::rights::Hander;
-use super::tell::Large;
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::shared::{Edges, Shared};
 
@@ -31,12 +31,12 @@
 const EXPECTED_RETURN_MS: Millis = 2_500;
 /// Time without a new engine after which a failure domain has settled, milliseconds: engines are listed
 /// over some seconds after a start.
-const SETTLE: Millis = 1_300;
+const SETTLE_MS: Millis = 1_300;
 /// Time between two questions to the same engine, milliseconds.
-const QUESTION_AGAIN: Millis = 500;
+const STATUS_QUERY_INTERVAL_MS: Millis = 500;
 
 /// Nodes of a failure domain assumed where their number is not known.
-const BESIDE_UNKNOWN: u32 = 16;
+const DEFAULT_DOMAIN_SIZE: u32 = 16;
 
 /// How many nodes there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     /// In all.
     pub(super) nodes: u32,
     /// In this failure domain.
-    pub(super) beside: u32,
+    pub(super) domain_size: u32,
 }
 
 /// Everything the controllers own.
@@ -53,13 +53,13 @@
     pub(super) edges: Edges,
     pub(super) entries: RefCell<HashMap<Name, Arc<EngineEntry>>>,
     /// Their lives, also of those that left a moment ago.
-    pub(super) lives: RefCell<Incarnations>,
+    pub(super) incarnations: RefCell<Incarnations>,
     /// Their items as the store holds them, for the nodes that this one tells.
     pub(super) mirror: RefCell<Mirror<Item>>,
     /// The configuration in force as the store holds it.
     pub(super) document: RefCell<Option<Item>>,
     /// This life of the node, which serials of `mirror` belong to.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     /// Nodes that are asked who plans while this one knows nobody; none if it is one of them.
     pub(super) seeds: Vec<Source>,
     /// Whom this node asks instead of the store.
@@ -67,72 +67,72 @@
     /// Who asks this node.
     pub(super) followers: RefCell<Followers>,
     /// Nodes of the other failure domains, as their planners say.
-    pub(super) besides: RefCell<HashMap<Name, u32>>,
+    pub(super) domain_sizes: RefCell<HashMap<Name, u32>>,
     /// What is told whole, and the room that the link has for it.
-    pub(super) large: Large,
+    pub(super) full_transfers: FullTransfers,
     /// Whether this node was the planner and has given that up without knowing the next one.
-    pub(super) vacant: Cell<bool>,
+    pub(super) planner_released: Cell<bool>,
     /// Whether this node read the store and looked for the planner's lease when that was last looked at.
-    pub(super) turn: Cell<(bool, bool)>,
+    pub(super) role: Cell<(bool, bool)>,
     /// Wakes those who wait for a turn of the store or of the feed.
-    pub(super) turned: Notify,
+    pub(super) role_changed: Notify,
     /// When each engine was listed for the first time.
-    pub(super) since: RefCell<HashMap<Name, Millis>>,
+    pub(super) listed_since: RefCell<HashMap<Name, Millis>>,
     /// When an engine of this failure domain was last listed for the first time.
-    pub(super) joined: Cell<Millis>,
+    pub(super) last_join: Cell<Millis>,
     /// Engines that another one has taken the address of.
     pub(super) replaced: RefCell<HashSet<Name>>,
     /// Engines whose entries may have lapsed while the store was away, and since when.
     pub(super) lapsed: RefCell<HashMap<Name, Millis>>,
     /// Engines that cannot be reached.
-    pub(super) lost: RefCell<HashMap<Name, Lost>>,
+    pub(super) unreachable: RefCell<HashMap<Name, Unreachable>>,
     /// Engines that leave or are off the list, and since when.
     pub(super) leaving: RefCell<HashMap<Name, Millis>>,
     /// Engines that say they take no new work, and until when that is believed.
     pub(super) refusing: RefCell<HashMap<Name, Millis>>,
     /// Engines asked whether they take new work, and when.
-    pub(super) questioned: RefCell<HashMap<Name, Millis>>,
+    pub(super) status_queried: RefCell<HashMap<Name, Millis>>,
     /// How many nodes there are, if it is known.
     pub(super) fleet: Cell<Option<Fleet>>,
     /// What engines said of themselves.
     pub(super) reports: RefCell<HashMap<Name, Report>>,
     /// Serial of the last of them.
-    pub(super) reported: Cell<u64>,
+    pub(super) report_serial: Cell<u64>,
     lease: Cell<Option<LeaseId>>,
     /// Since when this node plans its failure domain, if it does.
-    planned: Cell<Millis>,
+    planner_since: Cell<Millis>,
     renewed: Cell<Millis>,
     pub(super) pending: RefCell<HashMap<Name, Pending>>,
     pub(super) streams: RefCell<Vec<Watched>>,
     /// What is known of engines whose connections calls lost a moment ago.
-    pub(super) ends: RefCell<Ends>,
+    pub(super) engine_exits: RefCell<EngineExits>,
     /// Requests under which engines end, as far as this node and those that tell it know.
     pub(super) quarantine: RefCell<Quarantine>,
     /// Those of them that stand in the store.
-    pub(super) quarantined: RefCell<Entries>,
+    pub(super) stored_quarantine: RefCell<Entries>,
     /// Orders that engines have begun, as far as is known; an engine starts with none.
     pub(super) orders: RefCell<HashMap<Name, u64>>,
-    pub(super) tallies: RefCell<HashMap<Name, Arc<EngineStats>>>,
+    pub(super) engine_stats: RefCell<HashMap<Name, Arc<EngineStats>>>,
     /// What engines asked this node for; kept while it binds, also of those off the list for a moment.
-    pub(super) wishes: RefCell<HashMap<Name, Arc<Backpressure>>>,
+    pub(super) backpressure: RefCell<HashMap<Name, Arc<Backpressure>>>,
     /// Engines that said in an answer that they leave, to this node or to one that told it.
-    pub(super) leavers: RefCell<DrainNotices>,
+    pub(super) drain_notices: RefCell<DrainNotices>,
     /// Limits that engines name, to this node or to one that told it.
     pub(super) limits: RefCell<Limits>,
     /// Those of this failure domain, as the store holds them.
-    pub(super) limit_record: RefCell<Stored>,
+    pub(super) stored_limits: RefCell<StoredLimits>,
     /// Rights that this node hands out.
     pub(super) rights: RefCell<Rights>,
     /// Nodes that hand out rights to this one, by failure domain.
-    pub(super) handers: RefCell<HashMap<Name, Hander>>,
+    pub(super) rights_issuers: RefCell<HashMap<Name, Hander>>,
     /// Revision of the store up to which its watch of the engines has told this node all changes; 0 while it does not watch.
-    pub(super) engines_at: Cell<Revision>,
+    pub(super) engines_revision: Cell<Revision>,
     /// Wakes the watch of the engines when a proof shows what it has not told.
-    pub(super) engines_behind: Notify,
+    pub(super) engines_outdated: Notify,
     /// Revision of the store at its last proof of the configuration.
-    pub(super) store_at: Cell<Revision>,
+    pub(super) store_revision: Cell<Revision>,
     pub(super) reachable: Cell<bool>,
-    pub(super) returned: Cell<Millis>,
+    pub(super) reachable_since: Cell<Millis>,
     /// Era of the store that this node has taken note of.
     pub(super) era: Cell<u64>,
 }
@@ -145,55 +145,55 @@
         Self {
             edges,
             entries: RefCell::default(),
-            lives: RefCell::default(),
+            incarnations: RefCell::default(),
             mirror: RefCell::default(),
             document: RefCell::default(),
             seeds: seeds(&settings, shared.peer),
-            life: rand::random(),
+            incarnation: rand::random(),
             sources: RefCell::new(Sources::new(
                 settings.node.clone(),
                 settings.domain.clone(),
                 now,
             )),
             followers: RefCell::default(),
-            besides: RefCell::default(),
-            large: Large::new(settings.vm, now),
-            vacant: Cell::new(false),
-            turn: Cell::new((false, true)),
+            domain_sizes: RefCell::default(),
+            full_transfers: FullTransfers::new(settings.vm, now),
+            planner_released: Cell::new(false),
+            role: Cell::new((false, true)),
             shared,
-            turned: Notify::new(),
-            since: RefCell::default(),
-            joined: Cell::new(0),
+            role_changed: Notify::new(),
+            listed_since: RefCell::default(),
+            last_join: Cell::new(0),
             replaced: RefCell::default(),
             lapsed: RefCell::default(),
-            lost: RefCell::default(),
+            unreachable: RefCell::default(),
             leaving: RefCell::default(),
             refusing: RefCell::default(),
-            questioned: RefCell::default(),
+            status_queried: RefCell::default(),
             fleet: Cell::new(None),
             reports: RefCell::default(),
-            reported: Cell::new(0),
+            report_serial: Cell::new(0),
             lease: Cell::new(None),
-            planned: Cell::new(0),
+            planner_since: Cell::new(0),
             renewed: Cell::new(0),
             pending: RefCell::default(),
             streams: RefCell::default(),
-            ends: RefCell::default(),
+            engine_exits: RefCell::default(),
             quarantine: RefCell::default(),
-            quarantined: RefCell::default(),
+            stored_quarantine: RefCell::default(),
             orders: RefCell::default(),
-            tallies: RefCell::default(),
-            wishes: RefCell::default(),
-            leavers: RefCell::default(),
+            engine_stats: RefCell::default(),
+            backpressure: RefCell::default(),
+            drain_notices: RefCell::default(),
             limits: RefCell::default(),
-            limit_record: RefCell::default(),
+            stored_limits: RefCell::default(),
             rights: RefCell::default(),
-            handers: RefCell::default(),
-            engines_at: Cell::new(Revision(0)),
-            engines_behind: Notify::new(),
-            store_at: Cell::new(Revision(0)),
+            rights_issuers: RefCell::default(),
+            engines_revision: Cell::new(Revision(0)),
+            engines_outdated: Notify::new(),
+            store_revision: Cell::new(Revision(0)),
             reachable: Cell::new(true),
-            returned: Cell::new(0),
+            reachable_since: Cell::new(0),
             era: Cell::new(0),
         }
     }
@@ -233,8 +233,8 @@
     }
 
     /// Nodes of this failure domain, or as many as are assumed.
-    pub(super) fn beside(&self) -> u32 {
-        self.fleet.get().map_or(BESIDE_UNKNOWN, |f| f.beside)
+    pub(super) fn domain_size(&self) -> u32 {
+        self.fleet.get().map_or(DEFAULT_DOMAIN_SIZE, |f| f.domain_size)
     }
 
     /// Whether the store answers.
@@ -248,16 +248,16 @@
     }
 
     /// Time for which entries that are missing may still come back.
-    pub(super) fn patience(&self) -> Millis {
+    pub(super) fn lapse_grace(&self) -> Millis {
         match self.reachable.get() {
-            true => (self.returned.get() + EXPECTED_RETURN_MS).saturating_sub(self.now()),
+            true => (self.reachable_since.get() + EXPECTED_RETURN_MS).saturating_sub(self.now()),
             false => EXPECTED_RETURN_MS,
         }
     }
 
     /// Whether engines of this failure domain are still coming up.
-    pub(super) fn settles(&self) -> bool {
-        self.now() < self.joined.get() + SETTLE
+    pub(super) fn is_settling(&self) -> bool {
+        self.now() < self.last_join.get() + SETTLE_MS
     }
 
     /// Whether an engine says that it takes no new work.
@@ -266,25 +266,25 @@
     }
 
     /// Whether an engine cannot be reached.
-    pub(super) fn is_lost(&self, engine: &Name) -> bool {
-        self.lost.borrow().contains_key(engine)
+    pub(super) fn is_unreachable(&self, engine: &Name) -> bool {
+        self.unreachable.borrow().contains_key(engine)
     }
 }
 
 /// # Doubt
 impl Control {
     /// Keeps new work from an engine for a while, because of `why`.
-    pub(super) fn doubt(&self, engine: &Name, why: &'static str, for_ms: Millis) {
-        if let Some(tally) = self.tallies.borrow().get(engine) {
-            tally.gauge().suspect_until(self.now() + for_ms);
+    pub(super) fn suspect(&self, engine: &Name, why: &'static str, for_ms: Millis) {
+        if let Some(stats) = self.engine_stats.borrow().get(engine) {
+            stats.gauge().suspect_until(self.now() + for_ms);
         }
         GatewayEvent::EngineDoubted { engine: engine.clone(), why, for_ms }.log();
     }
 
     /// Lifts the doubt.
-    pub(super) fn trust(&self, engine: &Name) {
-        if let Some(tally) = self.tallies.borrow().get(engine) {
-            tally.gauge().clear_suspicion();
+    pub(super) fn clear_suspicion(&self, engine: &Name) {
+        if let Some(stats) = self.engine_stats.borrow().get(engine) {
+            stats.gauge().clear_suspicion();
         }
     }
 }
@@ -292,10 +292,10 @@
 /// # Questions
 impl Control {
     /// Whether an engine may be asked for its state now; at most twice a second.
-    pub(super) fn may_question(&self, engine: &Name) -> bool {
+    pub(super) fn may_query_status(&self, engine: &Name) -> bool {
         let now = self.now();
-        let mut questioned = self.questioned.borrow_mut();
-        let due = questioned.get(engine).is_none_or(|at| now >= at + QUESTION_AGAIN);
+        let mut questioned = self.status_queried.borrow_mut();
+        let due = questioned.get(engine).is_none_or(|at| now >= at + STATUS_QUERY_INTERVAL_MS);
         if due {
             questioned.insert(engine.clone(), now);
         }
@@ -311,23 +311,23 @@
     }
 
     /// Whether this node plans its failure domain.
-    pub(super) fn plans(&self) -> bool {
+    pub(super) fn is_planner(&self) -> bool {
         self.lease.get().is_some()
     }
 
     /// Begins to plan by a lease, or ceases to plan.
-    pub(super) fn plan_by(&self, lease: Option<LeaseId>) {
+    pub(super) fn set_planner_lease(&self, lease: Option<LeaseId>) {
         self.lease.set(lease);
         self.renewed.set(self.now());
-        self.planned.set(self.now());
+        self.planner_since.set(self.now());
         // What an earlier planner handed out is not known to this one, nor what a later one will be.
         self.rights.borrow_mut().clear();
-        self.turned.notify_waiters();
+        self.role_changed.notify_waiters();
     }
 
     /// Since when this node plans its failure domain.
-    pub(super) fn planned(&self) -> Option<Millis> {
-        self.plans().then(|| self.planned.get())
+    pub(super) fn planner_since(&self) -> Option<Millis> {
+        self.is_planner().then(|| self.planner_since.get())
     }
 
     /// Takes note that the lease was renewed by a call sent at `sent`.
@@ -336,7 +336,7 @@
     }
 
     /// Whether the lease may be over without this node having heard of it.
-    pub(super) fn lease_doubted(&self) -> bool {
-        self.now() >= self.renewed.get() + super::nodes::PLANNER_TTL
+    pub(super) fn lease_may_have_expired(&self) -> bool {
+        self.now() >= self.renewed.get() + super::nodes::PLANNER_TTL_MS
     }
 }
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -21,18 +21,18 @@
 
     /// Waits until the store ceases to answer or the node that told this one ceases to tell.
     async fn store_doubted(&self) {
-        let (reachable, fed, era) = (self.reachable.get(), self.fed(), self.era.get());
-        let turned = || (reachable && !self.reachable.get()) || (fed && !self.fed());
+        let (reachable, fed, era) = (self.reachable.get(), self.has_feed(), self.era.get());
+        let turned = || (reachable && !self.reachable.get()) || (fed && !self.has_feed());
         let lost = || turned() || era != self.era.get();
         while !lost() {
-            self.turned.notified().await;
+            self.role_changed.notified().await;
         }
     }
 
     /// Waits for a while, but not beyond the store's return.
     pub(super) async fn pause(&self, pause: Duration) {
         // Either way the call is tried again.
-        let _ = tokio::time::timeout(pause, self.turned.notified()).await;
+        let _ = tokio::time::timeout(pause, self.role_changed.notified()).await;
     }
 
     /// Makes a call on the store, counts it and takes note of whether the store answers.
@@ -93,23 +93,23 @@
         if from == 0 {
             return;
         }
-        self.returned.set(self.now());
+        self.reachable_since.set(self.now());
         let gone: Vec<Name> = {
             let entries = self.entries.borrow();
             let leaving = self.leaving.borrow();
             leaving.keys().filter(|id| !entries.contains_key(*id)).cloned().collect()
         };
         for engine in &gone {
-            let born = self.lives.borrow().born(engine);
+            let born = self.incarnations.borrow().born(engine);
             let life = EngineIncarnation { engine: engine.clone(), born };
-            self.leavers.borrow_mut().learn(life, 0, self.now());
+            self.drain_notices.borrow_mut().learn(life, 0, self.now());
         }
-        self.quarantined.borrow_mut().forget();
-        self.limit_record.borrow_mut().forget();
+        self.stored_quarantine.borrow_mut().forget();
+        self.stored_limits.borrow_mut().forget();
         self.shared.metrics.era.set(era as i64);
         let revision = self.revision();
         GatewayEvent::StoreCameBack { from, era, revision, gone }.log();
-        self.turned.notify_waiters();
+        self.role_changed.notify_waiters();
     }
 
     /// Counts a call, sent at `sent`, and takes note of whether the store answers.
@@ -129,17 +129,17 @@
         };
         self.shared.metrics.store.with_label_values(&[call, word]).inc();
         if !answers {
-            let (now, beside) = (self.now(), self.beside());
+            let (now, beside) = (self.now(), self.domain_size());
             self.sources.borrow_mut().store_unavailable(now, beside, &mut rand::rng());
         }
-        if answers == self.reachable.get() || (!answers && sent < self.returned.get()) {
+        if answers == self.reachable.get() || (!answers && sent < self.reachable_since.get()) {
             return;
         }
         self.reachable.set(answers);
         if answers {
-            self.returned.set(self.now());
+            self.reachable_since.set(self.now());
         }
-        self.turned.notify_waiters();
+        self.role_changed.notify_waiters();
         let error = result.as_ref().err().map(|e| format!("{call}: {e}"));
         GatewayEvent::StoreReachable { reachable: answers, error }.log();
     }
--- a/crates/heathpitchd/src/gateway/control/suspended.rs
+++ b/crates/heathpitchd/src/gateway/control/suspended.rs
@@ -27,6 +27,6 @@
         shared.pool.close_all_idle();
         shared.resume();
         // Whoever waits for a turn, for the store's return or for its next try looks again.
-        control.turned.notify_waiters();
+        control.role_changed.notify_waiters();
     }
 }
--- a/crates/heathpitchd/src/gateway/control/wishes.rs
+++ b/crates/heathpitchd/src/gateway/control/wishes.rs
@@ -53,7 +53,7 @@
 
     /// What an engine asked this node for.
     pub(super) fn wish_of(&self, engine: &EngineEntry) -> Arc<Backpressure> {
-        let mut wishes = self.wishes.borrow_mut();
+        let mut wishes = self.backpressure.borrow_mut();
         wishes.entry(engine.id.clone()).or_insert_with(|| self.new_wish(engine)).clone()
     }
 
@@ -96,7 +96,7 @@
 
     /// Takes such a word of `age` ago, as `by` tells; gives whether a listed engine leaves by it that did not before.
     fn leave_by_word(&self, life: &EngineIncarnation, age: Millis, by: &'static str) -> bool {
-        if !self.leavers.borrow_mut().learn(life.clone(), age, self.now()) {
+        if !self.drain_notices.borrow_mut().learn(life.clone(), age, self.now()) {
             return false;
         }
         GatewayEvent::EngineLeaves { engine: life.engine.clone(), age_ms: age, by }.log();
@@ -117,7 +117,7 @@
     /// Engines that leave by their own word, which others have not heard who know them up to `serial`; and up to
     /// where they do then.
     pub(super) fn leaves_since(&self, serial: u64) -> (Vec<FeedDrain>, u64) {
-        let (new, upto) = self.leavers.borrow().since(serial, TOLD_MOST, self.now());
+        let (new, upto) = self.drain_notices.borrow().since(serial, TOLD_MOST, self.now());
         let told = new.into_iter().map(|(life, age_ms)| FeedDrain {
             engine: life.engine,
             born: life.born,
@@ -144,8 +144,8 @@
 pub(super) async fn run(control: Rc<Control>) {
     loop {
         tokio::time::sleep(TICK).await;
-        control.leavers.borrow_mut().expire(control.now());
-        let doubtful = control.leavers.borrow().due_for_recheck(control.now());
+        control.drain_notices.borrow_mut().expire(control.now());
+        let doubtful = control.drain_notices.borrow().due_for_recheck(control.now());
         for life in doubtful {
             ask_again(&control, &life).await;
         }
@@ -165,7 +165,7 @@
         Some(Ok(_)) | None => return,
         Some(Err(e)) => return log::info!("engine {} does not answer its check: {e}", entry.id),
     }
-    control.leavers.borrow_mut().cancel(life, control.now());
+    control.drain_notices.borrow_mut().cancel(life, control.now());
     control.wish_of(&entry).cancel_drain();
     let ready = EngineEntry { state: EntryState::Ready, ..(*entry).clone() };
     control.entries.borrow_mut().insert(entry.id.clone(), Arc::new(ready));
