--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -1,8 +1,7 @@
-//! Controller of the configuration, and of the proof that it is the newest.
+//! Controller of the configuration and of the proof that it is current.
 //!
-//! A watch brings changes fast but proves nothing while it waits. The proof is a write without any
-//! change, on the condition that the configuration has the revision in force: small, and answered
-//! only by what the store holds now.
+//! A watch delivers changes quickly but proves nothing while it is pending. The proof is an empty write
+//! conditional on the revision in force: it is small, and the store answers it from its current state only.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,17 +15,17 @@
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::shared::prove;
 
-/// Longest wait of a watch, milliseconds: below the store's 30 s. Only speed rests on it: the
-/// next proof brings what a dead watch does not.
+/// Longest wait of a watch, below the store's limit of 30 s. A dead watch only delays a change, which the
+/// next proof delivers.
 const WATCH_MS: Millis = 25_000;
-/// Time between two proofs: two and more fit into the shortest time agreed for removed keys.
+/// Time between proofs; at least two fit into the shortest revocation time of a removed key.
 const PROOF_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Time between two proofs of a planner: with an answer's time and a question of a follower (400 ms) below
-/// the age up to which calls are denied.
+/// Time between proofs of a planner. Together with the answer's time and a follower's poll interval (400 ms)
+/// it stays below the maximum age of a proof on which calls may be denied.
 const PLANNER_PROOF_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time between two tries while the store does not answer, at first; doubled each time.
+/// Initial retry interval while the store does not answer; doubled after each failure.
 const RETRY: Duration = Duration::from_millis(300);
-/// Longest such time: a fraction of the shortest time agreed for removed keys.
+/// Upper bound of the retry interval, a fraction of the shortest revocation time of a removed key.
 const MAX_RETRY: Duration = Duration::from_millis(1_200);
 
 /// Keeps the newest configuration in force.
@@ -35,7 +34,7 @@
     control.read_and_watch(RETRY, read, watch).await;
 }
 
-/// Proves again and again that the configuration in force is the newest.
+/// Proves periodically that the configuration in force is the newest.
 pub(super) async fn keep_proven(control: Rc<Control>) {
     let mut retry = RETRY;
     loop {
@@ -57,7 +56,7 @@
     }
 }
 
-/// Reads the configuration; gives the revision to watch from.
+/// Reads the configuration and returns the revision to watch from.
 pub(super) async fn read(control: &Control) -> Option<Revision> {
     let sent = control.now();
     let key = control.edges.dialect.config_key();
@@ -82,7 +81,7 @@
             if control.wait_to_read().await {
                 return;
             }
-            // Its connection may be dead: asked anew from where it was, which costs no read of the whole.
+            // The watch's connection may be dead. Watching again from the same revision avoids a full read.
             continue;
         };
         let watched = match answer {
@@ -119,7 +118,7 @@
             Some(item) if adopt(control, item) => {}
             Some(_) | None => return false,
         },
-        // What it was to hold for was read from another history.
+        // The revision in force belongs to the store's history before it was restored.
         Err(StoreError::Restored) => return read(control).await.is_some(),
         Err(_) => return false,
     }
@@ -127,10 +126,10 @@
     true
 }
 
-/// Puts a configuration in force unless a newer one is; gives whether none newer than this one is.
+/// Adopts a configuration unless a newer one is in force, and returns whether none newer than it is.
 ///
-/// Of two that one history of the store holds, the later is newer. Where the store came back from an older copy in
-/// between, the operator's own version decides: what was in force stays until it, or a newer one, is written again.
+/// Within one era of the store the higher revision is newer. Across a restore from an older copy, the operator's
+/// own version decides: the configuration in force stays until it, or a newer one, is written again.
 pub(super) fn adopt(control: &Control, item: &Item) -> bool {
     let current = control.shared.catalog.load().as_ref().map(|c| (c.revision, c.version));
     let (revision, before) = (item.revision, current.map(|(revision, _)| revision));
@@ -152,7 +151,7 @@
             GatewayEvent::ConfigBehind { version, revision, in_force }.log();
             return false;
         }
-        // The one in force, as an older history had it.
+        // The configuration in force, as an older era had it.
         Some((before, in_force)) if before > revision && catalog.version == in_force => {
             return true;
         }
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -1,14 +1,14 @@
 //! Controller of the list of engines.
 //!
-//! A watch brings changes; a list read anew now and then corrects whatever a watch missed. A
-//! watch that waits proves nothing, and its connection may be dead while other calls are answered. So waits
-//! are short, but where the proofs of the configuration tell the store's revision and the watch has told all up to
-//! it, that proves the list too, and a watch is left to wait until a proof shows that it has missed something. One from
-//! before an outage is given up.
-//! While the store is away nothing is taken off the list. What is missing at its return, or goes
-//! soon after, is waited for, because entries lapse while engines cannot renew them: much of the
-//! list for as long as entries take to come back, a few of them for as long as an engine that left
-//! may still be sent work.
+//! A watch delivers changes, and a periodic relist corrects what the watch missed. A pending watch proves
+//! nothing: its connection may be dead while other calls are answered. Waits are therefore short, except
+//! while proofs of the configuration show a store revision up to which the watch has delivered everything.
+//! Such a proof covers the list too, and the watch stays pending until a proof shows a later revision. A
+//! watch from before an outage is abandoned.
+//!
+//! While the store is unreachable no engine is removed. Entries missing at its return or soon after get a grace
+//! period, because they lapse while engines cannot renew them. If many are missing, it lasts as long as
+//! entries take to reappear; if few are, as long as an engine that left may still be sent work.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,41 +21,41 @@
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::shared::prove;
 
-/// Longest wait of a watch that nothing else proves, milliseconds. Keeps the age of the list below 1.4 s and two
-/// answers' time, and a dead watch from hiding for longer than this and the limit of a call that an engine leaves.
+/// Longest wait of a watch without other proof. Keeps the age of the list below 1.4 s plus the time of two
+/// answers, and bounds the time for which a dead watch hides that an engine leaves to this plus a call's timeout.
 const WATCH_MS: Millis = 600;
-/// The same while proofs of the configuration prove the list.
+/// Longest wait of a watch while proofs of the configuration cover the list.
 const PROVEN_WATCH_MS: Millis = 20_000;
-/// Age of the list from which a watch that waits is asked anew, milliseconds: below that beyond which a list is not told.
+/// Age of the list at which a pending watch is reissued, below the age beyond which followers are not served the list.
 const LIST_MAX_AGE_MS: Millis = 1_200;
-/// Wait of the watch that takes the place of one in doubt, milliseconds: it tells at once what there is, so that the list
-/// does not grow too old to be told.
+/// Wait of the watch that replaces an outdated one. It returns pending changes at once, so that the list does
+/// not become too old to be served to followers.
 const IMMEDIATE_WATCH_MS: Millis = 1;
-/// Time over which changes are gathered into one call: a small part of the time for which a leaving
+/// Time over which changes are batched into one watch call, a small part of the time for which a draining
 /// engine may still be sent work.
 const BATCH: Duration = Duration::from_millis(200);
-/// The same while no engine holds a layer and engines are coming up.
+/// Batch time while no engine holds a layer and engines are still being listed.
 const STARTUP_BATCH: Duration = Duration::from_millis(600);
-/// Time between two tries while the store does not answer.
+/// Retry interval while the store does not answer.
 const RETRY: Duration = Duration::from_millis(350);
-/// Time after which the list is read anew although the watch works, milliseconds, for each page of it that there may be:
-/// calls for that do not grow with the fleet.
+/// Time between relists for each page of the list, although the watch works. Scaling by pages keeps the rate
+/// of these calls independent of the size of the fleet.
 const RELIST_PER_PAGE_MS: Millis = 15_000;
-/// Entries of a page.
+/// Entries per page of a listing.
 const PAGE_ENTRIES: usize = 500;
-/// One missing entry in so many listed ones shows that entries lapsed, not that engines left.
+/// If more than one in this many listed entries is missing, entries lapsed and engines did not leave.
 const LAPSED_FRACTION: usize = 4;
-/// Time in which all nodes hear of what their planner has heard of, milliseconds: gathering (200), a
-/// question (400) and the limit of its answer (300), with margin. Without it followers knew of engines
-/// that went just after an outage up to 2 255 ms later, where 2 000 are agreed.
+/// Time in which a change known to the planner reaches all nodes: batching (200), a follower's poll interval
+/// (400) and the timeout of a poll (300), with margin. Without it followers learned up to 2 255 ms later of
+/// engines that left just after an outage, where the bound is 2 000.
 const PROPAGATION_MS: Millis = 1_000;
-/// Time between two looks at many entries that are waited for, milliseconds.
+/// Time between checks while many missing entries are in their grace period.
 const LAPSED_RECHECK_MS: Millis = 200;
 
 /// Keeps the list of engines.
 pub(super) async fn follow(control: Rc<Control>) {
     let read = async || list(&control).await;
-    // Its connection may not come back with the store.
+    // The watch's connection may not recover when the store does.
     let watch = async |at| {
         control.until_doubt(watch(&control, at)).await;
     };
@@ -77,8 +77,8 @@
     Some(listing.at)
 }
 
-/// Takes note that the store was at a revision when it answered a proof sent at `sent`: if the watch has told all
-/// changes up to it, the list is proven too.
+/// Records the store's revision at a proof sent at `sent`. If the watch has delivered all changes up to it, the
+/// list is proven too.
 pub(super) fn prove_at(control: &Control, at: Revision, sent: Millis) {
     control.store_revision.set(at);
     match at == control.engines_revision.get() {
@@ -87,14 +87,14 @@
     }
 }
 
-/// Whether proofs of the configuration prove the list.
+/// Whether proofs of the configuration cover the list.
 fn is_proven(control: &Control) -> bool {
     let age = control.shared.listed.load().age(control.now());
     let told = control.store_revision.get() == control.engines_revision.get();
     control.is_planner() && told && age.is_some_and(|age| age < LIST_MAX_AGE_MS)
 }
 
-/// Waits until the list grows old, or the store holds what its watch has not told.
+/// Waits until the list is too old, or a proof shows a change that the watch has not delivered.
 async fn watch_outdated(control: &Control) {
     loop {
         let age = control.shared.listed.load().age(control.now()).unwrap_or(LIST_MAX_AGE_MS);
@@ -121,7 +121,7 @@
             None if outdated => IMMEDIATE_WATCH_MS,
             None if is_proven(control) => PROVEN_WATCH_MS.min(left),
             None => WATCH_MS,
-            // Read the list again: whatever is still missing is gone.
+            // The grace period is over: a relist removes what is still missing.
             Some(0) => return,
             Some(soon) => soon,
         };
@@ -138,7 +138,7 @@
         let Ok(watched) = answer else {
             return tokio::time::sleep(BATCH).await;
         };
-        // An empty answer comes when the wait is over: until then there was no change.
+        // An empty answer comes at the end of the wait and shows that nothing changed until then.
         let waited = if watched.changes.is_empty() { wait } else { 0 };
         let proven = control.now().min(sent + waited);
         record_answer(control, "watch", sent, proven, watched.changes.len());
@@ -163,8 +163,7 @@
     }
 }
 
-/// Takes note of an answer of the store about engines to a call sent at `sent`, which shows what was
-/// listed at `proven` or later.
+/// Records an answer of the store to a call sent at `sent`, which shows the list as of `proven` or later.
 fn record_answer(
     control: &Control,
     by: &'static str,
@@ -179,14 +178,14 @@
     }
 }
 
-/// Time to gather changes: longer while nothing is served yet and engines are still coming up.
+/// Time over which changes are batched; longer at start, while nothing is served yet.
 fn batch_time(control: &Control) -> Duration {
     let serves = control.entries.borrow().values().any(|e| e.layers.count() > 0);
     if control.is_settling() && !serves { STARTUP_BATCH } else { BATCH }
 }
 
-/// Takes engines off the list whose entries are missing; at once, unless these may have lapsed
-/// while the store was away.
+/// Removes engines whose entries are missing; after a grace period if the entries may have lapsed during an
+/// outage of the store, otherwise at once.
 fn drop_missing(control: &Control, gone: Vec<Name>, why: &'static str) {
     if control.lapse_grace() == 0 {
         return gone.iter().for_each(|id| remove(control, id, why));
@@ -198,8 +197,8 @@
     }
 }
 
-/// Takes engines off the list whose entries did not come back; gives the time until the next look,
-/// if any entry is waited for.
+/// Removes engines whose grace period is over, and returns the time until the next check if any is still in
+/// its grace period.
 fn expire(control: &Control) -> Option<Millis> {
     let now = control.now();
     let few = control.lapsed.borrow().len() * LAPSED_FRACTION <= control.entries.borrow().len();
@@ -218,13 +217,13 @@
     }
     let oldest = control.lapsed.borrow().values().min().copied()?;
     let due = (oldest + grace).saturating_sub(now);
-    // Many missing entries are past their time and wait for the store's own.
+    // Many missing entries wait until the grace period after the store's return ends.
     let soon = if few { due } else { LAPSED_RECHECK_MS };
     Some(control.lapse_grace().min(soon))
 }
 
-/// Time for which a few missing entries are waited for after an outage: what is left, of the time for
-/// which an engine that left may be sent work, once all nodes have heard of it.
+/// Grace period for a few missing entries after an outage: the time for which an engine that left may still be
+/// sent work, less the time in which the change reaches all nodes.
 fn few_grace(control: &Control) -> Millis {
     control.shared.settings.load().bounds.drain_ms.saturating_sub(PROPAGATION_MS)
 }
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -1,4 +1,4 @@
-//! Engines as the store's entries, and their own words, show them: taken, corrected, forgotten.
+//! Table of known engines, updated from entries of the store and from the engines' own status.
 //!
 //! `engine_list` reads and watches the entries.
 
@@ -14,20 +14,20 @@
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::suspicion::life;
 
-/// Entries that are logged one by one if they change together; more are logged in one line. A node that
-/// begins hears all.
+/// Changed entries logged in one line each; a larger batch is logged in a single line, because a node that
+/// starts receives all entries at once.
 const MAX_LOGGED_SINGLY: usize = 16;
 
-/// Takes an engine out of use: its address answers for another one.
+/// Takes an engine out of use whose address now belongs to another engine.
 pub(super) fn mark_replaced(control: &Control, engine: &Name) {
     if control.replaced.borrow_mut().insert(engine.clone()) {
         let engine = engine.to_string();
-        GatewayEvent::EngineGone { engine, why: "its address answers for another one" }.log();
+        GatewayEvent::EngineGone { engine, why: "its address belongs to another engine" }.log();
         control.publish();
     }
 }
 
-/// Takes an engine's own word for the layers it holds, where a request found its entry wrong.
+/// Updates an engine's layers from its status after a request found its entry wrong.
 pub(super) fn refresh_layers(control: &Rc<Control>, engine: &Name) {
     let Some(entry) = control.entries.borrow().get(engine).cloned() else { return };
     if !control.may_query_status(engine) {
@@ -38,18 +38,18 @@
         match query_status(&control, &entry).await {
             Ok(status) => update_layers(&control, &entry, &status),
             Err(RpcError::Status(421)) => mark_replaced(&control, &entry.id),
-            Err(e) => log::warn!("engine {} does not tell its state: {e}", entry.id),
+            Err(e) => log::warn!("status query to engine {} failed: {e}", entry.id),
         }
     });
 }
 
-/// Asks an engine for its state; the word of another life than the one listed ends what is known of the
-/// older one.
+/// Queries an engine's status. A status of a newer incarnation than the listed one discards the state kept of
+/// the older one.
 ///
 /// # Errors
 ///
-/// As [`EngineControl::status`](heathpitch_net::EngineControl::status), and [`RpcError::Lost`] if the answer is of an
-/// older life than the one that is known.
+/// As [`EngineControl::status`](heathpitch_net::EngineControl::status), and [`RpcError::Lost`] if the answer comes
+/// from an older incarnation than the known one.
 pub(super) async fn query_status(
     control: &Control,
     engine: &EngineEntry,
@@ -60,10 +60,12 @@
     let recency = control.incarnations.borrow_mut().observe(&engine.id, status.born, control.now());
     match recency {
         Recency::Current => {}
-        Recency::Stale => return Err(RpcError::Lost("an answer of its last life".to_owned())),
+        Recency::Stale => {
+            return Err(RpcError::Lost("answer of an earlier incarnation".to_owned()));
+        }
         Recency::Restarted => {
-            reset_restarted(control, &engine.id, status.born, "its own state");
-            // Its entry says later what it holds; until then its own word does.
+            reset_restarted(control, &engine.id, status.born, "its status");
+            // The status decides which layers it holds until its entry is updated.
             let layers = status.layers.unwrap_or(LayerRange::new(0, 0));
             let (state, born) = (EntryState::Ready, status.born);
             let entry = EngineEntry { layers, state, born, ..engine.clone() };
@@ -74,8 +76,8 @@
     Ok(status)
 }
 
-/// Forgets what is known of an engine that has started again under its id, as `by` shows: its last life
-/// holds no layers and no tokens any more, and owes no answers.
+/// Discards the state kept of an engine that restarted under its id, as shown by `by`: its former incarnation
+/// holds no layers and no tokens any more, and will send no answers.
 fn reset_restarted(control: &Control, engine: &Name, born: Option<Millis>, by: &'static str) {
     forget(control, engine);
     control.backpressure.borrow_mut().remove(engine);
@@ -84,7 +86,7 @@
     GatewayEvent::EngineReborn { engine: engine.clone(), born, by }.log();
 }
 
-/// Corrects an entry by the engine's own word.
+/// Updates the layers of an entry from the engine's status.
 pub(super) fn update_layers(control: &Control, entry: &EngineEntry, status: &EngineStatus) {
     let layers = status.layers.unwrap_or(LayerRange::new(0, 0));
     let current = control.entries.borrow().get(&entry.id).cloned();
@@ -95,14 +97,14 @@
     control.publish();
 }
 
-/// The engine whose entry stands under a key.
+/// Returns the engine whose entry is stored under a key.
 pub(super) fn engine_id(control: &Control, key: &str) -> Option<Name> {
     key.strip_prefix(control.edges.dialect.engines_prefix())?.parse().ok()
 }
 
-/// Takes entries; gives the ids of their engines.
+/// Adds or updates entries and returns the ids of their engines.
 ///
-/// One that cannot be read names no engine: the one that stood under its key is taken off the list.
+/// An unreadable entry yields no id, and the engine listed under its key is removed.
 pub(super) fn put_all(control: &Control, items: &[Item]) -> HashSet<Name> {
     let mut changed = Vec::new();
     let ids = items.iter().filter_map(|item| put(control, item, &mut changed)).collect();
@@ -116,16 +118,16 @@
     ids
 }
 
-/// Takes an entry, and adds it to `changed` if it says anything new; gives its engine's id if it can be
-/// read.
+/// Adds or updates an entry, appends it to `changed` if it differs from the listed one, and returns its
+/// engine's id if it is readable.
 fn put(control: &Control, item: &Item, changed: &mut Vec<Arc<EngineEntry>>) -> Option<Name> {
     control.hear_era(item.revision.era());
     let entry = match read(control, item) {
         Ok(entry) => entry,
         Err(e) => {
-            log::warn!("entry of an engine cannot be read: {e}");
+            log::warn!("invalid entry of an engine: {e}");
             let id = engine_id(control, &item.key)?;
-            remove(control, &id, "its entry cannot be read");
+            remove(control, &id, "its entry is invalid");
             return None;
         }
     };
@@ -133,14 +135,14 @@
     let recency = control.incarnations.borrow_mut().observe(&id, entry.born, control.now());
     match recency {
         Recency::Current => {}
-        Recency::Restarted => reset_restarted(control, &id, entry.born, "its entry"),
+        Recency::Restarted => reset_restarted(control, &id, entry.born, "its store entry"),
         Recency::Stale => {
-            log::info!("entry of engine {id} is passed over: it is of an older life");
+            log::info!("ignored an entry of engine {id} from an earlier incarnation");
             return Some(id);
         }
     }
     let old = control.entries.borrow().get(&id).cloned();
-    // What an engine once said, here or in an answer, binds it for as long as it lives.
+    // Once announced, in an entry or a response, draining holds for the rest of the incarnation.
     let left = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
     let said = left || control.drain_notices.borrow().is_draining(&life(&entry));
     let state = if said { EntryState::Leaving } else { entry.state };
@@ -161,7 +163,7 @@
             control.drain_notices.borrow_mut().learn(life(&entry), 0, control.now());
         }
         EntryState::Leaving => {}
-        // It was off the list, and is back: streams stay on it.
+        // It is listed again after having been removed: streams stay on it.
         EntryState::Ready => {
             control.leaving.borrow_mut().remove(&id);
         }
@@ -172,12 +174,12 @@
     Some(id)
 }
 
-/// The entry that an item holds.
+/// Decodes and checks the entry in an item.
 ///
 /// # Errors
 ///
-/// What is wrong with it: it cannot be decoded, it holds layers that its model does not have, or it does not
-/// name the start that the engine named before.
+/// If it cannot be decoded, holds layers that its model does not have, or lacks the start time that the engine
+/// stated before.
 fn read(control: &Control, item: &Item) -> Result<EngineEntry, DocumentError> {
     let entry = control.edges.dialect.engine(item)?;
     let wrong =
@@ -187,20 +189,20 @@
     match model {
         Some(model) if entry.layers.end > model.layers => wrong("its model has fewer layers"),
         _ if entry.born.is_none() && control.incarnations.borrow().born(&entry.id).is_some() => {
-            wrong("it does not tell when the engine started, which earlier ones did")
+            wrong("it lacks the start time of the engine, which earlier entries had")
         }
         _ => Ok(entry),
     }
 }
 
-/// Whether the store lists an engine as ready, whatever else is known of it.
+/// Whether the store lists an engine as ready, regardless of other state kept of it.
 pub(super) fn is_listed_ready(control: &Control, id: &Name) -> bool {
     let key = key(control, id);
     let listed = control.mirror.borrow().get(&key).map(|item| control.edges.dialect.engine(item));
     matches!(listed, Some(Ok(entry)) if entry.state == EntryState::Ready)
 }
 
-/// The key that an engine's entry stands under.
+/// Key of an engine's entry.
 fn key(control: &Control, id: &Name) -> String {
     format!("{}{id}", control.edges.dialect.engines_prefix())
 }
@@ -217,7 +219,7 @@
     .log();
 }
 
-/// Takes an engine off the list, because of `why`.
+/// Removes an engine from the list; `why` is logged.
 pub(super) fn remove(control: &Control, id: &Name, why: &'static str) {
     control.mirror.borrow_mut().remove(&key(control, id));
     if control.entries.borrow_mut().remove(id).is_some() {
@@ -227,7 +229,7 @@
     }
 }
 
-/// Forgets all that is kept of an engine: entry, orders, doubts, reports, what requests met.
+/// Discards all state kept of an engine: entry, orders, suspicion, reports, request statistics.
 fn forget(control: &Control, id: &Name) {
     control.entries.borrow_mut().remove(id);
     control.engine_stats.borrow_mut().remove(id);
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -1,11 +1,11 @@
-//! Controller of what this node hears from others instead of the store.
+//! Controller that polls other nodes instead of reading the store.
 //!
-//! A few nodes of a failure domain read the store; the others ask them for changes of engines, the
-//! configuration and the age of its proof. Whom to ask, and when a node reads the store itself, is decided
-//! by [`Sources`](heathpitch_policy::Sources).
+//! A few nodes of a failure domain read the store; the others poll them for changes of engines, the
+//! configuration and the age of its proof. [`Sources`](heathpitch_policy::Sources) decides which node to poll
+//! and when this node reads the store itself.
 //!
-//! What is outcome counts from the moment at which it was asked for, so that neither a slow link nor
-//! a source that stood still makes it look newer than it is.
+//! The age of an answer counts from the time at which its request was sent, so that neither a slow link nor a
+//! stalled source makes it look newer than it is.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -23,55 +23,55 @@
 use super::{config, engines, nodes, reports};
 use crate::gateway::shared::prove;
 
-/// Time between two questions: a small part of the time for which a leaving engine may still be
-/// sent work, and 175 questions a second for a planner with 70 followers.
+/// Time between polls: a small part of the time for which a draining engine may still be sent work, and
+/// 175 polls a second for a planner with 70 followers.
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
-/// The same while nobody tells, and when what was told last is about to be too old.
+/// Time between polls while no source answers, and when the last answer is about to become too old.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(60);
-/// Time for a connection and for an answer: many times the delay inside a failure domain.
+/// Timeout of a connection and of an answer, many times the delay inside a failure domain.
 const TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for an answer that may hold all engines and the configuration: 100 kB on a link of 20 Mbit/s take
-/// 40 ms, and sixty nodes may ask at once.
+/// Timeout of an answer that may hold all engines and the configuration: 100 kB take 40 ms on a link of
+/// 20 Mbit/s, and sixty nodes may poll at once.
 const FULL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Age beyond which a proof of the configuration is not told, milliseconds: one and a half of a planner's
-/// proofs, and below the age up to which calls are denied.
+/// Maximum age of a proof of the configuration served to followers: about one and a half proof intervals of a
+/// planner, and below the maximum age of a proof on which calls may be denied.
 pub(super) const MAX_PROOF_AGE_MS: Millis = 1_600;
-/// Age beyond which a list of engines is not told, milliseconds: two watches, with a change
-/// at the end of the first one and the time to gather changes between them. With the limit of a
-/// question and a read of the list (1.9 s) below the shortest time for which a leaving engine may be
-/// sent work. A proof of the configuration says nothing of the list.
+/// Maximum age of a list of engines served to followers: two watches, with a change at the end of the first and
+/// the batch time between them. With the timeout of a poll and a read of the list (1.9 s) it stays below the
+/// shortest time for which a draining engine may be sent work. A proof of the configuration does not by itself
+/// cover the list.
 pub(super) const MAX_LIST_AGE_MS: Millis = 1_500;
 
-/// What this node and one that it asks have told each other of engines.
+/// Positions in the exchange of notices between this node and one that it polls.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct NoticeCursors {
-    /// Up to where the other one knows what this node does.
+    /// Position in this node's notices up to which the other node has received them.
     sent: NoticeCursor,
-    /// Up to where this node knows what the other one does.
+    /// Position in the other node's notices up to which this node has received them.
     received: NoticeCursor,
 }
 
 impl NoticeCursors {
-    /// Takes the answer to a question that told up to `told`.
+    /// Advances both positions after the answer to a request that sent notices up to `told`.
     pub(super) fn advance(&mut self, told: NoticeCursor, answer: &FeedResponse) {
         *self = Self { sent: told, received: answer.notice_cursor };
     }
 }
 
-/// The source state, and what was told so far.
+/// State of the exchange with the current source.
 #[derive(Default)]
 struct FeedState {
     node: Option<Name>,
     client: Option<FeedClient>,
     cursor: FeedCursor,
     notices: NoticeCursors,
-    /// Until when the list of engines that was told last is young enough.
+    /// Time at which the last received list of engines becomes too old.
     fresh_until: Millis,
 }
 
 impl FeedState {
-    /// Time to the next question: before the list is too old, so that one told at the end of its
-    /// time is not kept for another while.
+    /// Time to the next poll, which comes before the list becomes too old: a list received near its maximum age
+    /// must not be kept for another full interval.
     fn pause(&self, control: &Control) -> Duration {
         let left = Duration::from_millis(self.fresh_until.saturating_sub(control.now()));
         match () {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Asks one source after the other until one tells, again and again.
+/// Periodically polls one source after the other until one answers with fresh data.
 pub(super) async fn follow(control: Rc<Control>) {
     let mut state = FeedState::default();
     loop {
@@ -106,7 +106,7 @@
     control.sources_exhausted();
 }
 
-/// Asks one of the seeds who plans; lists and the configuration are left to planners.
+/// Polls a seed for the current planners only; planners serve the list and the configuration.
 async fn poll_seed(control: &Control) {
     let Some(seed) = control.seeds.choose(&mut rand::rng()) else { return };
     let (ask, _) = control.feed_request(FeedCursor::default(), &NoticeCursors::default(), true);
@@ -117,7 +117,7 @@
             record_nodes(control, seed, &told);
             control.record_notices(&told.notices, sent, &seed.node);
         }
-        Err(e) => log::info!("seed {} does not tell: {e}", seed.address),
+        Err(e) => log::info!("poll of seed {} failed: {e}", seed.address),
     }
 }
 
@@ -130,8 +130,8 @@
         Ok((sent, told)) => apply(control, state, source, sent, told),
         Err(e) => {
             *state = FeedState::default();
-            log::info!("node {} does not tell: {e}", source.node);
-            // A VM that refuses connections starts or restarts, and answers soon.
+            log::info!("poll of node {} failed: {e}", source.node);
+            // A VM that refuses connections is starting or restarting, and will answer soon.
             match control.now().saturating_sub(begun) {
                 took if took < TIMEOUT.as_millis() as Millis => PollOutcome::Declined,
                 _ => PollOutcome::NoAnswer,
@@ -140,7 +140,7 @@
     }
 }
 
-/// Asks on the kept connection, or on a new one; gives also when that was.
+/// Polls on the kept connection, or on a new one; also returns the time at which the request was sent.
 async fn poll(
     control: &Control,
     state: &mut FeedState,
@@ -170,7 +170,7 @@
     Ok((sent, told))
 }
 
-/// Takes what was told in answer to a question sent at `sent`.
+/// Applies the answer to a request sent at `sent`.
 fn apply(
     control: &Rc<Control>,
     state: &mut FeedState,
@@ -182,20 +182,20 @@
     control.record_notices(&told.notices, sent, &source.node);
     let proven = sent.saturating_sub(told.entries_age_ms);
     let own = control.shared.listed.load().at();
-    // One who is asked for everything and tells no change has the same.
+    // An empty delta means that the source has the same list.
     let same = told.engines == FeedEngines::default();
-    // A newer one was acknowledged, whatever the store says of it now.
+    // A newer configuration was acknowledged by the store, so it holds regardless of the rest of the answer.
     if let Some(config) = &told.config
         && let Err(e) = adopt(control, config)
     {
-        log::warn!("the configuration that node {} tells cannot be read: {e}", source.node);
+        log::warn!("invalid configuration from node {}: {e}", source.node);
         return PollOutcome::Declined;
     }
     if !told.fresh || !control.sources.borrow().accepts(&source.node, proven, own, same) {
         return PollOutcome::Declined;
     }
     if let Err(e) = apply_engines(control, &told.engines) {
-        log::warn!("the engines that node {} tells cannot be read: {e}", source.node);
+        log::warn!("invalid list of engines from node {}: {e}", source.node);
         return PollOutcome::Declined;
     }
     state.cursor = told.cursor;
@@ -208,7 +208,7 @@
     PollOutcome::Fresh
 }
 
-/// Takes what a node tells of nodes, which it may know though it does not hear from the store.
+/// Applies what an answer says of nodes, which its sender may know without access to the store.
 fn record_nodes(control: &Control, source: &Source, told: &FeedResponse) {
     for p in &told.planners {
         let source = Source { node: p.node.clone(), address: p.address };
@@ -260,15 +260,14 @@
         return Ok(());
     }
     engines::put_all(control, &items);
-    gone.iter()
-        .for_each(|id| engines::remove(control, id, "the node that tells lists it no longer"));
+    gone.iter().for_each(|id| engines::remove(control, id, "its source no longer lists it"));
     control.publish();
     Ok(())
 }
 
 /// # Feed
 impl Control {
-    /// A question to another node, and up to where it tells what this one learned of engines.
+    /// Builds a request to another node, and returns also the position up to which it sends notices.
     pub(super) fn feed_request(
         &self,
         known: FeedCursor,
@@ -276,7 +275,7 @@
         reports_only: bool,
     ) -> (FeedRequest, NoticeCursor) {
         let settings = self.shared.settings.load();
-        let (news, told) = self.notices_since(cursors.sent);
+        let (notices, told) = self.notices_since(cursors.sent);
         let ask = FeedRequest {
             node: settings.node.clone(),
             address: self.shared.peer.unwrap_or(settings.listen),
@@ -286,13 +285,13 @@
             digest: self.mirror.borrow().digest(),
             cursor: known,
             reports_only,
-            notices: news,
+            notices,
             notice_cursor: cursors.received,
         };
         (ask, told)
     }
 
-    /// What others have not outcome who know this node's news up to `known`; and up to where they do then.
+    /// Notices after the position `known`, and the position that follows them.
     pub(super) fn notices_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
         let known =
             if known.incarnation == self.incarnation { known } else { NoticeCursor::default() };
@@ -308,10 +307,10 @@
         (FeedNotices { exits: ends, drains: leaves, limits }, mark)
     }
 
-    /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn record_notices(&self, news: &FeedNotices, sent: Millis, by: &Name) {
-        self.hear_ends(&news.exits, sent, by);
-        self.hear_leaves(&news.drains, sent);
-        self.hear_limits(&news.limits, sent);
+    /// Records notices of another node from a message sent at `sent` or later.
+    pub(super) fn record_notices(&self, notices: &FeedNotices, sent: Millis, by: &Name) {
+        self.hear_ends(&notices.exits, sent, by);
+        self.hear_leaves(&notices.drains, sent);
+        self.hear_limits(&notices.limits, sent);
     }
 }
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -1,13 +1,19 @@
 //! Control thread of a gateway: a set of controllers on one current-thread runtime.
 //!
-//! `config` keeps the newest configuration, `engine_list` the list of `engines`, each with a proof that it is
-//! current; `feed` hears both from other nodes instead, as `turns` says, and `tell` answers these; `nodes`
-//! keeps the lease of the failure domain's planner and counts who follows it; `planner` orders layers by
-//! `orders`; `reports` asks engines how they do, and `neighbours` hears what those of the other failure
-//! domains do; `ends` finds out whether engines ended whose connections calls lost, and `quarantine` under
-//! which requests they do; `wishes` heeds what engines ask for in their answers, and `rights` hands out their
-//! limits, which `limit_records` keeps in the store; `recovery` watches running streams and moves them off engines that `looks` finds lost; `suspended`
-//! finds out that the VM was suspended. They publish snapshots in [`Shared`], that of engines by `publish`; nothing else is shared with traffic.
+//! - `config`: the newest configuration and the proof that it is current
+//! - `engine_list`, `engines`: the list of engines and the proof that it is current
+//! - `feed`, `sources`, `feed_server`: the same data received from other nodes, the choice of source, and
+//!   the answers to nodes that poll this one
+//! - `nodes`: the lease of the failure domain's planner and the size of the fleet
+//! - `planner`, `orders`: placement of layers and the orders that carry it out
+//! - `reports`, `neighbours`: load reports of engines of this failure domain and of the others
+//! - `engine_exits`, `quarantine`: detection of engines that exited, and the requests suspected of causing it
+//! - `wishes`, `rights`, `limit_records`: backpressure of engines, rights under their limits, and the stored limits
+//! - `recovery`, `reachability`: rerouting of running streams away from unreachable engines
+//! - `suspended`: detection of VM suspensions
+//!
+//! Controllers publish snapshots in [`Shared`], the engine table through `publish`. Traffic shares no other
+//! state with them.
 
 mod config;
 mod engine_exits;
@@ -47,22 +53,22 @@
 use super::shared::{Edges, Notice, Shared};
 use state::Control;
 
-/// Connections of the balancer and of whoever reads metrics at once.
+/// Concurrent connections for the load balancer's health checks and for metrics scrapes.
 const PROBE_CONNECTIONS: usize = 32;
 
-/// Listeners that the control thread serves.
+/// Listeners served by the control thread.
 pub(super) struct Listeners {
     pub(super) ready: Listener,
     pub(super) metrics: Listener,
-    /// Of nodes that this one tells what the store holds.
+    /// For nodes that poll this one for the contents of the store.
     pub(super) peers: Option<Listener>,
 }
 
-/// Starts the control thread; it ends when `stop` turns true.
+/// Starts the control thread, which ends when `stop` becomes true.
 ///
 /// # Errors
 ///
-/// What the system says if the thread cannot be started.
+/// The system's error if the thread or its runtime cannot be started.
 pub(super) fn spawn(
     shared: Arc<Shared>,
     edges: Edges,
@@ -110,7 +116,7 @@
     })
 }
 
-/// Takes notices of the traffic thread.
+/// Dispatches notices from the traffic thread.
 async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<Notice>) {
     while let Some(notice) = inbox.recv().await {
         match notice {
@@ -129,7 +135,7 @@
     }
 }
 
-/// Serves the balancer's check and the metrics.
+/// Serves the load balancer's health check and the metrics.
 fn probes(
     shared: &Arc<Shared>,
     ready_path: &'static str,
@@ -161,7 +167,7 @@
     response
 }
 
-/// Answers who reads metrics, or asks which requests are held back.
+/// Serves the metrics and the list of requests held back.
 fn inspect<B>(shared: &Shared, request: &Request<B>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/metrics") => metrics(shared),
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -1,11 +1,11 @@
-//! Controller of the lease of this failure domain's planner, and of the count of the fleet's nodes.
+//! Controller of the lease of this failure domain's planner and of the number of nodes.
 //!
-//! One node of a failure domain plans it, by a lease. A planner that the store does not answer goes on
-//! planning until it sees another one: orders hold only for the state they were made for, so two
-//! planners cost orders, never correctness, and a domain that is cut off is still planned.
+//! One node of each failure domain is its planner, under a lease. A planner that cannot reach the store stays
+//! planner until it learns of another one. Orders are conditional on the state they were made for, so two
+//! planners cause surplus orders but no errors, and a partitioned domain still has a planner.
 //!
-//! Who follows a planner counts for its failure domain, and planners tell each other. No node writes an
-//! entry of its own: that took three calls on the store at each start.
+//! A planner counts its followers as the nodes of its failure domain, and planners exchange these counts. Nodes
+//! write no entries of their own, which would take three calls to the store at each start.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,41 +21,41 @@
 use super::{limit_records, quarantine};
 use crate::gateway::event::GatewayEvent;
 
-/// Prefix of all that nodes write.
+/// Prefix of all keys written by nodes.
 const ROOT: &str = "heathpitch/";
-/// Prefix of the planners' leases; the value is the node that plans and its address for others.
+/// Prefix of the planners' entries; the value is the planner's node and its feed address.
 const PLANNERS: &str = "heathpitch/planners/";
-/// Time for which a planner's lease holds without a renewal, milliseconds: three renewals.
+/// Time to live of a planner's lease: three renewal intervals, with margin.
 pub(super) const PLANNER_TTL_MS: Millis = 2_400;
-/// Time between two renewals of the planner's lease.
+/// Time between renewals of the planner's lease.
 const PLANNER_RENEW: Duration = Duration::from_millis(700);
-/// Longest wait before a node asks for a free planner's lease, milliseconds: nodes ask one after
-/// the other, many times the store's answer apart.
+/// Longest random delay before a node contends for a free lease. It spreads the contenders apart by many times
+/// the response time of the store.
 const MAX_STAGGER_MS: Millis = 200;
-/// Time that a node whose VM is small leaves to the others, milliseconds: theirs, and two answers.
+/// Extra delay of nodes on small VMs: the longest delay of the others, and two answers of the store.
 const SMALL_VM_DELAY_MS: Millis = 250;
-/// Link from which a VM can carry a planner's work, Mbit/s: sixty followers that begin together are told
-/// 30 kB each, twice over, within 0.6 s.
+/// Minimum link of a planner's VM: sixty followers that start together are served 30 kB each, twice, within
+/// 0.6 s.
 const MIN_LINK_MBPS: f64 = 50.0;
-/// The same for its share of a core: a planner of sixty followers and fifty engines takes 5 % of one.
+/// Minimum CPU share of a planner's VM: a planner of sixty followers and fifty engines takes 5 % of a core.
 const MIN_CPU_SHARE: f64 = 0.2;
-/// Longest wait of a watch, milliseconds.
+/// Longest wait of a watch.
 const WATCH_MS: Millis = 25_000;
-/// Time between two counts of the fleet: its size only sets shares.
+/// Time between counts of the fleet, whose size only determines shares of limits and load.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for which a node has planned once all its followers have asked it, milliseconds.
+/// Time after which all followers have polled a new planner.
 const FIRST_COUNT_MS: Millis = 1_500;
-/// Time between two tries while the store does not answer.
+/// Initial retry interval while the store does not answer; doubled after each failure.
 const RETRY: Duration = Duration::from_millis(500);
-/// Longest such time; the store's return ends it.
+/// Upper bound of the retry interval; a wait also ends when the store returns.
 const MAX_RETRY: Duration = Duration::from_millis(4_000);
 
-/// Whether a VM can carry a planner's work.
+/// Whether the VM is large enough for a planner.
 pub(super) fn is_able(settings: &GatewaySettings) -> bool {
     settings.vm.link_mbps >= MIN_LINK_MBPS && settings.vm.cpu_share >= MIN_CPU_SHARE
 }
 
-/// Keeps knowing who plans, and asks for the lease of this failure domain's planner when it is free.
+/// Tracks the planners, and contends for the lease of this failure domain's planner when it is free.
 pub(super) async fn follow(control: Rc<Control>) {
     let key = planner_key(&control.domain());
     let mut retry = RETRY;
@@ -77,9 +77,9 @@
         retry = RETRY;
         let mut holder = None;
         for item in &listing.items {
-            take(&control, &key, &mut holder, item);
+            apply_entry(&control, &key, &mut holder, item);
         }
-        // One that is found for the first time is asked before its entry is watched.
+        // A planner found for the first time is polled before its entry is watched.
         let found = holder.as_ref().map(|item| item.revision);
         if found.is_some() && found != seen && !is_own(&control, holder.as_ref()) {
             seen = found;
@@ -98,7 +98,7 @@
     }
 }
 
-/// Whether an entry is this node's own, of its life before.
+/// Whether an entry is this node's own, from a previous run.
 fn is_own(control: &Control, holder: Option<&Item>) -> bool {
     holder.and_then(read_entry).is_some_and(|s| s.node == control.node())
 }
@@ -106,13 +106,13 @@
 /// How a watch of planners ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchEnd {
-    /// This node plans now, and has to know all planners.
+    /// This node became planner and has to know all planners.
     BecamePlanner,
-    /// It was lost, or this node need not watch any more.
+    /// The watch failed, or this node may no longer claim the lease.
     Stopped,
 }
 
-/// Watches the planners, all of them if this node is one.
+/// Watches the entry of this failure domain's planner, or all entries while this node is planner.
 async fn watch(control: &Control, key: &str, holder: Option<Item>, from: Revision) -> WatchEnd {
     let mut holder = holder;
     let mut at = from;
@@ -127,16 +127,16 @@
             return WatchEnd::BecamePlanner;
         }
         let prefix = if control.is_planner() { ROOT } else { key };
-        // Who waits longest finds that another one was faster.
+        // Nodes with a longer random delay find the lease already taken.
         let wait = if free { stagger(&control.shared.settings.load()) } else { WATCH_MS };
         let Ok(watched) = control.watch("planner", prefix, at, wait).await else {
             return WatchEnd::Stopped;
         };
         for change in &watched.changes {
             match change {
-                ItemChange::Put(item) => take(control, key, &mut holder, item),
+                ItemChange::Put(item) => apply_entry(control, key, &mut holder, item),
                 ItemChange::Deleted(gone) if &**gone == key => holder = None,
-                // A planner is asked until there is another one.
+                // Planners of other failure domains are polled until they have a successor.
                 ItemChange::Deleted(gone) => {
                     quarantine::gone(control, gone);
                     limit_records::gone(control, gone);
@@ -151,16 +151,16 @@
     WatchEnd::Stopped
 }
 
-/// Renews the planner's lease for as long as this node plans; ends it when the node stops.
+/// Renews the lease while this node is planner, and releases it when the node stops.
 pub(super) async fn renew(control: Rc<Control>) {
     loop {
         control.wait_until_planner().await;
         tokio::time::sleep(PLANNER_RENEW).await;
         let Some(lease) = control.lease() else { continue };
         if control.stopping() {
-            step_down(&control, "this node stops");
+            step_down(&control, "this node is stopping");
             control.planner_released.set(true);
-            // One that cannot be ended runs out by itself.
+            // If the call fails, the lease expires on its own.
             let _ = control.call("end", control.edges.store.end(lease)).await;
             continue;
         }
@@ -170,12 +170,12 @@
             control.lease_renewed(sent);
         }
         if matches!(result, Err(StoreError::LeaseExpired)) {
-            step_down(&control, "the lease is over");
+            step_down(&control, "the lease expired");
         }
     }
 }
 
-/// Counts the nodes of the fleet for as long as this node plans.
+/// Counts the nodes of the fleet while this node is planner.
 pub(super) async fn count(control: Rc<Control>) {
     loop {
         control.wait_until_planner().await;
@@ -196,7 +196,7 @@
     let domain = control.domain();
     let sources = control.sources.borrow();
     let others = sources.planners().filter(|(d, _)| **d != domain);
-    // One that has not told its count yet is as large as this one.
+    // A domain that has not reported its size yet is assumed to be as large as this one.
     let sizes = control.domain_sizes.borrow();
     let others = others.map(|(d, _)| sizes.get(d).copied().unwrap_or(domain_size));
     let fleet = Fleet { nodes: domain_size + others.sum::<u32>(), domain_size };
@@ -205,8 +205,8 @@
     }
 }
 
-/// Asks for the lease of this failure domain's planner, whose entry is absent or has revision `own`;
-/// gives whether this node plans now.
+/// Contends for the lease of this failure domain's planner, whose entry is absent or has revision `own`;
+/// returns whether this node became planner.
 async fn contend(control: &Control, own: Option<Revision>) -> bool {
     let settings = control.shared.settings.load_full();
     let ttl = PLANNER_TTL_MS.max(settings.bounds.lease_min_ms);
@@ -227,8 +227,7 @@
             let planner = DomainPlanner { source, revision };
             control.sources.borrow_mut().learn_planner(settings.domain.clone(), planner);
             control.set_planner_lease(Some(lease));
-            let why =
-                if own.is_some() { "it was this node's before" } else { "the lease was free" };
+            let why = if own.is_some() { "this node held it before" } else { "the lease was free" };
             GatewayEvent::DomainPlanner { active: true, why }.log();
             true
         }
@@ -240,7 +239,7 @@
     }
 }
 
-/// Ends this node's planning; it reads the store on until another node tells it.
+/// Ends this node's role as planner; it keeps reading the store until another node serves it.
 pub(super) fn step_down(control: &Control, why: &'static str) {
     if control.is_planner() {
         control.sources.borrow_mut().allow_reads(control.now());
@@ -249,7 +248,7 @@
     }
 }
 
-/// Takes note of the planner of a failure domain.
+/// Records the planner of a failure domain.
 pub(super) fn record_planner(control: &Control, domain: &Name, planner: DomainPlanner) {
     let other = *domain == control.domain() && planner.source.node != control.node();
     let new = control.sources.borrow_mut().learn_planner(domain.clone(), planner);
@@ -259,8 +258,8 @@
     }
 }
 
-/// Takes an entry of the store, with that of this failure domain's planner as `holder`.
-fn take(control: &Control, key: &str, holder: &mut Option<Item>, item: &Item) {
+/// Records an entry of the store, and keeps that of this failure domain's planner as `holder`.
+fn apply_entry(control: &Control, key: &str, holder: &mut Option<Item>, item: &Item) {
     if &*item.key == key {
         *holder = Some(item.clone());
     }
@@ -275,13 +274,13 @@
         return limit_records::take(control, item);
     }
     let domain = item.key.strip_prefix(PLANNERS).and_then(|d| d.parse().ok());
-    // One without an address may not be asked.
+    // A planner without an address cannot be polled.
     if let (Some(domain), Some(source)) = (domain, read_entry(item)) {
         record_planner(control, &domain, DomainPlanner { source, revision: item.revision });
     }
 }
 
-/// Time for which a free lease is left to other nodes, milliseconds.
+/// Random delay in milliseconds before this node contends for a free lease.
 fn stagger(settings: &GatewaySettings) -> Millis {
     let wait = rand::rng().random_range(1..MAX_STAGGER_MS);
     if is_able(settings) { wait } else { SMALL_VM_DELAY_MS + 2 * wait }
@@ -292,13 +291,13 @@
     format!("{PLANNERS}{domain}")
 }
 
-/// Reads a planner's entry in the store: its node and its address for others.
+/// Parses a planner's entry: its node and its feed address.
 fn read_entry(item: &Item) -> Option<Source> {
     let (node, address) = std::str::from_utf8(&item.value).ok()?.split_once(' ')?;
     Some(Source { node: node.parse().ok()?, address: address.parse().ok()? })
 }
 
-/// A planner's entry in the store.
+/// Formats a planner's entry.
 fn entry(node: &Name, address: Option<std::net::SocketAddr>) -> Arc<str> {
     match address {
         Some(address) => format!("{node} {address}").into(),
--- a/crates/heathpitchd/src/gateway/control/sources.rs
+++ b/crates/heathpitchd/src/gateway/control/sources.rs
@@ -1,7 +1,7 @@
-//! Whom this node asks, and when it reads the store itself or looks for its planner's lease.
+//! Choice of the node to poll, and of when this node reads the store or claims the planner's lease itself.
 //!
-//! [`Sources`](heathpitch_policy::Sources) decides; this keeps it told of time, answers and the store, and
-//! wakes the controllers that wait for a turn.
+//! [`Sources`](heathpitch_policy::Sources) decides; this module supplies it with time, poll outcomes and the state
+//! of the store, and wakes the controllers waiting for a change of role.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 
 /// # Sources
 impl Control {
-    /// The node to ask now; none while this one reads the store as its failure domain's planner, or if
-    /// nodes are not to talk to each other.
+    /// Returns the node to poll now; none while this node is planner and reaches the store, or if
+    /// it has no feed address.
     pub(super) fn next_source(&self) -> Option<Source> {
         self.shared.peer?;
         let reachable = self.reachable();
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes note of what came of asking a node.
+    /// Records the outcome of polling a node.
     pub(super) fn record_poll(&self, node: &Name, outcome: PollOutcome) {
         let before = self.sources.borrow().active().cloned();
         let domain_size = self.domain_size();
@@ -35,25 +35,25 @@
             domain_size,
             &mut rand::rng(),
         );
-        self.feed_changed(before, "it tells");
+        self.feed_changed(before, "it answers polls");
     }
 
-    /// Takes note that no node is left to ask.
+    /// Records that no node is left to poll.
     pub(super) fn sources_exhausted(&self) {
         let before = self.sources.borrow().active().cloned();
         let domain_size = self.domain_size();
         self.sources.borrow_mut().sources_exhausted(self.now(), domain_size, &mut rand::rng());
-        let why = if self.is_planner() { "this node plans" } else { "no source tells" };
+        let why = if self.is_planner() { "this node is the planner" } else { "no source answers" };
         self.feed_changed(before, why);
     }
 
-    /// Takes note that the planner that tells has given its lease up.
+    /// Records that the planner polled has released its lease.
     pub(super) fn planner_released_lease(&self) {
         let domain_size = self.domain_size();
         self.sources.borrow_mut().planner_released(self.now(), domain_size, &mut rand::rng());
     }
 
-    /// Takes note of whether this node is told what the store holds, and by whom.
+    /// Logs a change of the active source, and wakes waiting controllers if the feed began or ended.
     fn feed_changed(&self, before: Option<Name>, why: &str) {
         let source = self.sources.borrow().active().cloned();
         if source == before {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Wakes those who wait for a turn of the store, when this node has one.
+    /// Recomputes this node's role and wakes waiting controllers if it changed.
     pub(super) fn update_role(&self) {
         let role = (self.reads_store(), self.may_claim());
         if self.role.replace(role) != role {
@@ -75,13 +75,13 @@
     }
 }
 
-/// # Turns
+/// # Role
 impl Control {
     /// Waits until this node has to read the store itself and the store answers.
     ///
-    /// While the store is away only the proof of the configuration is tried again and again; a node
-    /// that knows no configuration yet tries everything. Gives whether this node was told meanwhile,
-    /// so that what it read before is old.
+    /// While the store is unreachable only the proof of the configuration is retried; a node without any
+    /// configuration retries all calls. Returns whether the feed was active meanwhile, in which case earlier
+    /// reads are out of date.
     pub(super) async fn wait_to_read(&self) -> bool {
         let store_away = || !self.reachable() && self.shared.catalog.load().is_some();
         let mut was_fed = false;
@@ -92,35 +92,35 @@
         was_fed
     }
 
-    /// Waits until this node may look for the lease of its failure domain's planner.
+    /// Waits until this node may claim the lease of its failure domain's planner.
     pub(super) async fn wait_to_claim(&self) {
         while !self.may_claim() {
             self.role_changed.notified().await;
         }
     }
 
-    /// Waits until this node plans its failure domain.
+    /// Waits until this node is the planner of its failure domain.
     pub(super) async fn wait_until_planner(&self) {
         while !self.is_planner() {
             self.role_changed.notified().await;
         }
     }
 
-    /// Waits until this node need not look for that lease any more.
+    /// Waits until this node may no longer claim that lease.
     pub(super) async fn wait_until_no_claim(&self) {
         while self.may_claim() {
             self.role_changed.notified().await;
         }
     }
 
-    /// Leaves a planner that was found time to tell, before this node looks for its lease again.
+    /// Gives a planner just found time to answer polls before this node may claim its lease again.
     pub(super) fn defer_claim(&self) {
         let (now, domain_size) = (self.now(), self.domain_size());
         self.sources.borrow_mut().defer_claim(now, domain_size, &mut rand::rng());
     }
 
-    /// Reads what the store holds and watches it from there, again and again, for as long as this
-    /// node has to do so itself; `retry` after a read that failed.
+    /// Repeatedly reads from the store and watches from the revision read, whenever this node has to read the
+    /// store itself; waits `retry` after a failed read.
     pub(super) async fn read_and_watch(
         &self,
         retry: Duration,
@@ -130,7 +130,7 @@
         loop {
             self.wait_to_read().await;
             let found = read().await;
-            // Before the wait, so that a node that is told no more reads at once.
+            // Before `wait_to_read`, so that a node whose feed ends reads at once.
             if found.is_none() {
                 tokio::time::sleep(retry).await;
             }
@@ -147,13 +147,13 @@
         !self.has_feed() && (exempt || self.sources.borrow().may_read(self.now()))
     }
 
-    /// Whether this node looks for the lease of its failure domain's planner.
+    /// Whether this node may claim the lease of its failure domain's planner.
     pub(super) fn may_claim(&self) -> bool {
         let exempt = self.shared.peer.is_none() || self.is_planner();
         exempt || self.sources.borrow().may_claim(self.now())
     }
 
-    /// Whether another node tells this one what the store holds.
+    /// Whether another node serves this one the contents of the store.
     pub(super) fn has_feed(&self) -> bool {
         self.sources.borrow().active().is_some()
     }
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -1,4 +1,4 @@
-//! State of all controllers, owned by the control thread.
+//! State shared by all controllers, owned by the control thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -26,120 +26,120 @@
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::shared::{Edges, Shared};
 
-/// Time after the store's return in which entries that lapsed meanwhile may come back: the
-/// platform promises about two seconds.
+/// Time after the store's return within which entries that lapsed during the outage may reappear. The
+/// platform restores them within about two seconds.
 const EXPECTED_RETURN_MS: Millis = 2_500;
-/// Time without a new engine after which a failure domain has settled, milliseconds: engines are listed
-/// over some seconds after a start.
+/// Time without a new engine after which a failure domain counts as settled. Engines are listed over
+/// several seconds after a start.
 const SETTLE_MS: Millis = 1_300;
-/// Time between two questions to the same engine, milliseconds.
+/// Minimum time between two status queries to the same engine.
 const STATUS_QUERY_INTERVAL_MS: Millis = 500;
 
-/// Nodes of a failure domain assumed where their number is not known.
+/// Number of nodes assumed for a failure domain of unknown size.
 const DEFAULT_DOMAIN_SIZE: u32 = 16;
 
-/// How many nodes there are.
+/// Number of nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Fleet {
-    /// In all.
+    /// In the fleet.
     pub(super) nodes: u32,
-    /// In this failure domain.
+    /// In the failure domain of this node.
     pub(super) domain_size: u32,
 }
 
-/// Everything the controllers own.
+/// State of the controllers.
 pub(super) struct Control {
     pub(super) shared: Arc<Shared>,
     pub(super) edges: Edges,
     pub(super) entries: RefCell<HashMap<Name, Arc<EngineEntry>>>,
-    /// Their lives, also of those that left a moment ago.
+    /// Current incarnations of engines, including those removed recently.
     pub(super) incarnations: RefCell<Incarnations>,
-    /// Their items as the store holds them, for the nodes that this one tells.
+    /// Items of the engines as the store holds them, served to nodes that poll this one.
     pub(super) mirror: RefCell<Mirror<Item>>,
-    /// The configuration in force as the store holds it.
+    /// Stored item of the configuration in force.
     pub(super) document: RefCell<Option<Item>>,
-    /// This life of the node, which serials of `mirror` belong to.
+    /// Random id of this run of the node; serials of `mirror` are valid within it.
     pub(super) incarnation: u64,
-    /// Nodes that are asked who plans while this one knows nobody; none if it is one of them.
+    /// Nodes polled for the current planner while none is known; empty if this node is a seed itself.
     pub(super) seeds: Vec<Source>,
-    /// Whom this node asks instead of the store.
+    /// Nodes polled instead of the store.
     pub(super) sources: RefCell<Sources>,
-    /// Who asks this node.
+    /// Nodes that poll this one.
     pub(super) followers: RefCell<Followers>,
-    /// Nodes of the other failure domains, as their planners say.
+    /// Sizes of the other failure domains, as reported by their planners.
     pub(super) domain_sizes: RefCell<HashMap<Name, u32>>,
-    /// What is told whole, and the room that the link has for it.
+    /// Full answers to followers, and their share of the link.
     pub(super) full_transfers: FullTransfers,
-    /// Whether this node was the planner and has given that up without knowing the next one.
+    /// Whether this node released the planner's lease and knows of no successor.
     pub(super) planner_released: Cell<bool>,
-    /// Whether this node read the store and looked for the planner's lease when that was last looked at.
+    /// Last computed role: whether this node reads the store, and whether it may claim the planner's lease.
     pub(super) role: Cell<(bool, bool)>,
-    /// Wakes those who wait for a turn of the store or of the feed.
+    /// Notified when this node's role, the reachability of the store or the state of the feed changes.
     pub(super) role_changed: Notify,
-    /// When each engine was listed for the first time.
+    /// Time at which each engine was first listed.
     pub(super) listed_since: RefCell<HashMap<Name, Millis>>,
-    /// When an engine of this failure domain was last listed for the first time.
+    /// Time at which the newest engine of this failure domain was first listed.
     pub(super) last_join: Cell<Millis>,
-    /// Engines that another one has taken the address of.
+    /// Engines whose address now belongs to another engine.
     pub(super) replaced: RefCell<HashSet<Name>>,
-    /// Engines whose entries may have lapsed while the store was away, and since when.
+    /// Engines whose entries may have lapsed during an outage of the store, with the time they went missing.
     pub(super) lapsed: RefCell<HashMap<Name, Millis>>,
-    /// Engines that cannot be reached.
+    /// Engines that accept no connection.
     pub(super) unreachable: RefCell<HashMap<Name, Unreachable>>,
-    /// Engines that leave or are off the list, and since when.
+    /// Engines that are draining or no longer listed, with the time this began.
     pub(super) leaving: RefCell<HashMap<Name, Millis>>,
-    /// Engines that say they take no new work, and until when that is believed.
+    /// Engines that reported not to accept new work, with the time until which this holds.
     pub(super) refusing: RefCell<HashMap<Name, Millis>>,
-    /// Engines asked whether they take new work, and when.
+    /// Time of the last status query to each engine.
     pub(super) status_queried: RefCell<HashMap<Name, Millis>>,
-    /// How many nodes there are, if it is known.
+    /// Number of nodes, if known.
     pub(super) fleet: Cell<Option<Fleet>>,
-    /// What engines said of themselves.
+    /// Latest reports of engines.
     pub(super) reports: RefCell<HashMap<Name, Report>>,
-    /// Serial of the last of them.
+    /// Serial of the newest report.
     pub(super) report_serial: Cell<u64>,
     lease: Cell<Option<LeaseId>>,
-    /// Since when this node plans its failure domain, if it does.
+    /// Time at which this node became planner; meaningful only while `lease` is set.
     planner_since: Cell<Millis>,
     renewed: Cell<Millis>,
     pub(super) pending: RefCell<HashMap<Name, Pending>>,
     pub(super) streams: RefCell<Vec<Watched>>,
-    /// What is known of engines whose connections calls lost a moment ago.
+    /// Recently lost connections of calls, and the engines found to have exited.
     pub(super) engine_exits: RefCell<EngineExits>,
-    /// Requests under which engines end, as far as this node and those that tell it know.
+    /// Requests suspected of crashing engines, from this node's evidence and that received from others.
     pub(super) quarantine: RefCell<Quarantine>,
-    /// Those of them that stand in the store.
+    /// Quarantine entries present in the store.
     pub(super) stored_quarantine: RefCell<Entries>,
-    /// Orders that engines have begun, as far as is known; an engine starts with none.
+    /// Highest number of orders each engine is known to have begun; an engine starts with none.
     pub(super) orders: RefCell<HashMap<Name, u64>>,
     pub(super) engine_stats: RefCell<HashMap<Name, Arc<EngineStats>>>,
-    /// What engines asked this node for; kept while it binds, also of those off the list for a moment.
+    /// Backpressure signalled by engines, kept while in effect, also for engines briefly missing from the list.
     pub(super) backpressure: RefCell<HashMap<Name, Arc<Backpressure>>>,
-    /// Engines that said in an answer that they leave, to this node or to one that told it.
+    /// Engines that announced in a response that they drain, to this node or to another one.
     pub(super) drain_notices: RefCell<DrainNotices>,
-    /// Limits that engines name, to this node or to one that told it.
+    /// Limits advertised by engines, to this node or to another one.
     pub(super) limits: RefCell<Limits>,
-    /// Those of this failure domain, as the store holds them.
+    /// Limits of this failure domain as the store holds them.
     pub(super) stored_limits: RefCell<StoredLimits>,
-    /// Rights that this node hands out.
+    /// Rights issued by this node.
     pub(super) rights: RefCell<Rights>,
-    /// Nodes that hand out rights to this one, by failure domain.
+    /// Nodes that issue rights to this one, by failure domain.
     pub(super) rights_issuers: RefCell<HashMap<Name, Hander>>,
-    /// Revision of the store up to which its watch of the engines has told this node all changes; 0 while it does not watch.
+    /// Store revision up to which the watch of engines has delivered all changes; 0 while there is no watch.
     pub(super) engines_revision: Cell<Revision>,
-    /// Wakes the watch of the engines when a proof shows what it has not told.
+    /// Notified when a proof shows a store revision that the watch of engines has not delivered.
     pub(super) engines_outdated: Notify,
-    /// Revision of the store at its last proof of the configuration.
+    /// Store revision at the last proof of the configuration.
     pub(super) store_revision: Cell<Revision>,
     pub(super) reachable: Cell<bool>,
     pub(super) reachable_since: Cell<Millis>,
-    /// Era of the store that this node has taken note of.
+    /// Latest known era of the store.
     pub(super) era: Cell<u64>,
 }
 
 /// # Construction
 impl Control {
-    /// State of a node that knows nothing yet.
+    /// Creates the state of a node that has just started.
     pub(super) fn new(shared: Arc<Shared>, edges: Edges) -> Self {
         let (settings, now) = (shared.settings.load_full(), shared.now());
         Self {
@@ -199,7 +199,7 @@
     }
 }
 
-/// Seeds of a node that other nodes ask at `own`.
+/// Seeds of a node whose own feed address is `own`.
 fn seeds(settings: &GatewaySettings, own: Option<SocketAddr>) -> Vec<Source> {
     if own.is_none_or(|own| settings.seeds.contains(&own)) {
         return Vec::new();
@@ -212,7 +212,7 @@
 
 /// # Reading
 impl Control {
-    /// Now, on the node's clock.
+    /// Current time on the node's clock.
     pub(super) fn now(&self) -> Millis {
         self.shared.now()
     }
@@ -232,7 +232,7 @@
         self.shared.settings.load().node.clone()
     }
 
-    /// Nodes of this failure domain, or as many as are assumed.
+    /// Number of nodes of this failure domain, or a default while it is unknown.
     pub(super) fn domain_size(&self) -> u32 {
         self.fleet.get().map_or(DEFAULT_DOMAIN_SIZE, |f| f.domain_size)
     }
@@ -247,7 +247,7 @@
         self.shared.catalog.load().as_ref()?.services.get(name).cloned()
     }
 
-    /// Time for which entries that are missing may still come back.
+    /// Remaining time in which missing entries may still reappear after an outage of the store.
     pub(super) fn lapse_grace(&self) -> Millis {
         match self.reachable.get() {
             true => (self.reachable_since.get() + EXPECTED_RETURN_MS).saturating_sub(self.now()),
@@ -255,25 +255,25 @@
         }
     }
 
-    /// Whether engines of this failure domain are still coming up.
+    /// Whether engines of this failure domain are still being listed after a start.
     pub(super) fn is_settling(&self) -> bool {
         self.now() < self.last_join.get() + SETTLE_MS
     }
 
-    /// Whether an engine says that it takes no new work.
+    /// Whether an engine reported that it accepts no new work.
     pub(super) fn is_refusing(&self, engine: &Name) -> bool {
         self.refusing.borrow().get(engine).is_some_and(|until| self.now() < *until)
     }
 
-    /// Whether an engine cannot be reached.
+    /// Whether an engine is unreachable.
     pub(super) fn is_unreachable(&self, engine: &Name) -> bool {
         self.unreachable.borrow().contains_key(engine)
     }
 }
 
-/// # Doubt
+/// # Suspicion
 impl Control {
-    /// Keeps new work from an engine for a while, because of `why`.
+    /// Sends no new work to an engine for `for_ms`; `why` is logged.
     pub(super) fn suspect(&self, engine: &Name, why: &'static str, for_ms: Millis) {
         if let Some(stats) = self.engine_stats.borrow().get(engine) {
             stats.gauge().suspect_until(self.now() + for_ms);
@@ -281,7 +281,7 @@
         GatewayEvent::EngineDoubted { engine: engine.clone(), why, for_ms }.log();
     }
 
-    /// Lifts the doubt.
+    /// Ends the suspicion of an engine.
     pub(super) fn clear_suspicion(&self, engine: &Name) {
         if let Some(stats) = self.engine_stats.borrow().get(engine) {
             stats.gauge().clear_suspicion();
@@ -289,9 +289,9 @@
     }
 }
 
-/// # Questions
+/// # Status queries
 impl Control {
-    /// Whether an engine may be asked for its state now; at most twice a second.
+    /// Whether an engine may be queried for its status now, which is allowed twice a second.
     pub(super) fn may_query_status(&self, engine: &Name) -> bool {
         let now = self.now();
         let mut questioned = self.status_queried.borrow_mut();
@@ -305,37 +305,37 @@
 
 /// # Planner
 impl Control {
-    /// Lease by which this node plans its failure domain.
+    /// Lease under which this node is planner.
     pub(super) fn lease(&self) -> Option<LeaseId> {
         self.lease.get()
     }
 
-    /// Whether this node plans its failure domain.
+    /// Whether this node is the planner of its failure domain.
     pub(super) fn is_planner(&self) -> bool {
         self.lease.get().is_some()
     }
 
-    /// Begins to plan by a lease, or ceases to plan.
+    /// Makes this node planner under a lease, or ends that role.
     pub(super) fn set_planner_lease(&self, lease: Option<LeaseId>) {
         self.lease.set(lease);
         self.renewed.set(self.now());
         self.planner_since.set(self.now());
-        // What an earlier planner handed out is not known to this one, nor what a later one will be.
+        // Rights issued by the planner before or after this one are unknown here.
         self.rights.borrow_mut().clear();
         self.role_changed.notify_waiters();
     }
 
-    /// Since when this node plans its failure domain.
+    /// Time at which this node became planner, if it is.
     pub(super) fn planner_since(&self) -> Option<Millis> {
         self.is_planner().then(|| self.planner_since.get())
     }
 
-    /// Takes note that the lease was renewed by a call sent at `sent`.
+    /// Records a renewal of the lease by a call sent at `sent`.
     pub(super) fn lease_renewed(&self, sent: Millis) {
         self.renewed.set(sent);
     }
 
-    /// Whether the lease may be over without this node having heard of it.
+    /// Whether the lease may have expired without this node knowing.
     pub(super) fn lease_may_have_expired(&self) -> bool {
         self.now() >= self.renewed.get() + super::nodes::PLANNER_TTL_MS
     }
--- a/crates/heathpitchd/tests/gateway_lives.rs
+++ b/crates/heathpitchd/tests/gateway_lives.rs
@@ -52,7 +52,7 @@
     a.restart();
     a.list("ready");
     covered(&[&a, &b]).await;
-    assert_eq!(heard(&node, "a").await, ["its entry"]);
+    assert_eq!(heard(&node, "a").await, ["its store entry"]);
     assert_eq!(a.counted(), Some(0), "orders are counted anew");
 }
 
@@ -66,7 +66,7 @@
     let old = a.entry("ready");
     a.restart();
     covered(&[&a, &b]).await;
-    assert_eq!(heard(&node, "a").await, ["its own state"]);
+    assert_eq!(heard(&node, "a").await, ["its status"]);
     // An older word that arrives late is passed over.
     let held = a.layers();
     world.store.put("servers/a", &old);
