--- a/crates/heathpitchd/src/gateway/control/engine_exits.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_exits.rs
@@ -1,8 +1,8 @@
-//! Finds out whether engines ended whose connections calls lost.
+//! Detects whether an engine exited after calls lost their connections to it.
 //!
-//! A connection is lost for many reasons. An engine that has ended refuses new ones at once, while one that
-//! resets, spoils or breaks off answers takes them, and one that is cut off says nothing. So each engine that
-//! calls were lost with is looked at, before another one can start at its address.
+//! Connections are lost for many reasons. An exited engine refuses new connections at once, one that resets,
+//! corrupts or truncates answers accepts them, and a partitioned one does not respond. The engine is therefore
+//! probed right after the loss, before another one can start at its address.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -18,27 +18,27 @@
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::shared::LostSend;
 
-/// Time over which the calls lost with an engine are gathered: all connections of a process end together,
-/// and its listener with them, but not in one instant.
+/// Time over which lost calls of an engine are collected: the connections and the listener of a process close
+/// together, but not at the same instant.
 const GATHER: Duration = Duration::from_millis(20);
-/// Time for a look at the engine: many times the delay between failure domains.
+/// Timeout of the probe, many times the delay between failure domains.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which a call lost with an engine that has ended is taken to be lost by that, milliseconds: engines
-/// start again after seconds, and connections cut off by a lost link end later.
+/// Time after an engine's exit in which further lost calls are attributed to it. Engines take seconds to
+/// restart, and connections over a lost link end later than this.
 const EXITED_MS: Millis = 1_000;
-/// Calls named in one line of the log.
+/// Calls listed in one log line.
 const MAX_LOGGED: usize = 16;
 
-/// Engines whose connections calls lost a moment ago.
+/// Recently lost calls and exited engines.
 #[derive(Debug, Default)]
 pub(super) struct EngineExits {
-    /// Calls lost, until it is known whether their engine ended.
+    /// Lost calls whose engine has not been probed yet.
     lost: HashMap<Name, Vec<LostSend>>,
-    /// Engines found to have ended, and when.
+    /// Engines found to have exited, with the time of detection.
     exited: HashMap<Name, Millis>,
 }
 
-/// Takes a call whose connection was lost.
+/// Records a call whose connection was lost, and probes its engine.
 pub(super) fn record_lost(control: &Rc<Control>, lost: LostSend) {
     let (engine, address, now) = (lost.engine.id.clone(), lost.engine.address, control.now());
     let (known, first) = {
@@ -63,7 +63,7 @@
     });
 }
 
-/// Takes note that the engine of these calls has ended.
+/// Records that the engine of these calls has exited.
 fn record_exit(control: &Control, lost: &[LostSend]) {
     let Some(LostSend { engine, .. }) = lost.first() else { return };
     control.engine_exits.borrow_mut().exited.entry(engine.id.clone()).or_insert(control.now());
@@ -75,7 +75,7 @@
     control.engine_ended(engine, lost);
 }
 
-/// Whether nothing listens at an address.
+/// Whether an address refuses connections, so that nothing listens there.
 async fn refuses(address: SocketAddr) -> bool {
     match tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Err(e)) => e.kind() == ErrorKind::ConnectionRefused,
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -60,9 +60,7 @@
     let recency = control.incarnations.borrow_mut().observe(&engine.id, status.born, control.now());
     match recency {
         Recency::Current => {}
-        Recency::Stale => {
-            return Err(RpcError::Lost("answer of an earlier incarnation".to_owned()));
-        }
+        Recency::Stale => return Err(RpcError::Lost("status of an old incarnation".to_owned())),
         Recency::Restarted => {
             reset_restarted(control, &engine.id, status.born, "its status");
             // The status decides which layers it holds until its entry is updated.
--- a/crates/heathpitchd/src/gateway/control/feed_server.rs
+++ b/crates/heathpitchd/src/gateway/control/feed_server.rs
@@ -1,8 +1,8 @@
-//! What this node tells others instead of the store.
+//! Answers to nodes that poll this one instead of the store.
 //!
-//! Any node tells what it knows, with its true age; only what is young enough is told. Whole lists and
-//! configurations are packed once and told within a part of the VM's link, so that nodes that
-//! begin together are told one after the other, by more than one node, and small answers are not held up.
+//! Any node serves what it knows together with its age, unless it is too old. Full lists and configurations are
+//! packed once and limited to a share of the VM's link. Nodes that start together are thus served one after the
+//! other, by more than one node, and small answers are not delayed.
 
 use std::cell::RefCell;
 
@@ -18,12 +18,12 @@
 use super::reports;
 use super::state::Control;
 
-/// Part of the VM's link that whole lists and configurations may take.
+/// Share of the VM's link for full lists and configurations.
 const LINK_SHARE: f64 = 0.5;
-/// Bytes a second of one Mbit/s.
+/// Bytes per second in one Mbit/s.
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
-/// What is told whole, packed once, and the link's room for it.
+/// Full lists and configurations in packed form, and the link budget for sending them.
 pub(super) struct FullTransfers {
     budget: RefCell<Bucket>,
     engines: RefCell<Option<(u64, Bytes)>>,
@@ -31,18 +31,18 @@
 }
 
 impl FullTransfers {
-    /// For a VM of this size.
+    /// Creates the budget for a VM of this capacity.
     pub(super) fn new(vm: VmCapacity, now: Millis) -> Self {
         let rate = vm.link_mbps * BYTES_PER_MBIT * LINK_SHARE;
         Self {
-            // What was begun is finished, and owed: the room for one is enough to begin.
+            // A transfer needs only one byte of budget to start; the rest becomes debt.
             budget: RefCell::new(Bucket::new(rate, 1.0, now)),
             engines: RefCell::default(),
             config: RefCell::default(),
         }
     }
 
-    /// Takes the link for so many bytes, if it has room.
+    /// Charges a transfer of `bytes` to the budget, unless it is exhausted.
     fn take(&self, bytes: usize, now: Millis) -> bool {
         let mut budget = self.budget.borrow_mut();
         let taken = bytes == 0 || budget.take(now).is_ok();
@@ -53,9 +53,9 @@
     }
 }
 
-/// Answers a node.
+/// Answers a poll, and records the notices in it.
 pub(super) fn answer(control: &Control, ask: FeedRequest) -> FeedResponse {
-    // It cannot have been sent later than it came.
+    // The time of arrival is an upper bound of the time of sending.
     control.record_notices(&ask.notices, control.now(), &ask.node);
     let (notices, notice_cursor) = control.notices_since(ask.notice_cursor);
     let told = answer_feed(control, ask);
@@ -75,19 +75,19 @@
     control.followers.borrow_mut().record_poll(follower, ask.able, control.now());
     let mut told = nodes(control);
     if let Err(e) = fill(control, &ask, known, &mut told) {
-        log::error!("what is told cannot be packed: {e}");
+        log::error!("failed to pack the answer to a poll: {e}");
     }
     told
 }
 
-/// Reports of this failure domain's engines, for the planner of another one.
+/// Reports of this failure domain's engines, for the planner of another failure domain.
 fn local_reports(control: &Control, known: FeedCursor) -> FeedResponse {
     let (reports, reported) = reports::told(control, Some(&control.domain()), known.reported);
     let known = FeedCursor { incarnation: control.incarnation, reported, ..FeedCursor::default() };
     FeedResponse { cursor: known, reports, ..nodes(control) }
 }
 
-/// What this node knows of nodes, whether or not it hears from the store.
+/// What this node knows of planners, standbys and fleet size, regardless of its access to the store.
 fn nodes(control: &Control) -> FeedResponse {
     if control.is_planner() {
         let standbys = control.followers.borrow_mut().standbys(control.now());
@@ -112,7 +112,7 @@
     }
 }
 
-/// Adds what the store holds, if this node knows it young enough and its link has room.
+/// Adds the contents of the store if this node's copy is fresh enough and the link budget allows it.
 fn fill(
     control: &Control,
     ask: &FeedRequest,
@@ -129,7 +129,7 @@
         (Some(proof), Some(list)) if proof < MAX_PROOF_AGE_MS && list < MAX_LIST_AGE_MS => {
             (proof, list)
         }
-        // Whether there is a newer one still is not known, but this one is newer than theirs.
+        // Not proven to be the newest, but newer than the follower's.
         _ => {
             let length = config.as_ref().map_or(0, |c| c.value.len());
             told.config = config.filter(|_| control.full_transfers.take(length, now));
@@ -153,7 +153,7 @@
     Ok(())
 }
 
-/// What changed since a serial; nothing for one who has the same, whomever it heard it from.
+/// Changes since a serial; none if the follower's digest shows the same list, whatever its source.
 fn engines(control: &Control, digest: u64, serial: u64) -> Result<FeedEngines, RpcError> {
     let mirror = control.mirror.borrow();
     if digest == mirror.digest() {
@@ -174,7 +174,7 @@
     }
 }
 
-/// The configuration in force, its value deflated.
+/// The configuration in force with its value deflated.
 fn config(control: &Control) -> Result<Option<Item>, RpcError> {
     let document = control.document.borrow();
     let Some(item) = &*document else { return Ok(None) };
@@ -188,7 +188,7 @@
 
 /// # Revision
 impl Control {
-    /// Whether the configuration in force is newer than that of a node that asks.
+    /// Whether the configuration in force is newer than that of the polling node.
     fn has_newer_config(&self, ask: &FeedRequest) -> bool {
         let (revision, version) = (self.revision(), self.version());
         match revision.era() == ask.revision.era() {
@@ -197,12 +197,12 @@
         }
     }
 
-    /// The operator's version of the configuration in force; 0 for none.
+    /// The operator's version of the configuration in force, or 0 if there is none.
     pub(super) fn version(&self) -> u64 {
         self.shared.catalog.load().as_ref().map_or(0, |c| c.version)
     }
 
-    /// Revision of the configuration in force.
+    /// Revision of the configuration in force, or 0 if there is none.
     pub(super) fn revision(&self) -> Revision {
         self.shared.catalog.load().as_ref().map_or(Revision(0), |c| c.revision)
     }
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -1,7 +1,8 @@
-//! Controller of the record of limits that engines name, which the planner of a failure domain keeps in the store.
+//! Controller of the record of limits advertised by engines, which the planner of a failure domain keeps in the
+//! store.
 //!
-//! Each node that begins reads these records with the planners' entries, before anyone can tell it of a limit.
-//! [`LimitRecorder`] decides when one is written.
+//! A starting node reads these records together with the planners' entries, before it can receive limits from
+//! other nodes. [`LimitRecorder`] decides when a record is written.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,27 +14,27 @@
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
-/// Prefix of the records, one a failure domain.
+/// Prefix of the records, one per failure domain.
 pub(super) const PREFIX: &str = "heathpitch/limits/";
-/// Time between two looks at whether the record has to be written.
+/// Time between checks whether the record has to be written.
 const TICK: Duration = Duration::from_millis(300);
 
-/// The record of this node's failure domain, as far as it knows the store's.
+/// The last known state of this failure domain's record in the store.
 #[derive(Debug, Default)]
 pub(super) struct StoredLimits {
     recorder: LimitRecorder,
-    /// Revision of its item; none if there is none.
+    /// Revision of the record's item, if it exists.
     revision: Option<Revision>,
 }
 
 impl StoredLimits {
-    /// Takes none to stand in the store.
+    /// Assumes that the store holds no record.
     pub(super) fn forget(&mut self) {
         *self = Self::default();
     }
 }
 
-/// Keeps the record for as long as this node runs, whenever it plans.
+/// Keeps the record up to date while this node is planner.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
         control.wait_until_planner().await;
@@ -44,19 +45,19 @@
         let current = current(&control);
         let due = control.stored_limits.borrow().recorder.is_due(&current, control.now());
         if due && let Err(e) = write(&control, current).await {
-            log::warn!("the record of engines' limits cannot be written to the store: {e}");
+            log::warn!("failed to write the record of engine limits: {e}");
         }
     }
 }
 
-/// Limits of the engines of this failure domain.
+/// Current limits of the engines of this failure domain.
 fn current(control: &Control) -> LimitRecord {
     let (domain, entries) = (control.domain(), control.entries.borrow());
     let own =
         |life: &EngineIncarnation| entries.get(&life.engine).is_some_and(|e| e.domain == domain);
-    let (limits, wishes) = (control.limits.borrow(), control.backpressure.borrow());
+    let (limits, backpressure) = (control.limits.borrow(), control.backpressure.borrow());
     let in_probes = |life: &EngineIncarnation| {
-        wishes.get(&life.engine).is_some_and(|w| w.limit().is_in_probes())
+        backpressure.get(&life.engine).is_some_and(|b| b.limit().is_in_probes())
     };
     let advertised = limits.named().filter(|(life, _)| own(life));
     LimitRecord::of(advertised.map(|(life, rate)| {
@@ -79,7 +80,7 @@
             keep(control, record, revision);
             Ok(())
         }
-        // Another planner of this domain was faster.
+        // Another planner of this failure domain wrote it first.
         Err(StoreError::Conflict(items)) => {
             match items.first() {
                 Some(item) => take(control, item),
@@ -97,14 +98,14 @@
     stored.revision = Some(revision);
 }
 
-/// Takes a record of the store.
+/// Applies a record read from the store.
 pub(super) fn take(control: &Control, item: &Item) {
     let Ok(text) = std::str::from_utf8(&item.value) else {
-        return log::warn!("record {} of engines' limits cannot be read", item.key);
+        return log::warn!("invalid record {} of engine limits: not UTF-8", item.key);
     };
-    let (record, unread) = LimitRecord::read(text);
-    if unread > 0 {
-        log::warn!("{unread} lines of record {} of engines' limits cannot be read", item.key);
+    let (record, invalid) = LimitRecord::read(text);
+    if invalid > 0 {
+        log::warn!("{invalid} invalid lines in record {} of engine limits", item.key);
     }
     record.limits().for_each(|(life, limit)| control.restore_limit(life, limit));
     if *item.key == *key(&control.domain()) {
@@ -112,7 +113,7 @@
     }
 }
 
-/// Takes note that a record is gone from the store.
+/// Records that a record was deleted from the store.
 pub(super) fn gone(control: &Control, key_gone: &str) {
     if key_gone == key(&control.domain()) {
         control.stored_limits.borrow_mut().forget();
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -1,9 +1,9 @@
-//! Controller of what the planners of the failure domains tell each other: what their engines hold, and
-//! how many nodes they tell.
+//! Controller of the exchange between planners of different failure domains: load reports of their engines, and
+//! the number of their nodes.
 //!
-//! A domain without room sends streams to the others. Without their engines' reports its nodes know only
-//! what they sent there themselves: at twice the usual load three domains filled each other's engines
-//! to the last token, and one stream in four began in time.
+//! A full domain sends streams to the others. Without reports of engines there, its nodes know only the load
+//! they sent themselves: at twice the usual load three domains then filled each other's engines completely, and
+//! only one stream in four began in time.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -19,28 +19,28 @@
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
-/// Time between two questions: that between two questions to engines that are filling up. Each
-/// answer takes some 2 kB of the link between failure domains.
+/// Time between polls, equal to that between status queries to engines that are filling up. Each answer takes
+/// about 2 kB of the link between failure domains.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for a connection and for an answer: many times the delay between failure domains.
+/// Timeout of a connection and of an answer, many times the delay between failure domains.
 const TIMEOUT: Duration = Duration::from_millis(200);
-/// Time for which a planner that did not answer is not asked, milliseconds.
+/// Time until a planner that did not answer is polled again.
 const RETRY_AFTER_MS: Millis = 1_500;
 
 /// A planner of another failure domain.
 struct Neighbour {
     planner: Source,
-    /// Whether it answered last.
+    /// Whether it answered the last poll.
     answers: bool,
     client: Option<FeedClient>,
     cursor: FeedCursor,
     notices: NoticeCursors,
-    /// When it is asked next.
+    /// Time of the next poll.
     next: Millis,
 }
 
-/// Asks the planners of the other failure domains for as long as this node plans its own, or reads the store
-/// for it: while a domain has no planner nobody else would tell the others of engines that end there.
+/// Polls the planners of the other failure domains while this node is planner or reads the store. The latter
+/// keeps notices of exited engines flowing to the other domains while this one has no planner.
 pub(super) async fn follow(control: Rc<Control>) {
     let mut neighbours: HashMap<Name, Neighbour> = HashMap::new();
     loop {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Takes note of planners that are new.
+/// Adds or replaces neighbours whose planner is new.
 fn add_planners(control: &Control, neighbours: &mut HashMap<Name, Neighbour>) {
     let own = control.domain();
     for (domain, planner) in control.sources.borrow().planners().filter(|(d, _)| **d != own) {
@@ -106,7 +106,7 @@
     control.record_notices(&told.notices, sent, &neighbour.planner.node);
 }
 
-/// Asks on the kept connection, or on a new one; one without an answer is not kept.
+/// Polls on the kept connection, or on a new one; a connection without an answer is dropped.
 async fn poll(control: &Control, neighbour: &mut Neighbour) -> Result<FeedResponse, RpcError> {
     let client = match neighbour.client.take() {
         Some(client) => client,
--- a/crates/heathpitchd/src/gateway/control/reachability.rs
+++ b/crates/heathpitchd/src/gateway/control/reachability.rs
@@ -1,7 +1,7 @@
-//! Looks at engines: which ones cannot be reached, take no new work, or hold streams up.
+//! Probes of engines: which ones are unreachable, accept no new work, or stall streams.
 //!
-//! An engine that only silent streams use is worth a look; one that a stream flows through is not,
-//! whatever an earlier look found.
+//! Only engines whose streams are all silent are probed. Data on any stream through an engine shows that it
+//! works, whatever an earlier probe found.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -18,36 +18,35 @@
 use super::recovery::is_silent;
 use super::state::Control;
 
-/// Silence below which a stream shows that its engines work, milliseconds.
+/// Silence below which a stream shows that its engines work.
 const FLOWING_MS: Millis = 80;
-/// Time for a look at an engine, milliseconds: many times the delay between failure domains.
+/// Timeout of a probe, many times the delay between failure domains.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
-/// Time after which a first look is tried a second time: many times the delay inside a domain.
+/// Time after which a first probe is repeated, many times the delay inside a failure domain.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(15);
-/// Time between two looks at the same engine, milliseconds.
+/// Minimum time between two probes of the same engine.
 const PROBE_INTERVAL_MS: Millis = 300;
-/// Time for which an engine that cannot be reached is left alone without another look, milliseconds;
-/// doubled each time.
+/// Time until an unreachable engine is probed again; doubled after each failure.
 const UNREACHABLE_MS: Millis = 1_000;
-/// Longest such time.
+/// Upper bound of that time.
 const MAX_UNREACHABLE_MS: Millis = 4_000;
-/// Engines looked at in one round: a failure domain that is cut off is not looked at all at once.
+/// Engines probed in one round, so that a partitioned failure domain is not probed all at once.
 const MAX_PROBES: usize = 24;
-/// Time for which new work is kept from it, milliseconds; renewed by each look.
+/// Time for which an unreachable engine gets no new work; renewed by each failed probe.
 const SUSPECT_MS: Millis = 4_500;
-/// Time for which an engine's word that it takes no new work is believed, milliseconds: engines
-/// leave within a few seconds of it.
+/// Time for which an engine's report that it accepts no new work holds. Engines drain within a few seconds
+/// of it.
 const REFUSAL_MS: Millis = 4_000;
 
-/// An engine that cannot be reached.
+/// Backoff state of an unreachable engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Unreachable {
-    /// When it is looked at again.
+    /// Time of the next probe.
     retry_at: Millis,
     pause: Millis,
 }
 
-/// Asks an engine that refused its part whether it takes new work at all.
+/// Checks whether an engine that refused its part of a request accepts new work at all.
 pub(super) fn check_refusal(control: &Rc<Control>, engine: &Name) {
     let Some(entry) = control.entries.borrow().get(engine).cloned() else { return };
     let Some(service) = control.service(&entry.service) else { return };
@@ -60,16 +59,16 @@
             Some(Ok(answer)) if !answer.value => {}
             Some(Ok(_)) | None => return,
             Some(Err(e)) => {
-                return log::warn!("engine {} does not answer its check: {e}", entry.id);
+                return log::warn!("health check of engine {} failed: {e}", entry.id);
             }
         }
         let until = control.now() + REFUSAL_MS;
         control.refusing.borrow_mut().insert(entry.id.clone(), until);
-        control.suspect(&entry.id, "it says that it takes no new work", REFUSAL_MS);
+        control.suspect(&entry.id, "it reports that it accepts no new work", REFUSAL_MS);
     });
 }
 
-/// Looks at the engines that are worth it now.
+/// Probes the engines that are due.
 pub(super) async fn probe_round(control: &Control, probed: &mut Vec<(Name, Millis)>, now: Millis) {
     let suspects = suspects(control, probed, now);
     if !suspects.is_empty() {
@@ -77,7 +76,7 @@
     }
 }
 
-/// Engines worth a look: on silent streams only, or lost some time ago.
+/// Engines to probe: those with silent streams only, and unreachable ones due for another probe.
 fn suspects(control: &Control, probed: &mut Vec<(Name, Millis)>, now: Millis) -> Vec<Suspect> {
     probed.retain(|(_, at)| now < at + PROBE_INTERVAL_MS);
     let mut flowing: HashSet<Name> = HashSet::new();
@@ -94,7 +93,7 @@
     }
     clear_flowing(control, &flowing);
     let unreachable = control.unreachable.borrow();
-    let overdue = unreachable.iter().filter(|(_, l)| now >= l.retry_at).map(|(n, _)| n.clone());
+    let overdue = unreachable.iter().filter(|(_, u)| now >= u.retry_at).map(|(n, _)| n.clone());
     let unreachable: Vec<Name> = overdue.collect();
     let entries = control.entries.borrow();
     let wanted = silent.difference(&flowing).filter(|n| !control.is_unreachable(n));
@@ -111,7 +110,7 @@
     found
 }
 
-/// Takes engines back that streams flow through, whatever a look at them found.
+/// Marks engines as reachable that streams flow through, whatever a probe found.
 fn clear_flowing(control: &Control, flowing: &HashSet<Name>) {
     let mut unreachable = control.unreachable.borrow_mut();
     for engine in flowing {
@@ -126,7 +125,7 @@
     address: SocketAddr,
 }
 
-/// Looks at engines; those that cannot be reached are lost until they can be.
+/// Probes engines and records which ones are unreachable.
 async fn probe_all(control: &Control, suspects: Vec<Suspect>) {
     let probes =
         suspects.iter().map(|s| is_reachable(s.address, !control.is_unreachable(&s.engine)));
@@ -145,7 +144,7 @@
             (false, _) => {
                 record_unreachable(control, &suspect.engine, now);
                 changed |= !was;
-                control.suspect(&suspect.engine, "it cannot be reached", SUSPECT_MS);
+                control.suspect(&suspect.engine, "it is unreachable", SUSPECT_MS);
             }
         }
     }
@@ -154,7 +153,7 @@
     }
 }
 
-/// Leaves an engine that is known to be gone, because of `why`.
+/// Marks an engine as unreachable without a probe; `why` is logged.
 pub(super) fn mark_unreachable(control: &Control, engine: &Name, why: &'static str) {
     if record_unreachable(control, engine, control.now()) {
         control.suspect(engine, why, SUSPECT_MS);
@@ -162,16 +161,16 @@
     }
 }
 
-/// Takes note that an engine cannot be reached; gives whether that is new.
+/// Records that an engine is unreachable, and returns whether it was reachable before.
 fn record_unreachable(control: &Control, engine: &Name, now: Millis) -> bool {
     let mut unreachable = control.unreachable.borrow_mut();
     let pause =
-        unreachable.get(engine).map_or(UNREACHABLE_MS, |l| (l.pause * 2).min(MAX_UNREACHABLE_MS));
+        unreachable.get(engine).map_or(UNREACHABLE_MS, |u| (u.pause * 2).min(MAX_UNREACHABLE_MS));
     unreachable.insert(engine.clone(), Unreachable { retry_at: now + pause, pause }).is_none()
 }
 
-/// Whether a connection can be made; the first time it is tried a second time soon after, because
-/// single packets get lost.
+/// Whether a connection can be made. The first probe of an engine is repeated soon after, because single
+/// packets get lost.
 async fn is_reachable(address: SocketAddr, first: bool) -> bool {
     let once = || async move {
         matches!(tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await, Ok(Ok(_)))
@@ -191,19 +190,19 @@
     }
 }
 
-/// Asks the first engine of a silent stream which engines its streams wait for.
+/// Queries the first engine of a silent stream for the engines that its streams wait for.
 pub(super) fn query_stalled(control: &Rc<Control>, path: &Path) {
     let Some(entry) = control.entries.borrow().get(&path.head().engine).cloned() else { return };
     let control = control.clone();
     spawn_local(async move {
         match engines::query_status(&control, &entry).await {
             Ok(status) => status.stalled.iter().for_each(|(_, at)| leave_stalled(&control, *at)),
-            Err(e) => log::info!("first engine {} does not tell its state: {e}", entry.id),
+            Err(e) => log::info!("status query to first engine {} failed: {e}", entry.id),
         }
     });
 }
 
-/// Leaves an engine that streams wait for.
+/// Marks an engine that stalls streams as unreachable.
 fn leave_stalled(control: &Control, address: SocketAddr) {
     let table = control.shared.table.load();
     let Some(view) = table.at(address) else { return };
--- a/crates/heathpitchd/tests/gateway_feed.rs
+++ b/crates/heathpitchd/tests/gateway_feed.rs
@@ -1,5 +1,5 @@
-//! The feed: nodes that hear from their domain's planner what the store holds, and what they do
-//! without it.
+//! The feed: nodes that receive the contents of the store from their failure domain's planner, and their
+//! behaviour without it.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -12,10 +12,10 @@
 use hyper::Method;
 use serde_json::json;
 
-/// A planner, and a node beside it whose link to the store can be spoilt.
+/// Starts a planner, and a follower whose link to the store can be faulted.
 async fn pair(world: &World) -> (GatewayProcess, GatewayProcess, Proxy) {
     let planner = world.node().await;
-    wait("the first node plans", async || !planner.events("domain_planner").is_empty()).await;
+    wait("the first node is planner", async || !planner.events("domain_planner").is_empty()).await;
     let (other, link) = world.start_behind("n2", &json!({ "revoke_ms": 2_500 }));
     other.wait_ready().await.unwrap();
     wait("the second node is fed", async || fed(&other) == Some(true)).await;
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_fed_node_leaves_the_store_alone() {
+async fn follower_makes_no_store_calls_of_its_own() {
     let world = World::new();
     world.engine("a", "api");
     let (_planner, other, _link) = pair(&world).await;
@@ -38,7 +38,7 @@
         world.store.list_engine("b", "api", &format!("z{i}"), ([127, 0, 0, 1], 9).into());
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
-    assert_eq!(made().await, before, "no proof of its own");
+    assert_eq!(made().await, before, "the follower makes no proofs");
     let text = other.metrics().await.unwrap();
     let watches = "heathpitch_store_calls_total{call=\"watch\",result=\"ok\"} ";
     let watches = text.lines().find_map(|l| l.strip_prefix(watches)).unwrap_or("0");
@@ -46,16 +46,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_the_store_turns_away_hears_everything_from_the_planner() {
-    for spoilt in [Link::Reset, Link::Silent, Link::OneWay] {
+async fn node_without_store_gets_everything_from_planner() {
+    for mode in [Link::Reset, Link::Silent, Link::OneWay] {
         let mut world = World::new();
         world.engine("a", "api");
         let (_planner, other, link) = pair(&world).await;
-        link.set(spoilt);
+        link.set(mode);
         let caller = Caller::new(other.listen).key(KEY);
-        // Longer than keys are taken for valid without a proof.
+        // Longer than keys are accepted without a proof.
         tokio::time::sleep(Duration::from_millis(3_000)).await;
-        assert_eq!(status(&caller, "/get/x").await, 200, "{spoilt:?}");
+        assert_eq!(status(&caller, "/get/x").await, 200, "{mode:?}");
         world.site.version = 9;
         world.site.routes.push(RouteSpec::idempotent("/added/", "api"));
         world.configure();
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_was_taken_away_ends_at_a_fed_node_too() {
+async fn removed_key_is_refused_by_follower() {
     let mut world = World::new();
     world.engine("a", "api");
     let (_planner, other, link) = pair(&world).await;
@@ -79,11 +79,11 @@
     world.site.version = 9;
     world.site.tenants[0].1.remove(0);
     world.configure();
-    wait("the key is gone", async || status(&caller, "/get/x").await == 401).await;
+    wait("the key is refused", async || status(&caller, "/get/x").await == 401).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_whose_planner_dies_or_stands_still_reads_the_store_itself() {
+async fn follower_reads_store_when_planner_dies_or_stalls() {
     for signal in ["KILL", "STOP"] {
         let mut world = World::new();
         world.engine("a", "api");
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planner_without_a_store_gives_its_followers_up() {
+async fn planner_without_store_loses_its_followers() {
     let world = World::new();
     world.engine("a", "api");
     let (planner, link, other) = world.planner_and_follower().await;
@@ -111,11 +111,11 @@
     })
     .await;
     link.set(Link::Pass);
-    wait("the first one is fed", async || fed(&planner) == Some(true)).await;
+    wait("the first node is fed", async || fed(&planner) == Some(true)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_says_it_is_slow_gets_no_new_streams_from_any_node() {
+async fn slow_engine_gets_no_new_streams_from_any_node() {
     let world = World::new();
     let [a, b, c] = ["a", "b", "c"].map(|id| world.engine(id, "llm"));
     a.hold(0, 4);
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planner_that_is_told_to_stop_hands_over_before_it_is_gone() {
+async fn stopping_planner_hands_over_first() {
     let world = World::new();
     world.engine("a", "api");
     let (mut planner, other, _link) = pair(&world).await;
@@ -153,24 +153,24 @@
     wait("the third node is fed", async || fed(&third) == Some(true)).await;
     planner.signal("TERM").unwrap();
     let plans = |n: &GatewayProcess| n.events("domain_planner").iter().any(|e| e["active"] == true);
-    wait("another node plans before the first one is gone", async || {
+    wait("another node is planner before the first one exits", async || {
         plans(&other) || plans(&third)
     })
     .await;
-    assert_eq!(planner.events("gateway_stopped").len(), 0, "the first one is still there");
+    assert_eq!(planner.events("gateway_stopped").len(), 0, "the first node is still running");
     let (new, follower) = if plans(&other) { ("n2", &third) } else { ("n3", &other) };
-    wait("the last one hears from the new planner", async || {
+    wait("the last node follows the new planner", async || {
         follower.events("feed_changed").last().is_some_and(|e| e["planner"] == new)
     })
     .await;
     assert_eq!(planner.wait_end(Duration::from_secs(10)), Some(0));
 }
 
-/// Suspected beside requests that reached a leaving engine: entries that go around an outage are waited
-/// for by the planner, and only then do the others hear of it, up to one question later. Both together
-/// took longer than the 2 s for which an engine that left may be sent work.
+/// Entries that disappear around an outage get a grace period at the planner, and followers learn of the removal
+/// up to one poll later. Together these exceeded the 2 s for which an engine that left may be sent work, a
+/// suspected cause of requests that reached a draining engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_that_go_just_after_an_outage_are_off_every_node_s_list_in_time() {
+async fn engines_unlisted_after_outage_are_removed_everywhere_in_time() {
     let world = World::new();
     world.engine("a", "api");
     world.engine("b", "llm").hold(0, 8);
@@ -179,11 +179,13 @@
     }
     let (planner, other, _link) = pair(&world).await;
     world.store.behave(Mode::Busy);
-    wait("both know", async || reachable(&planner) == Some(false) && fed(&other) == Some(false))
-        .await;
+    wait("both nodes notice", async || {
+        reachable(&planner) == Some(false) && fed(&other) == Some(false)
+    })
+    .await;
     world.store.behave(Mode::Up);
-    // From now on entries that are missing are waited for.
-    wait("the planner knows", async || reachable(&planner) == Some(true)).await;
+    // From here on missing entries get a grace period.
+    wait("the planner notices", async || reachable(&planner) == Some(true)).await;
     let mut left = Vec::new();
     for i in 0..14 {
         world.store.remove(&format!("servers/z{i}"));
@@ -196,17 +198,17 @@
             let mut of = events.filter(|e| e["engine"] == id);
             of.next().map(|e| e["at"].as_u64().unwrap())
         };
-        wait("all are off the list", async || left.iter().all(|(id, _)| gone(id).is_some())).await;
+        wait("all are removed", async || left.iter().all(|(id, _)| gone(id).is_some())).await;
         let took = |(id, at): &(String, u64)| gone(id).unwrap().saturating_sub(*at);
         let longest = left.iter().map(took).max().unwrap();
         assert!(longest < 2_000, "{longest} ms");
     }
 }
 
-/// A watch of the planner's entry that died without a word hid for 26 s that the planner was gone: nobody
-/// laid layers out meanwhile.
+/// A silently dead watch of the planner's entry hid for 26 s that the planner was gone. No node planned layers
+/// meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_takes_over_from_its_planner_though_its_own_watch_is_dead() {
+async fn follower_takes_over_despite_dead_watch() {
     let world = World::new();
     world.engine("a", "api");
     let (planner, other, link) = pair(&world).await;
@@ -219,10 +221,10 @@
     assert!(took < 7_000, "{took} ms");
 }
 
-/// A node that is told leaves its own connections to the store idle; one that died there meanwhile cost
-/// 1.2 s and a retry, at the moment at which the planner was gone and an engine left.
+/// A follower's own connections to the store are idle. One that had died meanwhile cost 1.2 s and a retry just
+/// when the planner was gone and an engine was draining.
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_connections_that_died_do_not_hide_what_the_store_holds() {
+async fn dead_idle_connections_do_not_delay_changes() {
     let world = World::new();
     let engine = world.engine("a", "api");
     world.engine("b", "api");
@@ -233,13 +235,13 @@
     engine.list("draining");
     let told = wall_ms();
     let heard = || other.events("engine_listed").into_iter().find(|e| e["leaving"] == true);
-    wait("the second node knows", async || heard().is_some()).await;
+    wait("the second node knows that it drains", async || heard().is_some()).await;
     let took = heard().unwrap()["at"].as_u64().unwrap() - told;
     assert!(took < 1_300, "{took} ms");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn planners_tell_each_other_what_their_engines_hold() {
+async fn planners_exchange_engine_load() {
     let world = World::new();
     let [a, b] = ["a", "b"].map(|id| world.engine(id, "llm"));
     a.hold(0, 4);
@@ -255,22 +257,22 @@
     a.fill(124_000);
     let caller = Caller::new(there.listen).key(KEY);
     let asked = a.seen().len();
-    wait("a node there knows that the engines here are full", async || {
+    wait("a node of the other domain knows that the engines are full", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 503
     })
     .await;
     wait("the refusal is logged", async || !there.events("call_refused").is_empty()).await;
     let detail = there.events("call_refused").pop().unwrap()["detail"].to_string();
     assert!(detail.contains("by its report"), "{detail}; {} asked", a.seen().len() - asked);
-    // That it holds nothing any more is told once, and reports that say so again are not.
+    // A report without load is sent once; unchanged reports are not sent again.
     a.fill(0);
-    wait("a node there knows that there is room again", async || {
+    wait("a node of the other domain knows that there is capacity again", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 200
     })
     .await;
 }
 
-/// Calls of a node on the store, of those wanted.
+/// Number of a node's calls to the store, of the wanted kinds.
 async fn store_calls(node: &GatewayProcess, wanted: impl Fn(&str) -> bool) -> f64 {
     let text = node.metrics().await.unwrap();
     let calls = text.lines().filter_map(|l| l.strip_prefix("heathpitch_store_calls_total{"));
@@ -279,9 +281,9 @@
     counts.map(|count| count.unwrap().parse::<f64>().unwrap()).sum()
 }
 
-/// While nothing changes, the planner's proofs of the configuration show that its list of engines is the newest too.
+/// While nothing changes, the planner's proofs of the configuration also cover its list of engines.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planner_in_calm_asks_the_store_once_a_second() {
+async fn idle_planner_calls_store_once_a_second() {
     let world = World::new();
     let _engine = world.engine("a", "api");
     let node = world.node().await;
@@ -296,10 +298,10 @@
     assert!(age < 1.5, "{age}");
 }
 
-/// A node that begins on a small VM is told who plans by a seed, and all else by the planner; where no seed answers it looks
-/// at the store after a while.
+/// A node starting on a small VM learns the planner from a seed, and everything else from the planner. If no seed
+/// answers, it reads the store after a while.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_seeds_tell_of_the_planner_makes_no_call_on_the_store() {
+async fn seeded_node_makes_no_store_calls() {
     let world = World::new();
     let _engine = world.engine("a", "api");
     let planner = world.node().await;
@@ -307,7 +309,7 @@
     let calls = async |node| store_calls(node, |_| true).await;
     let node = world.start_seeded("n2", &["127.0.0.1:1", &seed]);
     node.wait_ready().await.unwrap();
-    wait("it is told", async || fed(&node) == Some(true)).await;
+    wait("it is fed", async || fed(&node) == Some(true)).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(calls(&node).await, 0.0);
     assert!(calls(&planner).await > 0.0);
@@ -316,10 +318,10 @@
     assert!(calls(&alone).await > 0.0);
 }
 
-/// What is written beside engines' entries moves the store's revision on, so that proofs of the configuration do not prove
-/// the list for a moment: it is asked for at once then, and no follower is left without a source.
+/// Writes to other keys advance the store's revision, so that proofs of the configuration do not cover the list for
+/// a moment. The list is then requested at once, and no follower loses its source.
 #[tokio::test(flavor = "multi_thread")]
-async fn followers_keep_their_planner_while_configurations_come_in_quick_succession() {
+async fn followers_keep_source_during_frequent_configuration_changes() {
     let mut world = World::new();
     let _engine = world.engine("a", "api");
     let (_planner, _link, other) = world.planner_and_follower().await;
--- a/crates/heathpitchd/tests/gateway_lives.rs
+++ b/crates/heathpitchd/tests/gateway_incarnations.rs
@@ -1,4 +1,4 @@
-//! Engines that start again under their id, and entries that no engine wrote.
+//! Engines that restart under their id, and entries that were not written by an engine.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -11,93 +11,93 @@
 /// Layers of the model that the engines hold.
 const LAYERS: u32 = 8;
 
-/// Layers that engines hold, one after the other, without a gap.
-fn cover(engines: &[&Engine]) -> bool {
+/// Whether the engines together hold all layers without a gap.
+fn all_held(engines: &[&Engine]) -> bool {
     let mut held: Vec<(u32, u32)> = engines.iter().map(|e| e.layers()).collect();
     held.sort_unstable();
     held.iter().try_fold(0, |at, (from, end)| (*from <= at).then_some(at.max(*end))) == Some(LAYERS)
 }
 
-/// What told a node of an engine's new life.
-fn reborn(node: &GatewayProcess, engine: &str) -> Vec<String> {
+/// Evidence by which a node detected restarts of an engine.
+fn restart_evidence(node: &GatewayProcess, engine: &str) -> Vec<String> {
     let events = node.events("engine_reborn");
     let own = events.iter().filter(|e| e["engine"] == engine);
     own.map(|e| e["by"].as_str().unwrap_or_default().to_owned()).collect()
 }
 
-async fn covered(engines: &[&Engine]) {
-    wait("all layers are held", async || cover(engines)).await;
+async fn wait_all_held(engines: &[&Engine]) {
+    wait("all layers are held", async || all_held(engines)).await;
 }
 
-/// Waits until a node knows of an engine, and so of all that the store told before.
-async fn listed(node: &GatewayProcess, engine: &Engine) {
-    wait("a later entry is known", async || {
+/// Waits until a node lists an engine, and so has processed all earlier changes of the store.
+async fn wait_listed(node: &GatewayProcess, engine: &Engine) {
+    wait("a later entry is listed", async || {
         node.events("engine_listed").iter().any(|e| e["engine"] == engine.id.as_str())
     })
     .await;
 }
 
-/// Waits until a node knows of an engine's new life, and gives what told of it.
-async fn heard(node: &GatewayProcess, engine: &str) -> Vec<String> {
-    wait("its new life is known", async || !reborn(node, engine).is_empty()).await;
-    reborn(node, engine)
+/// Waits until a node detects a restart of an engine, and returns the evidence.
+async fn wait_for_restart(node: &GatewayProcess, engine: &str) -> Vec<String> {
+    wait("the restart is detected", async || !restart_evidence(node, engine).is_empty()).await;
+    restart_evidence(node, engine)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_starts_again_under_its_id_is_ordered_anew() {
+async fn restarted_engine_gets_new_orders() {
     let world = World::new();
     let (a, b) = (world.engine("a", "llm"), world.engine("b", "llm"));
     let node = world.node().await;
-    covered(&[&a, &b]).await;
+    wait_all_held(&[&a, &b]).await;
     a.restart();
     a.list("ready");
-    covered(&[&a, &b]).await;
-    assert_eq!(heard(&node, "a").await, ["its store entry"]);
-    assert_eq!(a.counted(), Some(0), "orders are counted anew");
+    wait_all_held(&[&a, &b]).await;
+    assert_eq!(wait_for_restart(&node, "a").await, ["its store entry"]);
+    assert_eq!(a.counted(), Some(0), "the count of orders starts again");
 }
 
-/// Its entry may stay as it was: heartbeats change nothing else, and it was never away.
+/// After a restart the entry may be unchanged: heartbeats do not modify it, and the engine was never unlisted.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_s_own_word_ends_its_last_life_before_its_entry_does() {
+async fn status_shows_restart_before_entry() {
     let world = World::new();
     let (a, b) = (world.engine("a", "llm"), world.engine("b", "llm"));
     let node = world.node().await;
-    covered(&[&a, &b]).await;
+    wait_all_held(&[&a, &b]).await;
     let old = a.entry("ready");
     a.restart();
-    covered(&[&a, &b]).await;
-    assert_eq!(heard(&node, "a").await, ["its status"]);
-    // An older word that arrives late is passed over.
+    wait_all_held(&[&a, &b]).await;
+    assert_eq!(wait_for_restart(&node, "a").await, ["its status"]);
+    // A late entry of the earlier incarnation is ignored.
     let held = a.layers();
     world.store.put("servers/a", &old);
     let other = world.engine("c", "api");
-    listed(&node, &other).await;
-    assert_eq!((reborn(&node, "a").len(), a.layers()), (1, held));
+    wait_listed(&node, &other).await;
+    assert_eq!((restart_evidence(&node, "a").len(), a.layers()), (1, held));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_was_leaving_and_starts_again_takes_work() {
+async fn draining_engine_takes_work_after_restart() {
     let world = World::new();
     let a = world.engine("a", "api");
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     assert_eq!(status(&caller, "/get/x").await, 200);
     a.list("draining");
-    wait("it is left alone", async || status(&caller, "/get/x").await == 503).await;
-    // The same life does not come back.
+    wait("it gets no work", async || status(&caller, "/get/x").await == 503).await;
+    // The same incarnation does not become ready again.
     a.list("ready");
     let other = world.engine("b", "one");
-    listed(&node, &other).await;
+    wait_listed(&node, &other).await;
     assert_eq!(status(&caller, "/get/x").await, 503);
     a.restart();
     a.list("ready");
-    wait("its new life takes work", async || status(&caller, "/get/x").await == 200).await;
+    wait("the new incarnation gets work", async || status(&caller, "/get/x").await == 200).await;
 }
 
-/// A first list, changes, and the list that another node tells: bad entries name no engine, and the
-/// others hold.
+/// Invalid entries in a first list, in changes and in the list of a follower add no engine, and do not affect
+/// valid entries.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_of_another_writer_name_no_engine_and_the_others_hold() {
+async fn invalid_entries_add_no_engine() {
     let world = World::new();
     let (good, bad) = (world.engine("good", "api"), world.engine("bad", "api"));
     let entries = bad_entries(&bad.entry("ready"));
@@ -111,19 +111,19 @@
     put_bad();
     let planner = world.start("n1", &json!({}));
     planner.wait_ready().await.unwrap();
-    wait("it plans", async || !planner.events("domain_planner").is_empty()).await;
+    wait("it is planner", async || !planner.events("domain_planner").is_empty()).await;
     let follower = world.start("n2", &json!({}));
     follower.wait_ready().await.unwrap();
-    wait("it is told", async || fed(&follower) == Some(true)).await;
+    wait("it is fed", async || fed(&follower) == Some(true)).await;
     let callers = [&planner, &follower].map(|n| Caller::new(n.listen).key(KEY));
     for caller in &callers {
         for _ in 0..10 {
             assert_eq!(status(caller, "/get/x").await, 200);
         }
     }
-    // The same as changes, and one that takes the place of an engine's own.
+    // The same entries as changes, and one that replaces a valid entry.
     bad.list("ready");
-    wait("both send it requests", async || {
+    wait("both nodes send it requests", async || {
         for caller in &callers {
             assert_eq!(status(caller, "/get/x").await, 200);
         }
@@ -134,7 +134,7 @@
     world.store.put("servers/bad", &json!({ "state": "ready" }));
     let gone =
         |node: &GatewayProcess| node.events("engine_gone").iter().any(|e| e["engine"] == "bad");
-    wait("both take it off", async || gone(&planner) && gone(&follower)).await;
+    wait("both nodes remove it", async || gone(&planner) && gone(&follower)).await;
     let seen = bad.seen().len();
     for caller in &callers {
         for _ in 0..10 {
--- a/crates/heathpitchd/tests/gateway_store.rs
+++ b/crates/heathpitchd/tests/gateway_store.rs
@@ -1,4 +1,4 @@
-//! The store: changes in force, proofs of freshness, outages, engines that leave.
+//! The store: adoption of changes, proofs of freshness, outages, draining engines.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -10,17 +10,17 @@
 use heathpitch_standin::{CONFIG, Caller, GatewayProcess, Mode, RouteSpec};
 use serde_json::json;
 
-/// Takes the store away, or brings it back, and waits until the node knows.
-async fn store_goes(world: &World, node: &GatewayProcess, up: bool) {
+/// Makes the store available or unavailable, and waits until the node has noticed.
+async fn set_store_up(world: &World, node: &GatewayProcess, up: bool) {
     world.store.behave(if up { Mode::Up } else { Mode::Busy });
-    wait("the node knows of the store", async || {
+    wait("the node notices", async || {
         node.events("store_reachable").iter().any(|e| e["reachable"] == up)
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_configuration_is_in_force_soon_and_an_old_one_never_again() {
+async fn new_configuration_replaces_old_one_for_good() {
     let mut world = World::new();
     world.engine("a", "api");
     let node = world.node().await;
@@ -38,12 +38,12 @@
     let versions = || -> Vec<_> {
         node.events("config_adopted").iter().map(|e| e["version"].clone()).collect()
     };
-    wait("the log tells the last one", async || versions().len() >= 3).await;
+    wait("the last version is logged", async || versions().len() >= 3).await;
     assert_eq!(versions(), [json!(3), json!(9), json!(11)]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_that_cannot_be_read_leaves_the_one_before_in_force() {
+async fn invalid_configuration_leaves_previous_in_force() {
     let world = World::new();
     world.engine("a", "api");
     let node = world.node().await;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_was_taken_away_works_no_longer() {
+async fn removed_key_is_refused() {
     let mut world = World::new();
     world.engine("a", "api");
     let node = world.node().await;
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_fresh_proof_no_key_is_believed() {
+async fn keys_need_a_fresh_proof() {
     for mode in [Mode::Silent, Mode::Busy] {
         let world = World::new();
         let engine = world.engine("a", "api");
@@ -77,31 +77,31 @@
         let caller = Caller::new(node.listen).key(KEY);
         assert_eq!(status(&caller, "/get/x").await, 200);
         world.store.behave(mode);
-        wait("keys are put off", async || status(&caller, "/get/x").await == 503).await;
+        wait("calls with keys get 503", async || status(&caller, "/get/x").await == 503).await;
         let before = engine.seen().len();
         assert_eq!(status(&caller, "/get/x").await, 503);
         assert_eq!(engine.seen().len(), before);
-        // What needs no key is served on, and what is not known is put off, not denied.
+        // Routes without keys are served; an unknown route gets 503 rather than a denial.
         assert_eq!(status(&Caller::new(node.listen), "/open/x").await, 200);
         assert_eq!(status(&caller, "/nowhere/x").await, 503);
         world.store.behave(Mode::Up);
-        wait("keys are believed again", async || status(&caller, "/get/x").await == 200).await;
+        wait("keys are accepted again", async || status(&caller, "/get/x").await == 200).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_leaves_gets_no_new_work() {
+async fn draining_engine_gets_no_new_work() {
     let world = World::new();
     let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     a.list("draining");
-    wait("the node knows that it leaves", async || {
+    wait("the node knows that it drains", async || {
         node.events("engine_listed").iter().any(|e| e["engine"] == "a" && e["leaving"] == true)
     })
     .await;
     let before = a.seen().len();
-    // Its word binds it, whatever its entry says later.
+    // Draining holds for the incarnation, whatever its entry states later.
     a.list("ready");
     for _ in 0..12 {
         assert_eq!(status(&caller, "/get/x").await, 200);
@@ -111,14 +111,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_goes_just_after_an_outage_gets_no_new_work() {
+async fn engine_unlisted_after_outage_is_removed_in_time() {
     let world = World::new();
     let engines: Vec<_> = (0..6).map(|i| world.engine(&format!("e{i}"), "api")).collect();
     let node = world.node().await;
-    store_goes(&world, &node, false).await;
-    store_goes(&world, &node, true).await;
+    set_store_up(&world, &node, false).await;
+    set_store_up(&world, &node, true).await;
     engines[0].unlist();
-    wait("the engine is off the list", async || {
+    wait("the engine is removed", async || {
         node.events("engine_gone").iter().any(|e| e["engine"] == "e0")
     })
     .await;
@@ -129,18 +129,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_list_that_lapsed_in_an_outage_is_kept_until_it_is_back() {
+async fn lapsed_entries_are_kept_after_outage() {
     let world = World::new();
     let engines: Vec<_> = (0..4).map(|i| world.engine(&format!("e{i}"), "api")).collect();
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
-    store_goes(&world, &node, false).await;
+    set_store_up(&world, &node, false).await;
     engines.iter().for_each(|e| e.unlist());
-    store_goes(&world, &node, true).await;
+    set_store_up(&world, &node, true).await;
     tokio::time::sleep(Duration::from_millis(800)).await;
     assert_eq!(status(&caller, "/get/x").await, 200);
     engines[..3].iter().for_each(|e| e.list("ready"));
-    wait("what stays away is gone", async || {
+    wait("the engine that stays unlisted is removed", async || {
         node.events("engine_gone").iter().any(|e| e["engine"] == "e3")
     })
     .await;
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_of_the_store_leaves_one_planner() {
+async fn lost_store_responses_leave_one_planner() {
     let world = World::new();
     world.engine("a", "api");
     world.store.behave(Mode::Lost);
@@ -158,24 +158,24 @@
     first.wait_ready().await.unwrap();
     let second = world.start("n2", &json!({}));
     second.wait_ready().await.unwrap();
-    let plans = async || {
+    let planners = async || {
         let active = |n: &GatewayProcess| {
             n.events("domain_planner").last().is_some_and(|e| e["active"] == true)
         };
         usize::from(active(&first)) + usize::from(active(&second))
     };
-    wait("one node plans", async || plans().await == 1).await;
+    wait("one node is planner", async || planners().await == 1).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    assert_eq!(plans().await, 1);
+    assert_eq!(planners().await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_comes_back_soon_after_an_outage_was_never_gone() {
+async fn entry_missing_briefly_after_outage_is_kept() {
     let world = World::new();
     let engines: Vec<_> = (0..6).map(|i| world.engine(&format!("e{i}"), "api")).collect();
     let node = world.node().await;
-    store_goes(&world, &node, false).await;
-    store_goes(&world, &node, true).await;
+    set_store_up(&world, &node, false).await;
+    set_store_up(&world, &node, true).await;
     engines[0].unlist();
     tokio::time::sleep(Duration::from_millis(500)).await;
     engines[0].list("ready");
--- a/crates/heathpitchd/tests/gateway_store_eras.rs
+++ b/crates/heathpitchd/tests/gateway_store_restore.rs
@@ -1,5 +1,4 @@
-//! A store that comes back from a copy some seconds old: what was written since is gone, and its revisions are
-//! given out again.
+//! A store restored from a copy some seconds old: later writes are lost, and their revisions are assigned again.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -11,115 +10,120 @@
 use heathpitch_standin::{Caller, GatewayProcess, RouteSpec, Store};
 use hyper::Method;
 
-/// Time in which a configuration has to be in force, and leaving engines left, as agreed.
-const AGREED: Duration = Duration::from_millis(2_000);
-/// Changes of others since the copy, so that the store's revision is again what it was.
-const GROWN: u64 = 200;
+/// Agreed time within which a configuration is in force, and draining engines get no more work.
+const ADOPTION_LIMIT: Duration = Duration::from_millis(2_000);
+/// Unrelated writes, by which the store's revision advances.
+const WRITES: u64 = 200;
 
 fn caller(node: &GatewayProcess, key: &str) -> Caller {
     Caller::new(node.listen).key(key)
 }
 
-/// Writes the configuration with one route more.
+/// Writes the configuration with one more route.
 fn add_route(world: &mut World, prefix: &str) {
     world.site.routes.push(RouteSpec::idempotent(prefix, "api"));
     world.site.version += 1;
     world.configure();
 }
 
-async fn in_force(node: &GatewayProcess, target: &str) {
+async fn wait_in_force(node: &GatewayProcess, target: &str) {
     wait("the route is in force", async || status(&caller(node, KEY), target).await == 200).await;
 }
 
-/// Its revision is lower than that of the one in force, which is lost.
+/// The new configuration has a lower revision than the one in force, which the store has lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_that_is_written_after_a_return_is_in_force_in_time() {
+async fn configuration_written_after_restore_is_adopted_in_time() {
     let mut world = World::new();
     world.engine("a", "api");
     let node = world.node().await;
     world.store.copy();
-    (0..GROWN).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
+    (0..WRITES).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
     add_route(&mut world, "/lost/");
-    in_force(&node, "/lost/x").await;
+    wait_in_force(&node, "/lost/x").await;
     world.store.come_back(&[], 0);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(status(&caller(&node, KEY), "/lost/x").await, 200, "it does not go back");
+    assert_eq!(
+        status(&caller(&node, KEY), "/lost/x").await,
+        200,
+        "the configuration in force stays"
+    );
     world.configure();
     add_route(&mut world, "/next/");
     let written = Instant::now();
-    in_force(&node, "/next/x").await;
-    assert!(written.elapsed() < AGREED, "{:?}", written.elapsed());
+    wait_in_force(&node, "/next/x").await;
+    assert!(written.elapsed() < ADOPTION_LIMIT, "{:?}", written.elapsed());
     assert_eq!(status(&caller(&node, KEY), "/lost/x").await, 200);
 }
 
-/// Revisions have grown past those that watches go on from, so that none of them is refused.
+/// After the restore, revisions have grown past those from which watches continue, so the store rejects none of them.
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_that_another_history_hides_are_heard_in_time() {
+async fn changes_of_another_era_are_seen_in_time() {
     let mut world = World::new();
     let (leaving, _other) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
     world.store.copy();
-    (0..GROWN / 2).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
+    (0..WRITES / 2).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
     tokio::time::sleep(Duration::from_millis(700)).await;
     world.site.routes.push(RouteSpec::idempotent("/next/", "api"));
     world.site.version += 1;
     let config = Store::config_entry(&world.site.json());
-    world.store.come_back(&[leaving.keyed_entry("draining"), config], GROWN);
+    world.store.come_back(&[leaving.keyed_entry("draining"), config], WRITES);
     let written = Instant::now();
-    in_force(&node, "/next/x").await;
-    assert!(written.elapsed() < AGREED, "{:?}", written.elapsed());
-    tokio::time::sleep(AGREED.saturating_sub(written.elapsed())).await;
-    let came = leaving.seen().len();
+    wait_in_force(&node, "/next/x").await;
+    assert!(written.elapsed() < ADOPTION_LIMIT, "{:?}", written.elapsed());
+    tokio::time::sleep(ADOPTION_LIMIT.saturating_sub(written.elapsed())).await;
+    let served = leaving.seen().len();
     for _ in 0..20 {
         assert_eq!(status(&caller(&node, KEY), "/get/x").await, 200);
     }
-    assert_eq!(leaving.seen().len(), came);
+    assert_eq!(leaving.seen().len(), served);
 }
 
-/// It left, and ended, after the copy was made; so its entry is back, and says that it is ready.
+/// The engine drained and exited after the copy was made, so the restore brings back its entry as ready.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_left_is_not_taken_back_with_its_entry() {
+async fn drained_engine_is_not_reused_after_restore() {
     let world = World::new();
-    let engines = ["says-so", "goes", "other"].map(|id| world.engine(id, "api"));
-    let [says_so, goes, _] = &engines;
+    let engines = ["drained", "unlisted", "other"].map(|id| world.engine(id, "api"));
+    let [drained, unlisted, _] = &engines;
     let node = world.node().await;
     world.store.copy();
-    (0..GROWN).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
-    says_so.list("draining");
-    goes.unlist();
+    (0..WRITES).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
+    drained.list("draining");
+    unlisted.unlist();
     let known = async |event: &str, id: &str| {
-        wait("it is known", async || node.events(event).iter().any(|e| e["engine"] == id)).await;
+        wait("the event is logged", async || node.events(event).iter().any(|e| e["engine"] == id))
+            .await;
     };
-    known("engine_gone", "goes").await;
-    says_so.unlist();
-    known("engine_gone", "says-so").await;
-    let came = says_so.seen().len() + goes.seen().len();
+    known("engine_gone", "unlisted").await;
+    drained.unlist();
+    known("engine_gone", "drained").await;
+    let served = drained.seen().len() + unlisted.seen().len();
     world.store.come_back(&[], 0);
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(3_000) {
         assert_eq!(status(&caller(&node, KEY), "/get/x").await, 200);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(says_so.seen().len() + goes.seen().len(), came);
+    assert_eq!(drained.seen().len() + unlisted.seen().len(), served);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_taken_away_stays_taken_away_also_at_a_node_that_begins() {
+async fn removed_key_stays_removed_also_at_starting_node() {
     let mut world = World::new();
     world.engine("a", "api");
     let (planner, _link, follower) = world.planner_and_follower().await;
     world.store.copy();
-    (0..GROWN).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
+    (0..WRITES).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
     world.site.tenants[0].1.retain(|key| key != KEY_2);
     world.site.version += 1;
     world.configure();
     for node in [&planner, &follower] {
-        wait("it is taken away", async || status(&caller(node, KEY_2), "/get/x").await == 401)
+        wait("the key is refused", async || status(&caller(node, KEY_2), "/get/x").await == 401)
             .await;
     }
-    world.store.come_back(&[], GROWN / 4);
-    let begun = world.start("n3", &serde_json::json!({}));
-    begun.wait_ready().await.unwrap();
+    world.store.come_back(&[], WRITES / 4);
+    let started = world.start("n3", &serde_json::json!({}));
+    started.wait_ready().await.unwrap();
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(4_000) {
         for node in [&planner, &follower] {
@@ -128,15 +132,19 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert_ne!(status(&caller(&begun, KEY_2), "/get/x").await, 200, "neighbours tell it");
+    assert_ne!(
+        status(&caller(&started, KEY_2), "/get/x").await,
+        200,
+        "other nodes supply the newer configuration"
+    );
     world.configure();
-    for node in [&planner, &follower, &begun] {
-        wait("calls with keys are served", async || {
+    for node in [&planner, &follower, &started] {
+        wait("calls with a valid key are served", async || {
             status(&caller(node, KEY), "/get/x").await == 200
         })
         .await;
-        // Put off, not denied, while its proof is older than a denial may rest on.
-        wait("the key that was taken away is denied", async || {
+        // The node answers 503 instead of 401 while its proof is too old for a denial.
+        wait("the removed key is denied", async || {
             let status = status(&caller(node, KEY_2), "/get/x").await;
             assert!(status == 401 || status == 503, "{status}");
             status == 401
@@ -145,9 +153,9 @@
     }
 }
 
-/// Leases are gone, or are back from the dead; two returns follow each other.
+/// Two restores in succession: leases are lost, or expired ones reappear.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failure_domain_has_one_planner_again_and_all_is_served() {
+async fn one_planner_remains_after_restores() {
     let world = World::new();
     world.engine("a", "api");
     world.store.copy();
@@ -161,9 +169,9 @@
         }
     };
     calls().await;
-    world.store.come_back(&[], GROWN);
+    world.store.come_back(&[], WRITES);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    world.store.come_back(&[], GROWN / 4);
+    world.store.come_back(&[], WRITES / 4);
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(5_000) {
         calls().await;
@@ -172,13 +180,14 @@
     let plans = |n: &GatewayProcess| n.events("domain_planner").last().map(|e| e["active"] == true);
     let planning = [&planner, &follower].into_iter().filter(|n| plans(n) == Some(true)).count();
     assert_eq!(planning, 1);
-    let told = |n: &GatewayProcess| {
+    let is_fed = |n: &GatewayProcess| {
         n.events("feed_changed").last().is_some_and(|e| !e["planner"].is_null())
     };
-    assert!(told(&planner) || told(&follower), "the other one is told");
+    assert!(is_fed(&planner) || is_fed(&follower), "the other node is fed");
     for node in [&planner, &follower] {
         assert_eq!(status(&caller(node, KEY), "/get/x").await, 200);
         let era = |e: &serde_json::Value| e["era"] == 3;
-        wait("it knows", async || node.events("store_came_back").iter().any(era)).await;
+        wait("the restore is detected", async || node.events("store_came_back").iter().any(era))
+            .await;
     }
 }
