--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -76,8 +76,8 @@
     let key = control.edges.dialect.config_key();
     let mut at = from;
     loop {
-        let asked = control.watch("configuration", prefix, at, WATCH_MS);
-        let Some(answer) = control.until_doubt(asked).await else {
+        let answer = control.watch("configuration", prefix, at, WATCH_MS);
+        let Some(answer) = control.until_doubt(answer).await else {
             if control.wait_to_read().await {
                 return;
             }
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -90,8 +90,8 @@
 /// Whether proofs of the configuration cover the list.
 fn is_proven(control: &Control) -> bool {
     let age = control.shared.listed.load().age(control.now());
-    let told = control.store_revision.get() == control.engines_revision.get();
-    control.is_planner() && told && age.is_some_and(|age| age < LIST_MAX_AGE_MS)
+    let complete = control.store_revision.get() == control.engines_revision.get();
+    control.is_planner() && complete && age.is_some_and(|age| age < LIST_MAX_AGE_MS)
 }
 
 /// Waits until the list is too old, or a proof shows a change that the watch has not delivered.
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -60,7 +60,7 @@
     let recency = control.incarnations.borrow_mut().observe(&engine.id, status.born, control.now());
     match recency {
         Recency::Current => {}
-        Recency::Stale => return Err(RpcError::Lost("status of an old incarnation".to_owned())),
+        Recency::Stale => return Err(RpcError::Lost("stale incarnation".to_owned())),
         Recency::Restarted => {
             reset_restarted(control, &engine.id, status.born, "its status");
             // The status decides which layers it holds until its entry is updated.
@@ -142,8 +142,8 @@
     let old = control.entries.borrow().get(&id).cloned();
     // Once announced, in an entry or a response, draining holds for the rest of the incarnation.
     let left = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
-    let said = left || control.drain_notices.borrow().is_draining(&life(&entry));
-    let state = if said { EntryState::Leaving } else { entry.state };
+    let draining = left || control.drain_notices.borrow().is_draining(&life(&entry));
+    let state = if draining { EntryState::Leaving } else { entry.state };
     let entry = EngineEntry { state, ..entry };
     control.mirror.borrow_mut().put(item.key.clone(), item.revision.0, item.clone());
     if old.as_deref() == Some(&entry) {
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -52,9 +52,9 @@
 }
 
 impl NoticeCursors {
-    /// Advances both positions after the answer to a request that sent notices up to `told`.
-    pub(super) fn advance(&mut self, told: NoticeCursor, answer: &FeedResponse) {
-        *self = Self { sent: told, received: answer.notice_cursor };
+    /// Advances both positions after the answer to a request that sent notices up to `sent`.
+    pub(super) fn advance(&mut self, sent: NoticeCursor, answer: &FeedResponse) {
+        *self = Self { sent, received: answer.notice_cursor };
     }
 }
 
@@ -109,13 +109,14 @@
 /// Polls a seed for the current planners only; planners serve the list and the configuration.
 async fn poll_seed(control: &Control) {
     let Some(seed) = control.seeds.choose(&mut rand::rng()) else { return };
-    let (ask, _) = control.feed_request(FeedCursor::default(), &NoticeCursors::default(), true);
+    let (request, _) = control.feed_request(FeedCursor::default(), &NoticeCursors::default(), true);
     let sent = control.now();
-    let answer = async { FeedClient::open(seed.address, TIMEOUT).await?.poll(&ask, TIMEOUT).await };
+    let answer =
+        async { FeedClient::open(seed.address, TIMEOUT).await?.poll(&request, TIMEOUT).await };
     match answer.await {
-        Ok(told) => {
-            record_nodes(control, seed, &told);
-            control.record_notices(&told.notices, sent, &seed.node);
+        Ok(response) => {
+            record_nodes(control, seed, &response);
+            control.record_notices(&response.notices, sent, &seed.node);
         }
         Err(e) => log::info!("poll of seed {} failed: {e}", seed.address),
     }
@@ -127,7 +128,7 @@
     let label = if answer.is_ok() { "ok" } else { "failed" };
     control.shared.metrics.feed.with_label_values(&[label]).inc();
     match answer {
-        Ok((sent, told)) => apply(control, state, source, sent, told),
+        Ok((sent, response)) => apply(control, state, source, sent, response),
         Err(e) => {
             *state = FeedState::default();
             log::info!("poll of node {} failed: {e}", source.node);
@@ -149,13 +150,13 @@
     if state.node.as_ref() != Some(&source.node) {
         *state = FeedState { node: Some(source.node.clone()), ..FeedState::default() };
     }
-    let (ask, told_to) = control.feed_request(state.cursor, &state.notices, false);
+    let (request, sent_to) = control.feed_request(state.cursor, &state.notices, false);
     if let Some(client) = &state.client {
         let sent = control.now();
-        match client.poll(&ask, TIMEOUT).await {
-            Ok(told) => {
-                state.notices.advance(told_to, &told);
-                return Ok((sent, told));
+        match client.poll(&request, TIMEOUT).await {
+            Ok(response) => {
+                state.notices.advance(sent_to, &response);
+                return Ok((sent, response));
             }
             Err(e) => log::info!("the connection to node {} was lost: {e}", source.node),
         }
@@ -164,10 +165,10 @@
     let client = FeedClient::open(source.address, TIMEOUT).await?;
     let sent = control.now();
     let limit = if state.cursor.serial == 0 { FULL_TIMEOUT } else { TIMEOUT };
-    let told = client.poll(&ask, limit).await?;
-    state.notices.advance(told_to, &told);
+    let response = client.poll(&request, limit).await?;
+    state.notices.advance(sent_to, &response);
     state.client = Some(client);
-    Ok((sent, told))
+    Ok((sent, response))
 }
 
 /// Applies the answer to a request sent at `sent`.
@@ -176,58 +177,60 @@
     state: &mut FeedState,
     source: &Source,
     sent: Millis,
-    told: FeedResponse,
+    response: FeedResponse,
 ) -> PollOutcome {
-    record_nodes(control, source, &told);
-    control.record_notices(&told.notices, sent, &source.node);
-    let proven = sent.saturating_sub(told.entries_age_ms);
+    record_nodes(control, source, &response);
+    control.record_notices(&response.notices, sent, &source.node);
+    let proven = sent.saturating_sub(response.entries_age_ms);
     let own = control.shared.listed.load().at();
     // An empty delta means that the source has the same list.
-    let same = told.engines == FeedEngines::default();
+    let same = response.engines == FeedEngines::default();
     // A newer configuration was acknowledged by the store, so it holds regardless of the rest of the answer.
-    if let Some(config) = &told.config
+    if let Some(config) = &response.config
         && let Err(e) = adopt(control, config)
     {
         log::warn!("invalid configuration from node {}: {e}", source.node);
         return PollOutcome::Declined;
     }
-    if !told.fresh || !control.sources.borrow().accepts(&source.node, proven, own, same) {
+    if !response.fresh || !control.sources.borrow().accepts(&source.node, proven, own, same) {
         return PollOutcome::Declined;
     }
-    if let Err(e) = apply_engines(control, &told.engines) {
+    if let Err(e) = apply_engines(control, &response.engines) {
         log::warn!("invalid list of engines from node {}: {e}", source.node);
         return PollOutcome::Declined;
     }
-    state.cursor = told.cursor;
-    reports::hear(control, &told.reports, sent);
+    state.cursor = response.cursor;
+    reports::hear(control, &response.reports, sent);
     prove(&control.shared.listed, proven);
     state.fresh_until = proven + MAX_LIST_AGE_MS;
-    if control.revision() >= told.revision {
-        prove(&control.shared.fresh, sent.saturating_sub(told.config_age_ms));
+    if control.revision() >= response.revision {
+        prove(&control.shared.fresh, sent.saturating_sub(response.config_age_ms));
     }
     PollOutcome::Fresh
 }
 
 /// Applies what an answer says of nodes, which its sender may know without access to the store.
-fn record_nodes(control: &Control, source: &Source, told: &FeedResponse) {
-    for p in &told.planners {
+fn record_nodes(control: &Control, source: &Source, response: &FeedResponse) {
+    for p in &response.planners {
         let source = Source { node: p.node.clone(), address: p.address };
         nodes::record_planner(control, &p.domain, DomainPlanner { source, revision: p.revision });
     }
-    let near = control.sources.borrow().is_local(&source.node);
-    if near {
-        let standbys = told.standbys.iter();
+    let is_local = control.sources.borrow().is_local(&source.node);
+    if is_local {
+        let standbys = response.standbys.iter();
         let standbys =
             standbys.map(|(node, address)| Source { node: node.clone(), address: *address });
         control.sources.borrow_mut().set_standbys(standbys.collect());
     }
-    if near && told.planner_released {
+    if is_local && response.planner_released {
         control.planner_released_lease();
     }
-    if told.fleet_size > 0 {
-        let known = control.fleet.get().map(|f| f.domain_size).filter(|_| !near);
-        let fleet =
-            Fleet { nodes: told.fleet_size, domain_size: known.unwrap_or(told.domain_size) };
+    if response.fleet_size > 0 {
+        let known = control.fleet.get().map(|f| f.domain_size).filter(|_| !is_local);
+        let fleet = Fleet {
+            nodes: response.fleet_size,
+            domain_size: known.unwrap_or(response.domain_size),
+        };
         if control.fleet.replace(Some(fleet)) != Some(fleet) {
             control.publish();
         }
@@ -240,8 +243,8 @@
     Ok(())
 }
 
-fn apply_engines(control: &Control, told: &FeedEngines) -> Result<(), RpcError> {
-    let (items, gone) = match told {
+fn apply_engines(control: &Control, response: &FeedEngines) -> Result<(), RpcError> {
+    let (items, gone) = match response {
         FeedEngines::Whole(packed) => {
             let items = unpack(packed)?;
             let kept: HashSet<Name> =
@@ -275,8 +278,8 @@
         reports_only: bool,
     ) -> (FeedRequest, NoticeCursor) {
         let settings = self.shared.settings.load();
-        let (notices, told) = self.notices_since(cursors.sent);
-        let ask = FeedRequest {
+        let (notices, end) = self.notices_since(cursors.sent);
+        let request = FeedRequest {
             node: settings.node.clone(),
             address: self.shared.peer.unwrap_or(settings.listen),
             able: nodes::is_able(&settings),
@@ -288,7 +291,7 @@
             notices,
             notice_cursor: cursors.received,
         };
-        (ask, told)
+        (request, end)
     }
 
     /// Notices after the position `known`, and the position that follows them.
--- a/crates/heathpitchd/src/gateway/control/feed_server.rs
+++ b/crates/heathpitchd/src/gateway/control/feed_server.rs
@@ -54,30 +54,30 @@
 }
 
 /// Answers a poll, and records the notices in it.
-pub(super) fn answer(control: &Control, ask: FeedRequest) -> FeedResponse {
+pub(super) fn answer(control: &Control, request: FeedRequest) -> FeedResponse {
     // The time of arrival is an upper bound of the time of sending.
-    control.record_notices(&ask.notices, control.now(), &ask.node);
-    let (notices, notice_cursor) = control.notices_since(ask.notice_cursor);
-    let told = answer_feed(control, ask);
-    FeedResponse { notices, notice_cursor, ..told }
+    control.record_notices(&request.notices, control.now(), &request.node);
+    let (notices, notice_cursor) = control.notices_since(request.notice_cursor);
+    let response = answer_feed(control, request);
+    FeedResponse { notices, notice_cursor, ..response }
 }
 
-fn answer_feed(control: &Control, ask: FeedRequest) -> FeedResponse {
-    let known = if ask.cursor.incarnation == control.incarnation {
-        ask.cursor
+fn answer_feed(control: &Control, request: FeedRequest) -> FeedResponse {
+    let known = if request.cursor.incarnation == control.incarnation {
+        request.cursor
     } else {
         FeedCursor::default()
     };
-    if ask.reports_only {
+    if request.reports_only {
         return local_reports(control, known);
     }
-    let follower = Source { node: ask.node.clone(), address: ask.address };
-    control.followers.borrow_mut().record_poll(follower, ask.able, control.now());
-    let mut told = nodes(control);
-    if let Err(e) = fill(control, &ask, known, &mut told) {
+    let follower = Source { node: request.node.clone(), address: request.address };
+    control.followers.borrow_mut().record_poll(follower, request.able, control.now());
+    let mut response = nodes(control);
+    if let Err(e) = fill(control, &request, known, &mut response) {
         log::error!("failed to pack the answer to a poll: {e}");
     }
-    told
+    response
 }
 
 /// Reports of this failure domain's engines, for the planner of another failure domain.
@@ -115,12 +115,12 @@
 /// Adds the contents of the store if this node's copy is fresh enough and the link budget allows it.
 fn fill(
     control: &Control,
-    ask: &FeedRequest,
+    request: &FeedRequest,
     known: FeedCursor,
-    told: &mut FeedResponse,
+    response: &mut FeedResponse,
 ) -> Result<(), RpcError> {
     let (shared, now) = (&control.shared, control.now());
-    let config = match control.has_newer_config(ask) {
+    let config = match control.has_newer_config(request) {
         true => config(control)?,
         false => None,
     };
@@ -132,24 +132,24 @@
         // Not proven to be the newest, but newer than the follower's.
         _ => {
             let length = config.as_ref().map_or(0, |c| c.value.len());
-            told.config = config.filter(|_| control.full_transfers.take(length, now));
+            response.config = config.filter(|_| control.full_transfers.take(length, now));
             return Ok(());
         }
     };
-    let engines = engines(control, ask.digest, known.serial)?;
+    let engines = engines(control, request.digest, known.serial)?;
     let packed = if let FeedEngines::Whole(packed) = &engines { packed.len() } else { 0 };
     let large = packed + config.as_ref().map_or(0, |c| c.value.len());
     if !control.full_transfers.take(large, now) {
-        told.withheld = true;
+        response.withheld = true;
         return Ok(());
     }
     let (reports, reported) = reports::told(control, None, known.reported);
     let serial = control.mirror.borrow().serial();
-    told.fresh = true;
-    told.cursor = FeedCursor { incarnation: control.incarnation, serial, reported };
-    told.revision = control.revision();
-    (told.config_age_ms, told.entries_age_ms) = (proof_ms, list_ms);
-    (told.engines, told.config, told.reports) = (engines, config, reports);
+    response.fresh = true;
+    response.cursor = FeedCursor { incarnation: control.incarnation, serial, reported };
+    response.revision = control.revision();
+    (response.config_age_ms, response.entries_age_ms) = (proof_ms, list_ms);
+    (response.engines, response.config, response.reports) = (engines, config, reports);
     Ok(())
 }
 
@@ -189,11 +189,14 @@
 /// # Revision
 impl Control {
     /// Whether the configuration in force is newer than that of the polling node.
-    fn has_newer_config(&self, ask: &FeedRequest) -> bool {
+    fn has_newer_config(&self, request: &FeedRequest) -> bool {
         let (revision, version) = (self.revision(), self.version());
-        match revision.era() == ask.revision.era() {
-            true => ask.revision < revision,
-            false => ask.version < version || (ask.version == version && ask.revision < revision),
+        match revision.era() == request.revision.era() {
+            true => request.revision < revision,
+            false => {
+                request.version < version
+                    || (request.version == version && request.revision < revision)
+            }
         }
     }
 
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -83,7 +83,7 @@
         // Another planner of this failure domain wrote it first.
         Err(StoreError::Conflict(items)) => {
             match items.first() {
-                Some(item) => take(control, item),
+                Some(item) => load_record(control, item),
                 None => control.stored_limits.borrow_mut().forget(),
             }
             Ok(())
@@ -99,7 +99,7 @@
 }
 
 /// Applies a record read from the store.
-pub(super) fn take(control: &Control, item: &Item) {
+pub(super) fn load_record(control: &Control, item: &Item) {
     let Ok(text) = std::str::from_utf8(&item.value) else {
         return log::warn!("invalid record {} of engine limits: not UTF-8", item.key);
     };
@@ -114,8 +114,8 @@
 }
 
 /// Records that a record was deleted from the store.
-pub(super) fn gone(control: &Control, key_gone: &str) {
-    if key_gone == key(&control.domain()) {
+pub(super) fn record_deleted(control: &Control, deleted: &str) {
+    if deleted == key(&control.domain()) {
         control.stored_limits.borrow_mut().forget();
     }
 }
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -88,8 +88,8 @@
                 let c = control.clone();
                 let issuer = control.clone();
                 let server = FeedServer::new(
-                    Rc::new(move |ask| feed_server::answer(&c, ask)),
-                    Rc::new(move |ask| issuer.hand_out(&ask)),
+                    Rc::new(move |request| feed_server::answer(&c, request)),
+                    Rc::new(move |request| issuer.hand_out(&request)),
                 );
                 spawn_local(server.serve(peers.into_socket()));
             }
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -80,7 +80,7 @@
     let sent = control.now();
     let result = poll(control, neighbour).await;
     match &result {
-        Ok(told) => apply(control, domain, neighbour, told, sent),
+        Ok(response) => apply(control, domain, neighbour, response, sent),
         Err(_) => neighbour.next = control.now() + RETRY_AFTER_MS,
     }
     if neighbour.answers != result.is_ok() {
@@ -95,15 +95,15 @@
     control: &Control,
     domain: &Name,
     neighbour: &mut Neighbour,
-    told: &FeedResponse,
+    response: &FeedResponse,
     sent: Millis,
 ) {
-    neighbour.cursor = told.cursor;
-    if told.domain_size > 0 {
-        control.domain_sizes.borrow_mut().insert(domain.clone(), told.domain_size);
+    neighbour.cursor = response.cursor;
+    if response.domain_size > 0 {
+        control.domain_sizes.borrow_mut().insert(domain.clone(), response.domain_size);
     }
-    reports::hear(control, &told.reports, sent);
-    control.record_notices(&told.notices, sent, &neighbour.planner.node);
+    reports::hear(control, &response.reports, sent);
+    control.record_notices(&response.notices, sent, &neighbour.planner.node);
 }
 
 /// Polls on the kept connection, or on a new one; a connection without an answer is dropped.
@@ -112,9 +112,9 @@
         Some(client) => client,
         None => FeedClient::open(neighbour.planner.address, TIMEOUT).await?,
     };
-    let (ask, told_to) = control.feed_request(neighbour.cursor, &neighbour.notices, true);
-    let told = client.poll(&ask, TIMEOUT).await?;
-    neighbour.notices.advance(told_to, &told);
+    let (request, sent_to) = control.feed_request(neighbour.cursor, &neighbour.notices, true);
+    let response = client.poll(&request, TIMEOUT).await?;
+    neighbour.notices.advance(sent_to, &response);
     neighbour.client = Some(client);
-    Ok(told)
+    Ok(response)
 }
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -135,11 +135,11 @@
         for change in &watched.changes {
             match change {
                 ItemChange::Put(item) => apply_entry(control, key, &mut holder, item),
-                ItemChange::Deleted(gone) if &**gone == key => holder = None,
+                ItemChange::Deleted(deleted) if &**deleted == key => holder = None,
                 // Planners of other failure domains are polled until they have a successor.
-                ItemChange::Deleted(gone) => {
-                    quarantine::gone(control, gone);
-                    limit_records::gone(control, gone);
+                ItemChange::Deleted(deleted) => {
+                    quarantine::gone(control, deleted);
+                    limit_records::record_deleted(control, deleted);
                 }
             }
         }
@@ -271,7 +271,7 @@
         return quarantine::take(control, item);
     }
     if item.key.starts_with(limit_records::PREFIX) {
-        return limit_records::take(control, item);
+        return limit_records::load_record(control, item);
     }
     let domain = item.key.strip_prefix(PLANNERS).and_then(|d| d.parse().ok());
     // A planner without an address cannot be polled.
