--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -126,7 +126,8 @@
     true
 }
 
-/// Adopts a configuration unless a newer one is in force, and returns whether none newer than it is.
+/// Adopts a configuration unless a newer one is in force. Returns false only if the one in force comes from another
+/// era of the store and has a higher version.
 ///
 /// Within one era of the store the higher revision is newer. Across a restore from an older copy, the operator's
 /// own version decides: the configuration in force stays until it, or a newer one, is written again.
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -26,7 +26,7 @@
 const WATCH_MS: Millis = 600;
 /// Longest wait of a watch while proofs of the configuration cover the list.
 const PROVEN_WATCH_MS: Millis = 20_000;
-/// Age of the list at which a pending watch is reissued, below the age beyond which followers are not served the list.
+/// Age of the list at which a pending watch is reissued, below the maximum age of a list served to followers.
 const LIST_MAX_AGE_MS: Millis = 1_200;
 /// Wait of the watch that replaces an outdated one. It returns pending changes at once, so that the list does
 /// not become too old to be served to followers.
@@ -43,7 +43,7 @@
 const RELIST_PER_PAGE_MS: Millis = 15_000;
 /// Entries per page of a listing.
 const PAGE_ENTRIES: usize = 500;
-/// If more than one in this many listed entries is missing, entries lapsed and engines did not leave.
+/// If more than one in this many listed entries is missing, the entries lapsed and the engines did not leave.
 const LAPSED_FRACTION: usize = 4;
 /// Time in which a change known to the planner reaches all nodes: batching (200), a follower's poll interval
 /// (400) and the timeout of a poll (300), with margin. Without it followers learned up to 2 255 ms later of
--- a/crates/heathpitchd/tests/gateway_feed.rs
+++ b/crates/heathpitchd/tests/gateway_feed.rs
@@ -152,13 +152,14 @@
     third.wait_ready().await.unwrap();
     wait("the third node is fed", async || fed(&third) == Some(true)).await;
     planner.signal("TERM").unwrap();
-    let plans = |n: &GatewayProcess| n.events("domain_planner").iter().any(|e| e["active"] == true);
+    let is_planner =
+        |n: &GatewayProcess| n.events("domain_planner").iter().any(|e| e["active"] == true);
     wait("another node is planner before the first one exits", async || {
-        plans(&other) || plans(&third)
+        is_planner(&other) || is_planner(&third)
     })
     .await;
     assert_eq!(planner.events("gateway_stopped").len(), 0, "the first node is still running");
-    let (new, follower) = if plans(&other) { ("n2", &third) } else { ("n3", &other) };
+    let (new, follower) = if is_planner(&other) { ("n2", &third) } else { ("n3", &other) };
     wait("the last node follows the new planner", async || {
         follower.events("feed_changed").last().is_some_and(|e| e["planner"] == new)
     })
@@ -215,9 +216,9 @@
     link.lose();
     planner.signal("KILL").unwrap();
     let killed = wall_ms();
-    let plans = || other.events("domain_planner").into_iter().find(|e| e["active"] == true);
-    wait("the second node plans", async || plans().is_some()).await;
-    let took = plans().unwrap()["at"].as_u64().unwrap() - killed;
+    let promotion = || other.events("domain_planner").into_iter().find(|e| e["active"] == true);
+    wait("the second node plans", async || promotion().is_some()).await;
+    let took = promotion().unwrap()["at"].as_u64().unwrap() - killed;
     assert!(took < 7_000, "{took} ms");
 }
 
@@ -233,10 +234,10 @@
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     planner.signal("KILL").unwrap();
     engine.list("draining");
-    let told = wall_ms();
-    let heard = || other.events("engine_listed").into_iter().find(|e| e["leaving"] == true);
-    wait("the second node knows that it drains", async || heard().is_some()).await;
-    let took = heard().unwrap()["at"].as_u64().unwrap() - told;
+    let drained_at = wall_ms();
+    let drain_event = || other.events("engine_listed").into_iter().find(|e| e["leaving"] == true);
+    wait("the second node knows that it drains", async || drain_event().is_some()).await;
+    let took = drain_event().unwrap()["at"].as_u64().unwrap() - drained_at;
     assert!(took < 1_300, "{took} ms");
 }
 
--- a/crates/heathpitchd/tests/gateway_store_restore.rs
+++ b/crates/heathpitchd/tests/gateway_store_restore.rs
@@ -177,9 +177,11 @@
         calls().await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let plans = |n: &GatewayProcess| n.events("domain_planner").last().map(|e| e["active"] == true);
-    let planning = [&planner, &follower].into_iter().filter(|n| plans(n) == Some(true)).count();
-    assert_eq!(planning, 1);
+    let is_planner =
+        |n: &GatewayProcess| n.events("domain_planner").last().map(|e| e["active"] == true);
+    let planners =
+        [&planner, &follower].into_iter().filter(|n| is_planner(n) == Some(true)).count();
+    assert_eq!(planners, 1);
     let is_fed = |n: &GatewayProcess| {
         n.events("feed_changed").last().is_some_and(|e| !e["planner"].is_null())
     };
