--- a/crates/heathpitchd/tests/gateway_feed.rs
+++ b/crates/heathpitchd/tests/gateway_feed.rs
@@ -106,7 +106,7 @@
     let (planner, link, other) = world.planner_and_follower().await;
     link.set(Link::Silent);
     wait("the feed is lost", async || fed(&other) == Some(false)).await;
-    wait("the second node plans", async || {
+    wait("the second node is planner", async || {
         other.events("domain_planner").iter().any(|e| e["active"] == true)
     })
     .await;
@@ -217,7 +217,7 @@
     planner.signal("KILL").unwrap();
     let killed = wall_ms();
     let promotion = || other.events("domain_planner").into_iter().find(|e| e["active"] == true);
-    wait("the second node plans", async || promotion().is_some()).await;
+    wait("the second node is planner", async || promotion().is_some()).await;
     let took = promotion().unwrap()["at"].as_u64().unwrap() - killed;
     assert!(took < 7_000, "{took} ms");
 }
