--- /dev/null
+++ b/crates/heathpitchd/src/gateway/control/engine_exits.rs
@@ -0,0 +1,84 @@
+//! Detects whether an engine exited after calls lost their connections to it.
+//!
+//! Connections are lost for many reasons. An exited engine refuses new connections at once, one that resets,
+//! corrupts or truncates answers accepts them, and a partitioned one does not respond. The engine is therefore
+//! probed right after the loss, before another one can start at its address.
+
+use std::collections::HashMap;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use heathpitch_core::{Millis, Name};
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+
+use super::state::Control;
+use crate::gateway::event::GatewayEvent;
+use crate::gateway::shared::LostSend;
+
+/// Time over which lost calls of an engine are collected: the connections and the listener of a process close
+/// together, but not at the same instant.
+const GATHER: Duration = Duration::from_millis(20);
+/// Timeout of the probe, many times the delay between failure domains.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time after an engine's exit in which further lost calls are attributed to it. Engines take seconds to
+/// restart, and connections over a lost link end later than this.
+const EXITED_MS: Millis = 1_000;
+/// Calls listed in one log line.
+const MAX_LOGGED: usize = 16;
+
+/// Recently lost calls and exited engines.
+#[derive(Debug, Default)]
+pub(super) struct EngineExits {
+    /// Lost calls whose engine has not been probed yet.
+    lost: HashMap<Name, Vec<LostSend>>,
+    /// Engines found to have exited, with the time of detection.
+    exited: HashMap<Name, Millis>,
+}
+
+/// Records a call whose connection was lost, and probes its engine.
+pub(super) fn record_lost(control: &Rc<Control>, lost: LostSend) {
+    let (engine, address, now) = (lost.engine.id.clone(), lost.engine.address, control.now());
+    let (known, first) = {
+        let mut exits = control.engine_exits.borrow_mut();
+        exits.exited.retain(|_, at| now < *at + EXITED_MS);
+        let known = exits.exited.contains_key(&engine);
+        let waiting = exits.lost.entry(engine.clone()).or_default();
+        waiting.push(lost);
+        (known, waiting.len() == 1)
+    };
+    if !first {
+        return;
+    }
+    let control = control.clone();
+    spawn_local(async move {
+        tokio::time::sleep(GATHER).await;
+        let exited = known || refuses(address).await;
+        let lost = control.engine_exits.borrow_mut().lost.remove(&engine).unwrap_or_default();
+        if exited {
+            record_exit(&control, &lost);
+        }
+    });
+}
+
+/// Records that the engine of these calls has exited.
+fn record_exit(control: &Control, lost: &[LostSend]) {
+    let Some(LostSend { engine, .. }) = lost.first() else { return };
+    control.engine_exits.borrow_mut().exited.entry(engine.id.clone()).or_insert(control.now());
+    let mut youngest: Vec<_> = lost.iter().map(|l| (l.print, l.events)).collect();
+    youngest.sort_by_key(|(_, events)| *events);
+    youngest.truncate(MAX_LOGGED);
+    let (name, calls) = (engine.id.clone(), lost.len());
+    GatewayEvent::EngineEnded { engine: name, calls, youngest }.log();
+    control.engine_ended(engine, lost);
+}
+
+/// Whether an address refuses connections, so that nothing listens there.
+async fn refuses(address: SocketAddr) -> bool {
+    match tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
+        Ok(Err(e)) => e.kind() == ErrorKind::ConnectionRefused,
+        Ok(Ok(_)) | Err(_) => false,
+    }
+}
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -1,11 +1,11 @@
-//! Controller of what this node hears from others instead of the store.
+//! Controller that polls other nodes instead of reading the store.
 //!
-//! A few nodes of a failure domain read the store; the others ask them for changes of engines, the
-//! configuration and the age of its proof. Whom to ask, and when a node reads the store itself, is decided
-//! by [`Sources`](heathpitch_policy::Sources).
+//! A few nodes of a failure domain read the store; the others poll them for changes of engines, the
+//! configuration and the age of its proof. [`Sources`](heathpitch_policy::Sources) decides which node to poll
+//! and when this node reads the store itself.
 //!
-//! What is heard counts from the moment at which it was asked for, so that neither a slow link nor
-//! a source that stood still makes it look newer than it is.
+//! The age of an answer counts from the time at which its request was sent, so that neither a slow link nor a
+//! stalled source makes it look newer than it is.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -23,210 +23,214 @@
 use super::{config, engines, nodes, reports};
 use crate::gateway::shared::prove;
 
-/// Time between two questions: a small part of the time for which a leaving engine may still be
-/// sent work, and 175 questions a second for a planner with 70 followers.
-const ASK: Duration = Duration::from_millis(400);
-/// The same while nobody tells, and when what was told last is about to be too old.
-const ASK_SOON: Duration = Duration::from_millis(60);
-/// Time for a connection and for an answer: many times the delay inside a failure domain.
-const LIMIT: Duration = Duration::from_millis(300);
-/// Time for an answer that may hold all engines and the configuration: 100 kB on a link of 20 Mbit/s take
-/// 40 ms, and sixty nodes may ask at once.
-const LIMIT_WHOLE: Duration = Duration::from_millis(1_000);
-/// Age beyond which a proof of the configuration is not told, milliseconds: one and a half of a planner's
-/// proofs, and below the age up to which calls are denied.
-pub(super) const PROOF_OLD: Millis = 1_600;
-/// Age beyond which a list of engines is not told, milliseconds: two watches, with a change
-/// at the end of the first one and the time to gather changes between them. With the limit of a
-/// question and a read of the list (1.9 s) below the shortest time for which a leaving engine may be
-/// sent work. A proof of the configuration says nothing of the list.
-pub(super) const LIST_OLD: Millis = 1_500;
+/// Time between polls: a small part of the time for which a draining engine may still be sent work, and
+/// 175 polls a second for a planner with 70 followers.
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between polls while no source answers, and when the last answer is about to become too old.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// Timeout of a connection and of an answer, many times the delay inside a failure domain.
+const TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of an answer that may hold all engines and the configuration: 100 kB take 40 ms on a link of
+/// 20 Mbit/s, and sixty nodes may poll at once.
+const FULL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum age of a proof of the configuration served to followers: about one and a half proof intervals of a
+/// planner, and below the maximum age of a proof on which calls may be denied.
+pub(super) const MAX_PROOF_AGE_MS: Millis = 1_600;
+/// Maximum age of a list of engines served to followers: two watches, with a change at the end of the first and
+/// the batch time between them. With the timeout of a poll and a read of the list (1.9 s) it stays below the
+/// shortest time for which a draining engine may be sent work. A proof of the configuration does not by itself
+/// cover the list.
+pub(super) const MAX_LIST_AGE_MS: Millis = 1_500;
 
-/// What this node and one that it asks have told each other of engines.
+/// Positions in the exchange of notices between this node and one that it polls.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct NewsMarks {
-    /// Up to where the other one knows what this node does.
-    told: NoticeCursor,
-    /// Up to where this node knows what the other one does.
-    known: NoticeCursor,
+pub(super) struct NoticeCursors {
+    /// Position in this node's notices up to which the other node has received them.
+    sent: NoticeCursor,
+    /// Position in the other node's notices up to which this node has received them.
+    received: NoticeCursor,
 }
 
-impl NewsMarks {
-    /// Takes the answer to a question that told up to `told`.
-    pub(super) fn answered(&mut self, told: NoticeCursor, answer: &FeedResponse) {
-        *self = Self { told, known: answer.notice_cursor };
+impl NoticeCursors {
+    /// Advances both positions after the answer to a request that sent notices up to `sent`.
+    pub(super) fn advance(&mut self, sent: NoticeCursor, answer: &FeedResponse) {
+        *self = Self { sent, received: answer.notice_cursor };
     }
 }
 
-/// The source followed, and what was told so far.
+/// State of the exchange with the current source.
 #[derive(Default)]
-struct Followed {
+struct FeedState {
     node: Option<Name>,
     client: Option<FeedClient>,
-    known: FeedCursor,
-    news: NewsMarks,
-    /// Until when the list of engines that was told last is young enough.
-    until: Millis,
+    cursor: FeedCursor,
+    notices: NoticeCursors,
+    /// Time at which the last received list of engines becomes too old.
+    fresh_until: Millis,
 }
 
-impl Followed {
-    /// Time to the next question: before the list is too old, so that one told at the end of its
-    /// time is not kept for another while.
+impl FeedState {
+    /// Time to the next poll, which comes before the list becomes too old: a list received near its maximum age
+    /// must not be kept for another full interval.
     fn pause(&self, control: &Control) -> Duration {
-        let left = Duration::from_millis(self.until.saturating_sub(control.now()));
+        let left = Duration::from_millis(self.fresh_until.saturating_sub(control.now()));
         match () {
-            () if control.fed() => left.clamp(ASK_SOON, ASK),
-            () if control.plans() => ASK,
-            () => ASK_SOON,
+            () if control.has_feed() => left.clamp(MIN_POLL_INTERVAL, POLL_INTERVAL),
+            () if control.is_planner() => POLL_INTERVAL,
+            () => MIN_POLL_INTERVAL,
         }
     }
 }
 
-/// Asks one source after the other until one tells, again and again.
+/// Periodically polls one source after the other until one answers with fresh data.
 pub(super) async fn follow(control: Rc<Control>) {
-    let mut followed = Followed::default();
+    let mut state = FeedState::default();
     loop {
-        tokio::time::sleep(followed.pause(&control)).await;
-        round(&control, &mut followed).await;
-        control.look_at_turn();
+        tokio::time::sleep(state.pause(&control)).await;
+        poll_round(&control, &mut state).await;
+        control.update_role();
     }
 }
 
-async fn round(control: &Rc<Control>, followed: &mut Followed) {
+async fn poll_round(control: &Rc<Control>, state: &mut FeedState) {
     if control.sources.borrow().knows_no_planner() {
-        ask_seed(control).await;
+        poll_seed(control).await;
     }
     while let Some(source) = control.next_source() {
-        let heard = hear(control, followed, &source).await;
-        control.heard(&source.node, heard);
-        if heard == PollOutcome::Fresh {
+        let outcome = poll_source(control, state, &source).await;
+        control.record_poll(&source.node, outcome);
+        if outcome == PollOutcome::Fresh {
             return;
         }
     }
-    control.silent();
+    control.sources_exhausted();
 }
 
-/// Asks one of the seeds who plans; lists and the configuration are left to planners.
-async fn ask_seed(control: &Control) {
+/// Polls a seed for the current planners only; planners serve the list and the configuration.
+async fn poll_seed(control: &Control) {
     let Some(seed) = control.seeds.choose(&mut rand::rng()) else { return };
-    let (ask, _) = control.question(FeedCursor::default(), &NewsMarks::default(), true);
+    let (request, _) = control.feed_request(FeedCursor::default(), &NoticeCursors::default(), true);
     let sent = control.now();
-    let answer = async { FeedClient::open(seed.address, LIMIT).await?.poll(&ask, LIMIT).await };
+    let answer =
+        async { FeedClient::open(seed.address, TIMEOUT).await?.poll(&request, TIMEOUT).await };
     match answer.await {
-        Ok(told) => {
-            take_nodes(control, seed, &told);
-            control.hear_news(&told.notices, sent, &seed.node);
+        Ok(response) => {
+            record_nodes(control, seed, &response);
+            control.record_notices(&response.notices, sent, &seed.node);
         }
-        Err(e) => log::info!("seed {} does not tell: {e}", seed.address),
+        Err(e) => log::info!("poll of seed {} failed: {e}", seed.address),
     }
 }
 
-async fn hear(control: &Rc<Control>, followed: &mut Followed, source: &Source) -> PollOutcome {
+async fn poll_source(control: &Rc<Control>, state: &mut FeedState, source: &Source) -> PollOutcome {
     let begun = control.now();
-    let answer = ask(control, followed, source).await;
+    let answer = poll(control, state, source).await;
     let label = if answer.is_ok() { "ok" } else { "failed" };
     control.shared.metrics.feed.with_label_values(&[label]).inc();
     match answer {
-        Ok((sent, told)) => take(control, followed, source, sent, told),
+        Ok((sent, response)) => apply(control, state, source, sent, response),
         Err(e) => {
-            *followed = Followed::default();
-            log::info!("node {} does not tell: {e}", source.node);
-            // A VM that refuses connections starts or restarts, and answers soon.
+            *state = FeedState::default();
+            log::info!("poll of node {} failed: {e}", source.node);
+            // A VM that refuses connections is starting or restarting, and will answer soon.
             match control.now().saturating_sub(begun) {
-                took if took < LIMIT.as_millis() as Millis => PollOutcome::Declined,
+                took if took < TIMEOUT.as_millis() as Millis => PollOutcome::Declined,
                 _ => PollOutcome::NoAnswer,
             }
         }
     }
 }
 
-/// Asks on the kept connection, or on a new one; gives also when that was.
-async fn ask(
+/// Polls on the kept connection, or on a new one; also returns the time at which the request was sent.
+async fn poll(
     control: &Control,
-    followed: &mut Followed,
+    state: &mut FeedState,
     source: &Source,
 ) -> Result<(Millis, FeedResponse), RpcError> {
-    if followed.node.as_ref() != Some(&source.node) {
-        *followed = Followed { node: Some(source.node.clone()), ..Followed::default() };
+    if state.node.as_ref() != Some(&source.node) {
+        *state = FeedState { node: Some(source.node.clone()), ..FeedState::default() };
     }
-    let (ask, told_to) = control.question(followed.known, &followed.news, false);
-    if let Some(client) = &followed.client {
+    let (request, sent_to) = control.feed_request(state.cursor, &state.notices, false);
+    if let Some(client) = &state.client {
         let sent = control.now();
-        match client.poll(&ask, LIMIT).await {
-            Ok(told) => {
-                followed.news.answered(told_to, &told);
-                return Ok((sent, told));
+        match client.poll(&request, TIMEOUT).await {
+            Ok(response) => {
+                state.notices.advance(sent_to, &response);
+                return Ok((sent, response));
             }
             Err(e) => log::info!("the connection to node {} was lost: {e}", source.node),
         }
     }
-    followed.client = None;
-    let client = FeedClient::open(source.address, LIMIT).await?;
+    state.client = None;
+    let client = FeedClient::open(source.address, TIMEOUT).await?;
     let sent = control.now();
-    let limit = if followed.known.serial == 0 { LIMIT_WHOLE } else { LIMIT };
-    let told = client.poll(&ask, limit).await?;
-    followed.news.answered(told_to, &told);
-    followed.client = Some(client);
-    Ok((sent, told))
+    let limit = if state.cursor.serial == 0 { FULL_TIMEOUT } else { TIMEOUT };
+    let response = client.poll(&request, limit).await?;
+    state.notices.advance(sent_to, &response);
+    state.client = Some(client);
+    Ok((sent, response))
 }
 
-/// Takes what was told in answer to a question sent at `sent`.
-fn take(
+/// Applies the answer to a request sent at `sent`.
+fn apply(
     control: &Rc<Control>,
-    followed: &mut Followed,
+    state: &mut FeedState,
     source: &Source,
     sent: Millis,
-    told: FeedResponse,
+    response: FeedResponse,
 ) -> PollOutcome {
-    take_nodes(control, source, &told);
-    control.hear_news(&told.notices, sent, &source.node);
-    let proven = sent.saturating_sub(told.entries_age_ms);
+    record_nodes(control, source, &response);
+    control.record_notices(&response.notices, sent, &source.node);
+    let proven = sent.saturating_sub(response.entries_age_ms);
     let own = control.shared.listed.load().at();
-    // One who is asked for everything and tells no change has the same.
-    let same = told.engines == FeedEngines::default();
-    // A newer one was acknowledged, whatever the store says of it now.
-    if let Some(config) = &told.config
+    // An empty delta means that the source has the same list.
+    let same = response.engines == FeedEngines::default();
+    // A newer configuration was acknowledged by the store, so it holds regardless of the rest of the answer.
+    if let Some(config) = &response.config
         && let Err(e) = adopt(control, config)
     {
-        log::warn!("the configuration that node {} tells cannot be read: {e}", source.node);
+        log::warn!("invalid configuration from node {}: {e}", source.node);
         return PollOutcome::Declined;
     }
-    if !told.fresh || !control.sources.borrow().accepts(&source.node, proven, own, same) {
+    if !response.fresh || !control.sources.borrow().accepts(&source.node, proven, own, same) {
         return PollOutcome::Declined;
     }
-    if let Err(e) = take_engines(control, &told.engines) {
-        log::warn!("the engines that node {} tells cannot be read: {e}", source.node);
+    if let Err(e) = apply_engines(control, &response.engines) {
+        log::warn!("invalid list of engines from node {}: {e}", source.node);
         return PollOutcome::Declined;
     }
-    followed.known = told.cursor;
-    reports::hear(control, &told.reports, sent);
+    state.cursor = response.cursor;
+    reports::hear(control, &response.reports, sent);
     prove(&control.shared.listed, proven);
-    followed.until = proven + LIST_OLD;
-    if control.revision() >= told.revision {
-        prove(&control.shared.fresh, sent.saturating_sub(told.config_age_ms));
+    state.fresh_until = proven + MAX_LIST_AGE_MS;
+    if control.revision() >= response.revision {
+        prove(&control.shared.fresh, sent.saturating_sub(response.config_age_ms));
     }
     PollOutcome::Fresh
 }
 
-/// Takes what a node tells of nodes, which it may know though it does not hear from the store.
-fn take_nodes(control: &Control, source: &Source, told: &FeedResponse) {
-    for p in &told.planners {
+/// Applies what an answer says of nodes, which its sender may know without access to the store.
+fn record_nodes(control: &Control, source: &Source, response: &FeedResponse) {
+    for p in &response.planners {
         let source = Source { node: p.node.clone(), address: p.address };
-        nodes::meet(control, &p.domain, DomainPlanner { source, revision: p.revision });
+        nodes::record_planner(control, &p.domain, DomainPlanner { source, revision: p.revision });
     }
-    let near = control.sources.borrow().is_local(&source.node);
-    if near {
-        let standbys = told.standbys.iter();
+    let is_local = control.sources.borrow().is_local(&source.node);
+    if is_local {
+        let standbys = response.standbys.iter();
         let standbys =
             standbys.map(|(node, address)| Source { node: node.clone(), address: *address });
         control.sources.borrow_mut().set_standbys(standbys.collect());
     }
-    if near && told.planner_released {
-        control.vacate();
+    if is_local && response.planner_released {
+        control.planner_released_lease();
     }
-    if told.fleet_size > 0 {
-        let known = control.fleet.get().map(|f| f.beside).filter(|_| !near);
-        let fleet = Fleet { nodes: told.fleet_size, beside: known.unwrap_or(told.domain_size) };
+    if response.fleet_size > 0 {
+        let known = control.fleet.get().map(|f| f.domain_size).filter(|_| !is_local);
+        let fleet = Fleet {
+            nodes: response.fleet_size,
+            domain_size: known.unwrap_or(response.domain_size),
+        };
         if control.fleet.replace(Some(fleet)) != Some(fleet) {
             control.publish();
         }
@@ -239,18 +243,19 @@
     Ok(())
 }
 
-fn take_engines(control: &Control, told: &FeedEngines) -> Result<(), RpcError> {
-    let (items, gone) = match told {
+fn apply_engines(control: &Control, response: &FeedEngines) -> Result<(), RpcError> {
+    let (items, gone) = match response {
         FeedEngines::Whole(packed) => {
             let items = unpack(packed)?;
             let kept: HashSet<Name> =
-                items.iter().filter_map(|i| engines::id(control, &i.key)).collect();
+                items.iter().filter_map(|i| engines::engine_id(control, &i.key)).collect();
             let entries = control.entries.borrow();
             let gone = entries.keys().filter(|id| !kept.contains(*id)).cloned().collect();
             (items, gone)
         }
         FeedEngines::Changes { items, gone } => {
-            let gone: Vec<Name> = gone.iter().filter_map(|key| engines::id(control, key)).collect();
+            let gone: Vec<Name> =
+                gone.iter().filter_map(|key| engines::engine_id(control, key)).collect();
             (items.clone(), gone)
         }
     };
@@ -258,24 +263,23 @@
         return Ok(());
     }
     engines::put_all(control, &items);
-    gone.iter()
-        .for_each(|id| engines::remove(control, id, "the node that tells lists it no longer"));
+    gone.iter().for_each(|id| engines::remove(control, id, "its source no longer lists it"));
     control.publish();
     Ok(())
 }
 
 /// # Feed
 impl Control {
-    /// A question to another node, and up to where it tells what this one learned of engines.
-    pub(super) fn question(
+    /// Builds a request to another node, and returns also the position up to which it sends notices.
+    pub(super) fn feed_request(
         &self,
         known: FeedCursor,
-        marks: &NewsMarks,
-        reports: bool,
+        cursors: &NoticeCursors,
+        reports_only: bool,
     ) -> (FeedRequest, NoticeCursor) {
         let settings = self.shared.settings.load();
-        let (news, told) = self.news_since(marks.told);
-        let ask = FeedRequest {
+        let (notices, end) = self.notices_since(cursors.sent);
+        let request = FeedRequest {
             node: settings.node.clone(),
             address: self.shared.peer.unwrap_or(settings.listen),
             able: nodes::is_able(&settings),
@@ -283,28 +287,33 @@
             version: self.version(),
             digest: self.mirror.borrow().digest(),
             cursor: known,
-            reports_only: reports,
-            notices: news,
-            notice_cursor: marks.known,
+            reports_only,
+            notices,
+            notice_cursor: cursors.received,
         };
-        (ask, told)
+        (request, end)
     }
 
-    /// What others have not heard who know this node's news up to `known`; and up to where they do then.
-    pub(super) fn news_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
-        let known = if known.incarnation == self.life { known } else { NoticeCursor::default() };
+    /// Notices after the position `known`, and the position that follows them.
+    pub(super) fn notices_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
+        let known =
+            if known.incarnation == self.incarnation { known } else { NoticeCursor::default() };
         let (ends, ended) = self.ends_since(known.exits);
         let (leaves, left) = self.leaves_since(known.drains);
         let (limits, limited) = self.limits_since(known.limits);
-        let mark =
-            NoticeCursor { incarnation: self.life, exits: ended, drains: left, limits: limited };
+        let mark = NoticeCursor {
+            incarnation: self.incarnation,
+            exits: ended,
+            drains: left,
+            limits: limited,
+        };
         (FeedNotices { exits: ends, drains: leaves, limits }, mark)
     }
 
-    /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_news(&self, news: &FeedNotices, sent: Millis, by: &Name) {
-        self.hear_ends(&news.exits, sent, by);
-        self.hear_leaves(&news.drains, sent);
-        self.hear_limits(&news.limits, sent);
+    /// Records notices of another node from a message sent at `sent` or later.
+    pub(super) fn record_notices(&self, notices: &FeedNotices, sent: Millis, by: &Name) {
+        self.hear_ends(&notices.exits, sent, by);
+        self.hear_leaves(&notices.drains, sent);
+        self.hear_limits(&notices.limits, sent);
     }
 }
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -1,7 +1,8 @@
-//! Controller of the record of limits that engines name, which the planner of a failure domain keeps in the store.
+//! Controller of the record of limits advertised by engines, which the planner of a failure domain keeps in the
+//! store.
 //!
-//! Each node that begins reads these records with the planners' entries, before anyone can tell it of a limit.
-//! [`LimitRecorder`] decides when one is written.
+//! A starting node reads these records together with the planners' entries, before it can receive limits from
+//! other nodes. [`LimitRecorder`] decides when a record is written.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,61 +14,61 @@
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
-/// Prefix of the records, one a failure domain.
+/// Prefix of the records, one per failure domain.
 pub(super) const PREFIX: &str = "heathpitch/limits/";
-/// Time between two looks at whether the record has to be written.
+/// Time between checks whether the record has to be written.
 const TICK: Duration = Duration::from_millis(300);
 
-/// The record of this node's failure domain, as far as it knows the store's.
+/// The last known state of this failure domain's record in the store.
 #[derive(Debug, Default)]
-pub(super) struct Stored {
+pub(super) struct StoredLimits {
     recorder: LimitRecorder,
-    /// Revision of its item; none if there is none.
+    /// Revision of the record's item, if it exists.
     revision: Option<Revision>,
 }
 
-impl Stored {
-    /// Takes none to stand in the store.
+impl StoredLimits {
+    /// Assumes that the store holds no record.
     pub(super) fn forget(&mut self) {
         *self = Self::default();
     }
 }
 
-/// Keeps the record for as long as this node runs, whenever it plans.
+/// Keeps the record up to date while this node is planner.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
-        control.planning().await;
+        control.wait_until_planner().await;
         tokio::time::sleep(TICK).await;
-        if !control.plans() || !control.reachable() || control.stopping() {
+        if !control.is_planner() || !control.reachable() || control.stopping() {
             continue;
         }
         let current = current(&control);
-        let due = control.limit_record.borrow().recorder.is_due(&current, control.now());
+        let due = control.stored_limits.borrow().recorder.is_due(&current, control.now());
         if due && let Err(e) = write(&control, current).await {
-            log::warn!("the record of engines' limits cannot be written to the store: {e}");
+            log::warn!("failed to write the record of engine limits: {e}");
         }
     }
 }
 
-/// Limits of the engines of this failure domain.
+/// Current limits of the engines of this failure domain.
 fn current(control: &Control) -> LimitRecord {
     let (domain, entries) = (control.domain(), control.entries.borrow());
     let own =
         |life: &EngineIncarnation| entries.get(&life.engine).is_some_and(|e| e.domain == domain);
-    let (limits, wishes) = (control.limits.borrow(), control.wishes.borrow());
-    let aside = |life: &EngineIncarnation| {
-        wishes.get(&life.engine).is_some_and(|w| w.limit().is_in_probes())
+    let (limits, backpressure) = (control.limits.borrow(), control.backpressure.borrow());
+    let in_probes = |life: &EngineIncarnation| {
+        backpressure.get(&life.engine).is_some_and(|b| b.limit().is_in_probes())
     };
-    let named = limits.named().filter(|(life, _)| own(life));
-    LimitRecord::of(named.map(|(life, rate)| {
-        let limit = LimitEntry { rate, in_probes: aside(&life) };
+    let advertised = limits.named().filter(|(life, _)| own(life));
+    LimitRecord::of(advertised.map(|(life, rate)| {
+        let limit = LimitEntry { rate, in_probes: in_probes(&life) };
         (life, limit)
     }))
 }
 
 async fn write(control: &Control, record: LimitRecord) -> Result<(), StoreError> {
     let key = key(&control.domain());
-    let known = control.limit_record.borrow().revision;
+    let known = control.stored_limits.borrow().revision;
     let write = Write {
         conditions: vec![(key.clone(), known.unwrap_or(Revision(0)))],
         puts: vec![(key, record.text().into(), None)],
@@ -79,11 +80,11 @@
             keep(control, record, revision);
             Ok(())
         }
-        // Another planner of this domain was faster.
+        // Another planner of this failure domain wrote it first.
         Err(StoreError::Conflict(items)) => {
             match items.first() {
-                Some(item) => take(control, item),
-                None => control.limit_record.borrow_mut().forget(),
+                Some(item) => load_record(control, item),
+                None => control.stored_limits.borrow_mut().forget(),
             }
             Ok(())
         }
@@ -92,19 +93,19 @@
 }
 
 fn keep(control: &Control, record: LimitRecord, revision: Revision) {
-    let mut stored = control.limit_record.borrow_mut();
+    let mut stored = control.stored_limits.borrow_mut();
     stored.recorder.stored(record, control.now());
     stored.revision = Some(revision);
 }
 
-/// Takes a record of the store.
-pub(super) fn take(control: &Control, item: &Item) {
+/// Applies a record read from the store.
+pub(super) fn load_record(control: &Control, item: &Item) {
     let Ok(text) = std::str::from_utf8(&item.value) else {
-        return log::warn!("record {} of engines' limits cannot be read", item.key);
+        return log::warn!("invalid record {} of engine limits: not UTF-8", item.key);
     };
-    let (record, unread) = LimitRecord::read(text);
-    if unread > 0 {
-        log::warn!("{unread} lines of record {} of engines' limits cannot be read", item.key);
+    let (record, invalid) = LimitRecord::read(text);
+    if invalid > 0 {
+        log::warn!("{invalid} invalid lines in record {} of engine limits", item.key);
     }
     record.limits().for_each(|(life, limit)| control.restore_limit(life, limit));
     if *item.key == *key(&control.domain()) {
@@ -112,10 +113,10 @@
     }
 }
 
-/// Takes note that a record is gone from the store.
-pub(super) fn gone(control: &Control, key_gone: &str) {
-    if key_gone == key(&control.domain()) {
-        control.limit_record.borrow_mut().forget();
+/// Records that a record was deleted from the store.
+pub(super) fn record_deleted(control: &Control, deleted: &str) {
+    if deleted == key(&control.domain()) {
+        control.stored_limits.borrow_mut().forget();
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -1,9 +1,9 @@
-//! Controller of what the planners of the failure domains tell each other: what their engines hold, and
-//! how many nodes they tell.
+//! Controller of the exchange between planners of different failure domains: load reports of their engines, and
+//! the number of their nodes.
 //!
-//! A domain without room sends streams to the others. Without their engines' reports its nodes know only
-//! what they sent there themselves: at twice the usual load three domains filled each other's engines
-//! to the last token, and one stream in four began in time.
+//! A full domain sends streams to the others. Without reports of engines there, its nodes know only the load
+//! they sent themselves: at twice the usual load three domains then filled each other's engines completely, and
+//! only one stream in four began in time.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -14,51 +14,52 @@
 use heathpitch_net::{FeedClient, FeedCursor, FeedResponse, RpcError};
 use heathpitch_policy::Source;
 
-use super::feed::NewsMarks;
+use super::feed::NoticeCursors;
 use super::reports;
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
-/// Time between two questions: that between two questions to engines that are filling up. Each
-/// answer takes some 2 kB of the link between failure domains.
-const ASK: Duration = Duration::from_millis(250);
-/// Time for a connection and for an answer: many times the delay between failure domains.
-const LIMIT: Duration = Duration::from_millis(200);
-/// Time for which a planner that did not answer is not asked, milliseconds.
-const REST: Millis = 1_500;
+/// Time between polls, equal to that between status queries to engines that are filling up. Each answer takes
+/// about 2 kB of the link between failure domains.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a connection and of an answer, many times the delay between failure domains.
+const TIMEOUT: Duration = Duration::from_millis(200);
+/// Time until a planner that did not answer is polled again.
+const RETRY_AFTER_MS: Millis = 1_500;
 
 /// A planner of another failure domain.
 struct Neighbour {
     planner: Source,
-    /// Whether it answered last.
+    /// Whether it answered the last poll.
     answers: bool,
     client: Option<FeedClient>,
-    known: FeedCursor,
-    news: NewsMarks,
-    /// When it is asked next.
+    cursor: FeedCursor,
+    notices: NoticeCursors,
+    /// Time of the next poll.
     next: Millis,
 }
 
-/// Asks the planners of the other failure domains for as long as this node plans its own, or reads the store
-/// for it: while a domain has no planner nobody else would tell the others of engines that end there.
+/// Polls the planners of the other failure domains while this node is planner or reads the store. The latter
+/// keeps notices of exited engines flowing to the other domains while this one has no planner.
 pub(super) async fn follow(control: Rc<Control>) {
     let mut neighbours: HashMap<Name, Neighbour> = HashMap::new();
     loop {
-        let asks = || (control.plans() || control.reads()) && control.shared.peer.is_some();
-        while !asks() {
+        let active =
+            || (control.is_planner() || control.reads_store()) && control.shared.peer.is_some();
+        while !active() {
             neighbours.clear();
-            control.turned.notified().await;
+            control.role_changed.notified().await;
         }
-        tokio::time::sleep(ASK).await;
-        meet(&control, &mut neighbours);
+        tokio::time::sleep(POLL_INTERVAL).await;
+        add_planners(&control, &mut neighbours);
         let now = control.now();
         let due = neighbours.iter_mut().filter(|(_, n)| now >= n.next);
-        join_all(due.map(|(domain, n)| hear(&control, domain, n))).await;
+        join_all(due.map(|(domain, n)| poll_neighbour(&control, domain, n))).await;
     }
 }
 
-/// Takes note of planners that are new.
-fn meet(control: &Control, neighbours: &mut HashMap<Name, Neighbour>) {
+/// Adds or replaces neighbours whose planner is new.
+fn add_planners(control: &Control, neighbours: &mut HashMap<Name, Neighbour>) {
     let own = control.domain();
     for (domain, planner) in control.sources.borrow().planners().filter(|(d, _)| **d != own) {
         if neighbours.get(domain).is_none_or(|n| n.planner != planner.source) {
@@ -66,8 +67,8 @@
                 planner: planner.source.clone(),
                 answers: false,
                 client: None,
-                known: FeedCursor::default(),
-                news: NewsMarks::default(),
+                cursor: FeedCursor::default(),
+                notices: NoticeCursors::default(),
                 next: 0,
             };
             neighbours.insert(domain.clone(), neighbour);
@@ -75,45 +76,45 @@
     }
 }
 
-async fn hear(control: &Control, domain: &Name, neighbour: &mut Neighbour) {
+async fn poll_neighbour(control: &Control, domain: &Name, neighbour: &mut Neighbour) {
     let sent = control.now();
-    let heard = ask(control, neighbour).await;
-    match &heard {
-        Ok(told) => take(control, domain, neighbour, told, sent),
-        Err(_) => neighbour.next = control.now() + REST,
+    let result = poll(control, neighbour).await;
+    match &result {
+        Ok(response) => apply(control, domain, neighbour, response, sent),
+        Err(_) => neighbour.next = control.now() + RETRY_AFTER_MS,
     }
-    if neighbour.answers != heard.is_ok() {
-        neighbour.answers = heard.is_ok();
-        let error = heard.err().map(|e| e.to_string());
+    if neighbour.answers != result.is_ok() {
+        neighbour.answers = result.is_ok();
+        let error = result.err().map(|e| e.to_string());
         let (planner, domain) = (neighbour.planner.node.clone(), domain.clone());
         GatewayEvent::NeighbourChanged { planner, domain, error }.log();
     }
 }
 
-fn take(
+fn apply(
     control: &Control,
     domain: &Name,
     neighbour: &mut Neighbour,
-    told: &FeedResponse,
+    response: &FeedResponse,
     sent: Millis,
 ) {
-    neighbour.known = told.cursor;
-    if told.domain_size > 0 {
-        control.besides.borrow_mut().insert(domain.clone(), told.domain_size);
+    neighbour.cursor = response.cursor;
+    if response.domain_size > 0 {
+        control.domain_sizes.borrow_mut().insert(domain.clone(), response.domain_size);
     }
-    reports::hear(control, &told.reports, sent);
-    control.hear_news(&told.notices, sent, &neighbour.planner.node);
+    reports::hear(control, &response.reports, sent);
+    control.record_notices(&response.notices, sent, &neighbour.planner.node);
 }
 
-/// Asks on the kept connection, or on a new one; one without an answer is not kept.
-async fn ask(control: &Control, neighbour: &mut Neighbour) -> Result<FeedResponse, RpcError> {
+/// Polls on the kept connection, or on a new one; a connection without an answer is dropped.
+async fn poll(control: &Control, neighbour: &mut Neighbour) -> Result<FeedResponse, RpcError> {
     let client = match neighbour.client.take() {
         Some(client) => client,
-        None => FeedClient::open(neighbour.planner.address, LIMIT).await?,
+        None => FeedClient::open(neighbour.planner.address, TIMEOUT).await?,
     };
-    let (ask, told_to) = control.question(neighbour.known, &neighbour.news, true);
-    let told = client.poll(&ask, LIMIT).await?;
-    neighbour.news.answered(told_to, &told);
+    let (request, sent_to) = control.feed_request(neighbour.cursor, &neighbour.notices, true);
+    let response = client.poll(&request, TIMEOUT).await?;
+    neighbour.notices.advance(sent_to, &response);
     neighbour.client = Some(client);
-    Ok(told)
+    Ok(response)
 }
--- /dev/null
+++ b/crates/heathpitchd/src/gateway/control/reachability.rs
@@ -0,0 +1,214 @@
+//! Probes of engines: which ones are unreachable, accept no new work, or stall streams.
+//!
+//! Only engines whose streams are all silent are probed. Data on any stream through an engine shows that it
+//! works, whatever an earlier probe found.
+
+use std::collections::HashSet;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use futures::future::Either;
+
+use heathpitch_core::{Millis, Name, Path};
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+
+use super::engines;
+use super::recovery::is_silent;
+use super::state::Control;
+
+/// Silence below which a stream shows that its engines work.
+const FLOWING_MS: Millis = 80;
+/// Timeout of a probe, many times the delay between failure domains.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
+/// Time after which a first probe is repeated, many times the delay inside a failure domain.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(15);
+/// Minimum time between two probes of the same engine.
+const PROBE_INTERVAL_MS: Millis = 300;
+/// Time until an unreachable engine is probed again; doubled after each failure.
+const UNREACHABLE_MS: Millis = 1_000;
+/// Upper bound of that time.
+const MAX_UNREACHABLE_MS: Millis = 4_000;
+/// Engines probed in one round, so that a partitioned failure domain is not probed all at once.
+const MAX_PROBES: usize = 24;
+/// Time for which an unreachable engine gets no new work; renewed by each failed probe.
+const SUSPECT_MS: Millis = 4_500;
+/// Time for which an engine's report that it accepts no new work holds. Engines drain within a few seconds
+/// of it.
+const REFUSAL_MS: Millis = 4_000;
+
+/// Backoff state of an unreachable engine.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Unreachable {
+    /// Time of the next probe.
+    retry_at: Millis,
+    pause: Millis,
+}
+
+/// Checks whether an engine that refused its part of a request accepts new work at all.
+pub(super) fn check_refusal(control: &Rc<Control>, engine: &Name) {
+    let Some(entry) = control.entries.borrow().get(engine).cloned() else { return };
+    let Some(service) = control.service(&entry.service) else { return };
+    if !control.may_query_status(engine) {
+        return;
+    }
+    let control = control.clone();
+    spawn_local(async move {
+        match control.check(&entry, &service.health_path).await {
+            Some(Ok(answer)) if !answer.value => {}
+            Some(Ok(_)) | None => return,
+            Some(Err(e)) => {
+                return log::warn!("health check of engine {} failed: {e}", entry.id);
+            }
+        }
+        let until = control.now() + REFUSAL_MS;
+        control.refusing.borrow_mut().insert(entry.id.clone(), until);
+        control.suspect(&entry.id, "it reports that it accepts no new work", REFUSAL_MS);
+    });
+}
+
+/// Probes the engines that are due.
+pub(super) async fn probe_round(control: &Control, probed: &mut Vec<(Name, Millis)>, now: Millis) {
+    let suspects = suspects(control, probed, now);
+    if !suspects.is_empty() {
+        probe_all(control, suspects).await;
+    }
+}
+
+/// Engines to probe: those with silent streams only, and unreachable ones due for another probe.
+fn suspects(control: &Control, probed: &mut Vec<(Name, Millis)>, now: Millis) -> Vec<Suspect> {
+    probed.retain(|(_, at)| now < at + PROBE_INTERVAL_MS);
+    let mut flowing: HashSet<Name> = HashSet::new();
+    let mut silent: HashSet<Name> = HashSet::new();
+    for watched in control.streams.borrow().iter() {
+        let Some(live) = watched.live.upgrade() else { continue };
+        let path = live.path.load();
+        let engines = path.stages().iter().map(|s| s.engine.clone());
+        match is_silent(&live, now) {
+            true => silent.extend(engines),
+            false if live.silent(now) < FLOWING_MS => flowing.extend(engines),
+            false => {}
+        }
+    }
+    clear_flowing(control, &flowing);
+    let unreachable = control.unreachable.borrow();
+    let overdue = unreachable.iter().filter(|(_, u)| now >= u.retry_at).map(|(n, _)| n.clone());
+    let unreachable: Vec<Name> = overdue.collect();
+    let entries = control.entries.borrow();
+    let wanted = silent.difference(&flowing).filter(|n| !control.is_unreachable(n));
+    let wanted: Vec<Name> = wanted.cloned().chain(unreachable).collect();
+    let fresh = wanted.into_iter().filter(|n| !probed.iter().any(|(l, _)| l == n));
+    let found: Vec<Suspect> = fresh
+        .take(MAX_PROBES)
+        .filter_map(|engine| {
+            let address = entries.get(&engine)?.address;
+            Some(Suspect { engine, address })
+        })
+        .collect();
+    probed.extend(found.iter().map(|s| (s.engine.clone(), now)));
+    found
+}
+
+/// Marks engines as reachable that streams flow through, whatever a probe found.
+fn clear_flowing(control: &Control, flowing: &HashSet<Name>) {
+    let mut unreachable = control.unreachable.borrow_mut();
+    for engine in flowing {
+        if unreachable.remove(engine).is_some() {
+            control.clear_suspicion(engine);
+        }
+    }
+}
+
+struct Suspect {
+    engine: Name,
+    address: SocketAddr,
+}
+
+/// Probes engines and records which ones are unreachable.
+async fn probe_all(control: &Control, suspects: Vec<Suspect>) {
+    let probes =
+        suspects.iter().map(|s| is_reachable(s.address, !control.is_unreachable(&s.engine)));
+    let found = futures::future::join_all(probes).await;
+    let now = control.now();
+    let mut changed = false;
+    for (suspect, reached) in suspects.into_iter().zip(found) {
+        let was = control.is_unreachable(&suspect.engine);
+        match (reached, was) {
+            (true, true) => {
+                control.unreachable.borrow_mut().remove(&suspect.engine);
+                control.clear_suspicion(&suspect.engine);
+                changed = true;
+            }
+            (true, false) => {}
+            (false, _) => {
+                record_unreachable(control, &suspect.engine, now);
+                changed |= !was;
+                control.suspect(&suspect.engine, "it is unreachable", SUSPECT_MS);
+            }
+        }
+    }
+    if changed {
+        control.publish();
+    }
+}
+
+/// Marks an engine as unreachable without a probe; `why` is logged.
+pub(super) fn mark_unreachable(control: &Control, engine: &Name, why: &'static str) {
+    if record_unreachable(control, engine, control.now()) {
+        control.suspect(engine, why, SUSPECT_MS);
+        control.publish();
+    }
+}
+
+/// Records that an engine is unreachable, and returns whether it was reachable before.
+fn record_unreachable(control: &Control, engine: &Name, now: Millis) -> bool {
+    let mut unreachable = control.unreachable.borrow_mut();
+    let pause =
+        unreachable.get(engine).map_or(UNREACHABLE_MS, |u| (u.pause * 2).min(MAX_UNREACHABLE_MS));
+    unreachable.insert(engine.clone(), Unreachable { retry_at: now + pause, pause }).is_none()
+}
+
+/// Whether a connection can be made. The first probe of an engine is repeated soon after, because single
+/// packets get lost.
+async fn is_reachable(address: SocketAddr, first: bool) -> bool {
+    let once = || async move {
+        matches!(tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await, Ok(Ok(_)))
+    };
+    if !first {
+        return once().await;
+    }
+    let second = async {
+        tokio::time::sleep(SECOND_PROBE_DELAY).await;
+        once().await
+    };
+    let both = futures::future::select(Box::pin(once()), Box::pin(second)).await;
+    match both {
+        Either::Left((true, _)) | Either::Right((true, _)) => true,
+        Either::Left((false, rest)) => rest.await,
+        Either::Right((false, rest)) => rest.await,
+    }
+}
+
+/// Queries the first engine of a silent stream for the engines that its streams wait for.
+pub(super) fn query_stalled(control: &Rc<Control>, path: &Path) {
+    let Some(entry) = control.entries.borrow().get(&path.head().engine).cloned() else { return };
+    let control = control.clone();
+    spawn_local(async move {
+        match engines::query_status(&control, &entry).await {
+            Ok(status) => status.stalled.iter().for_each(|(_, at)| leave_stalled(&control, *at)),
+            Err(e) => log::info!("status query to first engine {} failed: {e}", entry.id),
+        }
+    });
+}
+
+/// Marks an engine that stalls streams as unreachable.
+fn leave_stalled(control: &Control, address: SocketAddr) {
+    let table = control.shared.table.load();
+    let Some(view) = table.at(address) else { return };
+    let now = control.now();
+    if !record_unreachable(control, &view.entry.id, now) {
+        return;
+    }
+    control.suspect(&view.entry.id, "the first engine of a path waits for it", SUSPECT_MS);
+}
