--- a/crates/heathpitchd/src/gateway/control/wishes.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -26,7 +26,7 @@
 /// # What engines say to this node
 impl Control {
     /// Takes note of what an engine asks for in an answer to this node's own question, and gives what it says.
-    pub(super) fn heed<T>(
+    pub(super) fn record_response<T>(
         &self,
         engine: &EngineEntry,
         of: &'static str,
@@ -34,7 +34,7 @@
         answer: EngineResponse<T>,
     ) -> T {
         let EngineResponse { value, status, backpressure: asked } = answer;
-        let wish = self.wish_of(engine);
+        let wish = self.backpressure_of(engine);
         let limit = match asked.limit {
             // Until one did, nothing says that answers to questions name it as those to calls do.
             AdvertisedLimit::Unlimited if !wish.limit().is_in_probes() => AdvertisedLimit::Unknown,
@@ -46,19 +46,19 @@
         let asked = BackpressureSignal { limit, ..asked };
         let heard = Said { engine, of, status, sent };
         if self.shared.heed(heard, asked, &wish) {
-            self.engine_leaves(&life(engine));
+            self.engine_draining(&life(engine));
         }
         value
     }
 
     /// What an engine asked this node for.
-    pub(super) fn wish_of(&self, engine: &EngineEntry) -> Arc<Backpressure> {
+    pub(super) fn backpressure_of(&self, engine: &EngineEntry) -> Arc<Backpressure> {
         let mut wishes = self.wishes.borrow_mut();
-        wishes.entry(engine.id.clone()).or_insert_with(|| self.new_wish(engine)).clone()
+        wishes.entry(engine.id.clone()).or_insert_with(|| self.new_backpressure(engine)).clone()
     }
 
     /// What an engine that this node has not asked yet said to others.
-    pub(super) fn new_wish(&self, engine: &EngineEntry) -> Arc<Backpressure> {
+    pub(super) fn new_backpressure(&self, engine: &EngineEntry) -> Arc<Backpressure> {
         let wish = Backpressure::default();
         let (life, limits) = (life(engine), self.limits.borrow());
         if let Some((rate, at)) = limits.of(&life) {
@@ -77,18 +77,18 @@
         engine: &EngineEntry,
         path: &str,
     ) -> Option<Result<EngineResponse<bool>, RpcError>> {
-        let mut right = rights::right(self, engine).await.ok()?;
-        let entered = self.wish_of(engine).admit_probe(right.as_mut(), self.now())?;
+        let mut right = rights::acquire(self, engine).await.ok()?;
+        let entered = self.backpressure_of(engine).admit_probe(right.as_mut(), self.now())?;
         let sent = self.now();
         let answer = self.edges.orders.healthy(engine, path).await;
         drop(entered);
         Some(answer.inspect(|answer| {
-            self.heed(engine, "check", sent, *answer);
+            self.record_response(engine, "check", sent, *answer);
         }))
     }
 
     /// An engine said in an answer to this node that it leaves.
-    pub(super) fn engine_leaves(&self, life: &EngineIncarnation) {
+    pub(super) fn engine_draining(&self, life: &EngineIncarnation) {
         if self.leave_by_word(life, 0, "its own answer") {
             self.publish();
         }
@@ -116,7 +116,7 @@
 impl Control {
     /// Engines that leave by their own word, which others have not heard who know them up to `serial`; and up to
     /// where they do then.
-    pub(super) fn leaves_since(&self, serial: u64) -> (Vec<FeedDrain>, u64) {
+    pub(super) fn drains_since(&self, serial: u64) -> (Vec<FeedDrain>, u64) {
         let (new, upto) = self.leavers.borrow().since(serial, TOLD_MOST, self.now());
         let told = new.into_iter().map(|(life, age_ms)| FeedDrain {
             engine: life.engine,
@@ -127,7 +127,7 @@
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_leaves(&self, leaves: &[FeedDrain], sent: Millis) {
+    pub(super) fn receive_drains(&self, leaves: &[FeedDrain], sent: Millis) {
         let late = self.now().saturating_sub(sent);
         let mut changed = false;
         for told in leaves {
@@ -166,7 +166,7 @@
         Some(Err(e)) => return log::info!("engine {} does not answer its check: {e}", entry.id),
     }
     control.leavers.borrow_mut().cancel(life, control.now());
-    control.wish_of(&entry).cancel_drain();
+    control.backpressure_of(&entry).cancel_drain();
     let ready = EngineEntry { state: EntryState::Ready, ..(*entry).clone() };
     control.entries.borrow_mut().insert(entry.id.clone(), Arc::new(ready));
     control.leaving.borrow_mut().remove(&entry.id);
--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -78,7 +78,7 @@
     let mut at = from;
     loop {
         let asked = control.watch("configuration", prefix, at, WATCH);
-        let Some(answer) = control.until_doubt(asked).await else {
+        let Some(answer) = control.until_store_change(asked).await else {
             if control.direct().await {
                 return;
             }
--- a/crates/heathpitchd/src/gateway/control/ends.rs
+++ b/crates/heathpitchd/src/gateway/control/ends.rs
@@ -72,7 +72,7 @@
     youngest.truncate(LOGGED);
     let (name, calls) = (engine.id.clone(), lost.len());
     GatewayEvent::EngineEnded { engine: name, calls, youngest }.log();
-    control.engine_ended(engine, lost);
+    control.record_engine_exit(engine, lost);
 }
 
 /// Whether nothing listens at an address.
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -57,7 +57,7 @@
     let read = async || list(&control).await;
     // Its connection may not come back with the store.
     let watch = async |at| {
-        control.until_doubt(watch(&control, at)).await;
+        control.until_store_change(watch(&control, at)).await;
     };
     control.keep(RETRY, read, watch).await;
 }
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -53,7 +53,7 @@
 pub(super) async fn ask(control: &Control, engine: &EngineEntry) -> Result<EngineStatus, RpcError> {
     let sent = control.now();
     let answer = control.edges.orders.status(engine).await?;
-    let status = control.heed(engine, "report", sent, answer);
+    let status = control.record_response(engine, "report", sent, answer);
     let word = control.lives.borrow_mut().observe(&engine.id, status.born, control.now());
     match word {
         Recency::Current => {}
@@ -116,7 +116,7 @@
 /// Takes an entry, and adds it to `changed` if it says anything new; gives its engine's id if it can be
 /// read.
 fn put(control: &Control, item: &Item, changed: &mut Vec<Arc<EngineEntry>>) -> Option<Name> {
-    control.hear_era(item.revision.era());
+    control.observe_era(item.revision.era());
     let entry = match read(control, item) {
         Ok(entry) => entry,
         Err(e) => {
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -199,7 +199,7 @@
         return PollOutcome::Declined;
     }
     followed.known = told.cursor;
-    reports::hear(control, &told.reports, sent);
+    reports::receive(control, &told.reports, sent);
     prove(&control.shared.listed, proven);
     followed.until = proven + LIST_OLD;
     if control.revision() >= told.revision {
@@ -293,8 +293,8 @@
     /// What others have not heard who know this node's news up to `known`; and up to where they do then.
     pub(super) fn news_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
         let known = if known.incarnation == self.life { known } else { NoticeCursor::default() };
-        let (ends, ended) = self.ends_since(known.exits);
-        let (leaves, left) = self.leaves_since(known.drains);
+        let (ends, ended) = self.exits_since(known.exits);
+        let (leaves, left) = self.drains_since(known.drains);
         let (limits, limited) = self.limits_since(known.limits);
         let mark =
             NoticeCursor { incarnation: self.life, exits: ended, drains: left, limits: limited };
@@ -303,8 +303,8 @@
 
     /// Takes what another node told in a message that was sent at `sent` or later.
     pub(super) fn hear_news(&self, news: &FeedNotices, sent: Millis, by: &Name) {
-        self.hear_ends(&news.exits, sent, by);
-        self.hear_leaves(&news.drains, sent);
-        self.hear_limits(&news.limits, sent);
+        self.receive_exits(&news.exits, sent, by);
+        self.receive_drains(&news.drains, sent);
+        self.receive_limits(&news.limits, sent);
     }
 }
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -5,10 +5,11 @@
 //! keeps the lease of the failure domain's planner and counts who follows it; `planner` orders layers by
 //! `orders`; `reports` asks engines how they do, and `neighbours` hears what those of the other failure
 //! domains do; `ends` finds out whether engines ended whose connections calls lost, and `quarantine` under
-//! which requests they do; `wishes` heeds what engines ask for in their answers, and `rights` hands out their
-//! limits, which `limit_records` keeps in the store; `recovery` watches running streams and moves them off engines that `looks` finds lost; `suspended`
+//! which requests they do; `backpressure` heeds what engines ask for in their answers, and `rights` hands out their
+//! limits, which `limit_records` keeps in the store; `recovery` watches running streams and moves them off engines that `looks` finds lost; `suspension`
 //! finds out that the VM was suspended. They publish snapshots in [`Shared`], that of engines by `publish`; nothing else is shared with traffic.
 
+mod backpressure;
 mod config;
 mod ends;
 mod engine_list;
@@ -27,10 +28,9 @@
 mod rights;
 mod state;
 mod store;
-mod suspended;
+mod suspension;
 mod tell;
 mod turns;
-mod wishes;
 
 use std::io;
 use std::rc::Rc;
@@ -83,7 +83,7 @@
                 let hander = control.clone();
                 let server = FeedServer::new(
                     Rc::new(move |ask| tell::answer(&c, ask)),
-                    Rc::new(move |ask| hander.hand_out(&ask)),
+                    Rc::new(move |ask| hander.issue_rights(&ask)),
                 );
                 spawn_local(server.serve(peers.into_socket()));
             }
@@ -99,10 +99,10 @@
             spawn_local(reports::run(control.clone()));
             spawn_local(neighbours::follow(control.clone()));
             spawn_local(quarantine::run(control.clone()));
-            spawn_local(wishes::run(control.clone()));
+            spawn_local(backpressure::run(control.clone()));
             spawn_local(rights::run(control.clone()));
             spawn_local(limit_records::run(control.clone()));
-            spawn_local(suspended::watch(control.clone()));
+            spawn_local(suspension::watch(control.clone()));
             spawn_local(receive(control, inbox));
             let _ = stop.wait_for(|s| *s).await;
             Ok(())
@@ -114,17 +114,17 @@
 async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<Notice>) {
     while let Some(notice) = inbox.recv().await {
         match notice {
-            Notice::Stream(live) => recovery::take(&control, &live),
+            Notice::Stream(live) => recovery::track(&control, &live),
             Notice::Replaced(engine) => engines::mark_replaced(&control, &engine),
             Notice::Misplaced(engine) => engines::reread(&control, &engine),
             Notice::Refused(engine) => looks::question(&control, &engine),
             Notice::Lost(lost) => ends::take(&control, lost),
-            Notice::Answered(print) => control.answered(print),
-            Notice::Incarnations(life) => control.engine_lives(&life),
-            Notice::Leaves(life) => control.engine_leaves(&life),
-            Notice::HeldBack(print) => control.came_again(print),
-            Notice::Limited(life) => control.engine_limited(&life),
-            Notice::Rights(wanted) => rights::seek(&control, wanted),
+            Notice::Answered(print) => control.clear_request(print),
+            Notice::Incarnations(life) => control.engine_alive(&life),
+            Notice::Leaves(life) => control.engine_draining(&life),
+            Notice::HeldBack(print) => control.renew_request(print),
+            Notice::Limited(life) => control.record_limit(&life),
+            Notice::Rights(wanted) => rights::spawn_request(&control, wanted),
         }
     }
 }
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -101,7 +101,7 @@
     if told.domain_size > 0 {
         control.besides.borrow_mut().insert(domain.clone(), told.domain_size);
     }
-    reports::hear(control, &told.reports, sent);
+    reports::receive(control, &told.reports, sent);
     control.hear_news(&told.notices, sent, &neighbour.planner.node);
 }
 
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -89,7 +89,7 @@
         // The watch's connection may be dead, and the planner with it.
         let watched = watch(&control, &key, holder, listing.at);
         let watched = tokio::select! {
-            watched = control.until_doubt(watched) => watched,
+            watched = control.until_store_change(watched) => watched,
             () = control.unclaim() => None,
         };
         if watched != Some(Watched::Won) {
@@ -138,7 +138,7 @@
                 ItemChange::Deleted(gone) if &**gone == key => holder = None,
                 // A planner is asked until there is another one.
                 ItemChange::Deleted(gone) => {
-                    quarantine::gone(control, gone);
+                    quarantine::entry_deleted(control, gone);
                     limit_records::gone(control, gone);
                 }
             }
@@ -269,7 +269,7 @@
 
 fn note(control: &Control, item: &Item) {
     if item.key.starts_with(quarantine::PREFIX) {
-        return quarantine::take(control, item);
+        return quarantine::load_entry(control, item);
     }
     if item.key.starts_with(limit_records::PREFIX) {
         return limit_records::take(control, item);
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -25,14 +25,14 @@
 
 /// An order that was sent and is not known to be done.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingOrder {
     /// What the engine will hold; none if it is busy with an order of another planner.
     layers: Option<LayerRange>,
     ask: Millis,
     pause: Millis,
 }
 
-impl Pending {
+impl PendingOrder {
     /// Layers that the engine will hold.
     pub(super) fn layers(&self) -> Option<LayerRange> {
         self.layers
@@ -55,7 +55,7 @@
 }
 
 /// Forgets orders that are done, and asks engines whose orders are overdue.
-pub(super) fn settle(control: &Rc<Control>) {
+pub(super) fn check_pending(control: &Rc<Control>) {
     let now = control.now();
     let entries = control.entries.borrow();
     let mut pending = control.pending.borrow_mut();
@@ -69,7 +69,7 @@
 }
 
 /// Orders an engine to hold the layers of an assignment.
-pub(super) fn place(
+pub(super) fn order_layers(
     control: &Rc<Control>,
     model: &LayeredModel,
     engine: Arc<EngineEntry>,
@@ -86,7 +86,7 @@
     let share = f64::from(layers.count()) / f64::from(model.layers.max(1));
     let load = (model.load_ms as f64 * share) as Millis;
     let ask = control.now() + load + OVERDUE;
-    let pending = Pending { layers: Some(layers), ask, pause: ASK_FIRST };
+    let pending = PendingOrder { layers: Some(layers), ask, pause: ASK_FIRST };
     control.pending.borrow_mut().insert(engine.id.clone(), pending);
     let control = control.clone();
     spawn_local(async move {
@@ -94,7 +94,7 @@
             Sent::Taken => {}
             Sent::Busy => {
                 let ask = control.now() + ASK_FIRST;
-                let pending = Pending { layers: None, ask, pause: ASK_FIRST };
+                let pending = PendingOrder { layers: None, ask, pause: ASK_FIRST };
                 control.pending.borrow_mut().insert(engine.id.clone(), pending);
             }
             Sent::Refused => {
@@ -136,7 +136,7 @@
     for second in [false, true] {
         let sent = control.now();
         let answer = control.edges.orders.place(engine, layers, release, orders).await;
-        let result = answer.map(|answer| control.heed(engine, "order", sent, answer));
+        let result = answer.map(|answer| control.record_response(engine, "order", sent, answer));
         let word = match &result {
             Ok(OrderOutcome::Taken) => "taken".to_owned(),
             Ok(other) => format!("{other:?}"),
--- a/crates/heathpitchd/src/gateway/control/planner.rs
+++ b/crates/heathpitchd/src/gateway/control/planner.rs
@@ -7,7 +7,7 @@
 use heathpitch_core::{EngineEntry, EntryState, LayeredModel, Millis, Name};
 use heathpitch_policy::{Worker, copy_counts, plan_layout};
 
-use super::orders::{self, Pending};
+use super::orders::{self, PendingOrder};
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
@@ -34,7 +34,7 @@
     let Some(catalog) = control.shared.catalog.load_full() else { return };
     for service in catalog.services.values() {
         if let Some(model) = &service.model {
-            orders::settle(control);
+            orders::check_pending(control);
             let engines = engines(control, &service.name);
             if isolated(control, &service.name) {
                 continue;
@@ -55,7 +55,7 @@
                 let Some(engine) = engines.iter().find(|e| e.id == assignment.engine) else {
                     continue;
                 };
-                orders::place(control, model, engine.clone(), assignment);
+                orders::order_layers(control, model, engine.clone(), assignment);
             }
         }
     }
@@ -120,7 +120,7 @@
             log::warn!("engine {} holds layers {}: not planned with", e.id, e.layers);
             return None;
         }
-        let ordered = pending.get(&e.id).and_then(Pending::layers);
+        let ordered = pending.get(&e.id).and_then(PendingOrder::layers);
         let tally = tallies.get(&e.id);
         Some(Worker {
             engine: e.id.clone(),
@@ -128,8 +128,8 @@
             layers: ordered.unwrap_or(e.layers),
             assignable: !pending.contains_key(&e.id),
             open_requests: tally.map_or(0, |t| t.gauge().count()),
-            held_tokens: control.held(&e.id),
-            limited: control.binds(e),
+            held_tokens: control.held_tokens(&e.id),
+            limited: control.is_limited(e),
             is_new: since.get(&e.id).is_some_and(|at| now < at + NEW),
         })
     };
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -25,7 +25,7 @@
             let model = catalog.services.get(&e.service).and_then(|s| s.model.as_ref());
             let card = model.zip(e.card.as_ref()).and_then(|(m, card)| m.card(card.as_str()));
             if let Some(card) = card.filter(|_| holds && !self.is_lost(&e.id)) {
-                let pace = card.step_factor * self.slowness(&e.id);
+                let pace = card.step_factor * self.slowdown(&e.id);
                 holders.entry((&e.service, &e.domain)).or_default().push((&e.id, pace, e.layers));
             }
         }
@@ -57,7 +57,8 @@
             let model = catalog.as_ref().and_then(|c| c.services.get(&entry.service));
             let model = model.and_then(|s| s.model.as_ref());
             let card = entry.card.as_ref().and_then(|c| model?.card(c.as_str())).cloned();
-            let wish = wishes.entry(entry.id.clone()).or_insert_with(|| self.new_wish(entry));
+            let wish =
+                wishes.entry(entry.id.clone()).or_insert_with(|| self.new_backpressure(entry));
             let tally = tallies.entry(entry.id.clone());
             let tally = tally.or_insert_with(|| Arc::new(EngineStats::of(wish.clone()))).clone();
             let main = primaries.contains(&entry.id);
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -45,11 +45,11 @@
 
 /// Entries of the store, as far as this node knows: revision, and how often the request had come again.
 #[derive(Debug, Default)]
-pub(super) struct Entries {
+pub(super) struct StoredEntries {
     known: HashMap<RequestFingerprint, Entry>,
 }
 
-impl Entries {
+impl StoredEntries {
     /// Takes none of them to stand there, so that all are written that are not found.
     pub(super) fn forget(&mut self) {
         self.known.clear();
@@ -68,7 +68,7 @@
     ///
     /// Told are those that it had just begun to run, or else the youngest, which counts for nothing: the others
     /// hear by it that the engine has ended, three seconds before its entry lapses.
-    pub(super) fn engine_ended(&self, engine: &EngineEntry, lost: &[LostSend]) {
+    pub(super) fn record_engine_exit(&self, engine: &EngineEntry, lost: &[LostSend]) {
         let (now, life) = (self.now(), life(engine));
         let youngest = lost.iter().map(|call| call.events).min().unwrap_or(0);
         let told = |call: &&LostSend| call.events == youngest || just_started(call.events);
@@ -84,21 +84,21 @@
     }
 
     /// A request under which engines ended was answered whole.
-    pub(super) fn answered(&self, print: RequestFingerprint) {
+    pub(super) fn clear_request(&self, print: RequestFingerprint) {
         if self.quarantine.borrow_mut().clear_request(print) {
             self.decide("it was answered");
         }
     }
 
     /// An engine that is said to have ended has answered since.
-    pub(super) fn engine_lives(&self, life: &EngineIncarnation) {
+    pub(super) fn engine_alive(&self, life: &EngineIncarnation) {
         if self.quarantine.borrow_mut().engine_alive(life) {
             self.decide("an engine that was taken to have ended answers");
         }
     }
 
     /// A request that is held back came again.
-    pub(super) fn came_again(&self, print: RequestFingerprint) {
+    pub(super) fn renew_request(&self, print: RequestFingerprint) {
         if self.quarantine.borrow_mut().renew(print, self.now()) {
             self.decide("it came again");
         }
@@ -116,7 +116,7 @@
 /// # What nodes tell each other
 impl Control {
     /// Ends that others have not heard of who know this node's up to `serial`; and up to where they do then.
-    pub(super) fn ends_since(&self, serial: u64) -> (Vec<FeedExit>, u64) {
+    pub(super) fn exits_since(&self, serial: u64) -> (Vec<FeedExit>, u64) {
         let (ends, upto) = self.quarantine.borrow().since(serial, TOLD_MOST, self.now());
         let told = ends.into_iter().map(|(end, age_ms)| FeedExit {
             fingerprint: end.print,
@@ -131,7 +131,7 @@
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_ends(&self, ends: &[FeedExit], sent: Millis, by: &Name) {
+    pub(super) fn receive_exits(&self, ends: &[FeedExit], sent: Millis, by: &Name) {
         let mut new = 0;
         for told in ends {
             let life = EngineIncarnation { engine: told.engine.clone(), born: told.born };
@@ -252,7 +252,7 @@
         // Another planner was faster; the lease that nothing stands under runs out by itself.
         Err(StoreError::Conflict(items)) => {
             match items.first() {
-                Some(item) => take(control, item),
+                Some(item) => load_entry(control, item),
                 None => removed(control, print),
             }
             Ok(())
@@ -275,7 +275,7 @@
 }
 
 /// Takes an entry of the store.
-pub(super) fn take(control: &Control, item: &Item) {
+pub(super) fn load_entry(control: &Control, item: &Item) {
     let print = item.key.strip_prefix(PREFIX).and_then(|p| p.parse::<RequestFingerprint>().ok());
     let (Some(print), Ok(text)) = (print, std::str::from_utf8(&item.value)) else {
         return log::warn!("entry {} of a request that is held back cannot be read", item.key);
@@ -306,7 +306,7 @@
 
 /// Takes note that an entry is gone from the store, because an operator let its request through or
 /// because it has not come for long.
-pub(super) fn gone(control: &Control, key: &str) {
+pub(super) fn entry_deleted(control: &Control, key: &str) {
     if let Some(print) = key.strip_prefix(PREFIX).and_then(|p| p.parse().ok()) {
         removed(control, print);
     }
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -54,16 +54,16 @@
 
 /// A stream under watch.
 #[derive(Debug)]
-pub(super) struct Watched {
+pub(super) struct TrackedStream {
     pub(super) live: Weak<LiveStream>,
     next: Rc<Cell<Millis>>,
     refused: Rc<Cell<u32>>,
 }
 
 /// Takes a stream under watch.
-pub(super) fn take(control: &Control, live: &Arc<LiveStream>) {
+pub(super) fn track(control: &Control, live: &Arc<LiveStream>) {
     let watched =
-        Watched { live: Arc::downgrade(live), next: Rc::default(), refused: Rc::default() };
+        TrackedStream { live: Arc::downgrade(live), next: Rc::default(), refused: Rc::default() };
     control.streams.borrow_mut().push(watched);
 }
 
@@ -167,7 +167,7 @@
     live: &Arc<LiveStream>,
     path: &Path,
     leaving: Option<Name>,
-    watched: &Watched,
+    watched: &TrackedStream,
 ) {
     let Some(new) = detour(control, live, path) else { return };
     if new == *path {
@@ -182,7 +182,7 @@
         let answer = control.edges.orders.reroute(head, &engine, &live.request, &new).await;
         let entry = control.entries.borrow().get(&engine).cloned();
         let result = answer.map(|answer| match entry {
-            Some(entry) => control.heed(&entry, "order", sent, answer),
+            Some(entry) => control.record_response(&entry, "order", sent, answer),
             None => answer.value,
         });
         let label = if matches!(result, Ok(OrderOutcome::Taken)) { "taken" } else { "failed" };
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -78,7 +78,11 @@
 
 /// Reports for the nodes that this one tells, of all engines or of those in one failure domain, that came
 /// after the one with serial `known`; and the serial of the last one.
-pub(super) fn told(control: &Control, domain: Option<&Name>, known: u64) -> (Vec<FeedReport>, u64) {
+pub(super) fn reports_since(
+    control: &Control,
+    domain: Option<&Name>,
+    known: u64,
+) -> (Vec<FeedReport>, u64) {
     let now = control.now();
     let (reports, entries) = (control.reports.borrow(), control.entries.borrow());
     let wanted = |engine: &Name| match domain {
@@ -97,7 +101,7 @@
 }
 
 /// Takes reports that another node told in answer to a question sent at `sent`.
-pub(super) fn hear(control: &Control, reports: &[FeedReport], sent: Millis) {
+pub(super) fn receive(control: &Control, reports: &[FeedReport], sent: Millis) {
     let mut changed = false;
     for r in reports {
         let at = sent.saturating_sub(r.age_ms);
@@ -164,7 +168,7 @@
             control.reported.get()
         }
     };
-    let changed = (report.pace - control.slowness(engine)).abs() > CHANGE;
+    let changed = (report.pace - control.slowdown(engine)).abs() > CHANGE;
     if changed {
         GatewayEvent::EnginePaced { engine: engine.clone(), pace: report.pace }.log();
     }
@@ -179,14 +183,14 @@
 /// # Reports
 impl Control {
     /// Tokens that requests hold at an engine by its report; what this node alone sends says little of all.
-    pub(super) fn held(&self, engine: &Name) -> f64 {
+    pub(super) fn held_tokens(&self, engine: &Name) -> f64 {
         let now = self.now();
         let reports = self.reports.borrow();
         reports.get(engine).filter(|r| now < r.at + OLD).map_or(0.0, |r| r.held)
     }
 
     /// Factor by which an engine is slower than its card, as far as is known.
-    pub(super) fn slowness(&self, engine: &Name) -> f64 {
+    pub(super) fn slowdown(&self, engine: &Name) -> f64 {
         let now = self.now();
         let reports = self.reports.borrow();
         reports.get(engine).filter(|r| now < r.at + OLD).map_or(1.0, |r| r.pace)
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -38,7 +38,7 @@
 
 /// The node that hands out rights for the engines of one failure domain, as far as this one knows.
 #[derive(Default)]
-pub(super) struct Hander {
+pub(super) struct RightsIssuer {
     /// Where it was asked last, on a connection that is kept.
     client: Option<(SocketAddr, Rc<FeedClient>)>,
     /// Whether it handed out rights when it was asked last, once it was.
@@ -50,7 +50,7 @@
 /// # What engines say, and nodes tell each other
 impl Control {
     /// An engine named another limit to this node than before, or none any more.
-    pub(super) fn engine_limited(&self, life: &EngineIncarnation) {
+    pub(super) fn record_limit(&self, life: &EngineIncarnation) {
         let Some(wish) = self.wishes.borrow().get(&life.engine).cloned() else { return };
         let (now, limit) = (self.now(), wish.limit());
         let at = now.saturating_sub(limit.age(now));
@@ -89,7 +89,7 @@
     }
 
     /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn hear_limits(&self, limits: &[FeedLimit], sent: Millis) {
+    pub(super) fn receive_limits(&self, limits: &[FeedLimit], sent: Millis) {
         for told in limits {
             let life = EngineIncarnation { engine: told.engine.clone(), born: told.born };
             // A limit may be as young as it was when it was told, its end as old as the message may be.
@@ -124,7 +124,7 @@
     fn pass_limit(&self, life: &EngineIncarnation, rate: Option<Rate>, at: Millis) {
         let entry = self.entries.borrow().get(&life.engine).cloned();
         if let Some(entry) = entry.filter(|e| e.born == life.born) {
-            self.wish_of(&entry).limit().learn(rate, at);
+            self.backpressure_of(&entry).limit().learn(rate, at);
         }
     }
 }
@@ -132,7 +132,7 @@
 /// # Handing out
 impl Control {
     /// Whether this node hands out rights for the engines of its failure domain.
-    fn hands_out(&self) -> bool {
+    fn issues_rights(&self) -> bool {
         let now = self.now();
         let settled = self.planned().is_some_and(|since| now >= since + QUIET);
         let asked = 2 * (self.followers.borrow().present(now) + 1) > self.beside();
@@ -140,16 +140,16 @@
     }
 
     /// Whether an engine takes less than is asked for.
-    pub(super) fn binds(&self, engine: &EngineEntry) -> bool {
+    pub(super) fn is_limited(&self, engine: &EngineEntry) -> bool {
         let life = life(engine);
         self.limits.borrow().of(&life).is_some() && self.rights.borrow().binds(&life)
     }
 
     /// Hands out rights to a node that asks for them.
-    pub(super) fn hand_out(&self, ask: &RightsRequest) -> RightsResponse {
+    pub(super) fn issue_rights(&self, ask: &RightsRequest) -> RightsResponse {
         let now = self.now();
-        self.hear_limits(std::slice::from_ref(&ask.limit), now);
-        if !self.hands_out() {
+        self.receive_limits(std::slice::from_ref(&ask.limit), now);
+        if !self.issues_rights() {
             return RightsResponse::default();
         }
         let life = EngineIncarnation { engine: ask.limit.engine.clone(), born: ask.limit.born };
@@ -166,14 +166,14 @@
 }
 
 /// Seeks rights for a call of this node.
-pub(super) fn seek(control: &Rc<Control>, wanted: RightsWanted) {
+pub(super) fn spawn_request(control: &Rc<Control>, wanted: RightsWanted) {
     let control = control.clone();
     spawn_local(async move {
         let granted = ask(&control, &wanted.engine, wanted.count).await;
         // One that waits no longer finds what was handed out the next time.
         if let Err(Granted::Given(count, sent)) = wanted.reply.send(granted) {
             let now = control.now();
-            control.wish_of(&wanted.engine).limit().add_rights(count, sent, now);
+            control.backpressure_of(&wanted.engine).limit().add_rights(count, sent, now);
         }
     });
 }
@@ -183,11 +183,11 @@
 /// # Errors
 ///
 /// What came instead of a right.
-pub(super) async fn right(
+pub(super) async fn acquire(
     control: &Control,
     engine: &EngineEntry,
 ) -> Result<Option<Right>, Granted> {
-    let wish = control.wish_of(engine);
+    let wish = control.backpressure_of(engine);
     if wish.limit().rate().is_none() {
         return Ok(None);
     }
@@ -205,7 +205,7 @@
 /// Asks the node that hands out rights for an engine.
 async fn ask(control: &Control, engine: &EngineEntry, count: u16) -> Granted {
     let sent = control.now();
-    let wish = control.wish_of(engine);
+    let wish = control.backpressure_of(engine);
     let (rate, age_ms) = (wish.limit().rate(), wish.limit().age(sent));
     let ask = RightsRequest {
         node: control.node(),
@@ -213,7 +213,7 @@
         requested: count,
     };
     let told = match engine.domain == control.domain() && control.plans() {
-        true => Ok(control.hand_out(&ask)),
+        true => Ok(control.issue_rights(&ask)),
         false => ask_planner(control, &engine.domain, &ask).await,
     };
     let granted = match told {
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -17,11 +17,11 @@
 use super::ends::Ends;
 use super::limit_records::Stored;
 use super::looks::Lost;
-use super::orders::Pending;
-use super::quarantine::Entries;
-use super::recovery::Watched;
+use super::orders::PendingOrder;
+use super::quarantine::StoredEntries;
+use super::recovery::TrackedStream;
 use super::reports::Report;
-use super::rights::Hander;
+use super::rights::RightsIssuer;
 use super::tell::Large;
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::shared::{Edges, Shared};
@@ -102,14 +102,14 @@
     /// Since when this node plans its failure domain, if it does.
     planned: Cell<Millis>,
     renewed: Cell<Millis>,
-    pub(super) pending: RefCell<HashMap<Name, Pending>>,
-    pub(super) streams: RefCell<Vec<Watched>>,
+    pub(super) pending: RefCell<HashMap<Name, PendingOrder>>,
+    pub(super) streams: RefCell<Vec<TrackedStream>>,
     /// What is known of engines whose connections calls lost a moment ago.
     pub(super) ends: RefCell<Ends>,
     /// Requests under which engines end, as far as this node and those that tell it know.
     pub(super) quarantine: RefCell<Quarantine>,
     /// Those of them that stand in the store.
-    pub(super) quarantined: RefCell<Entries>,
+    pub(super) quarantined: RefCell<StoredEntries>,
     /// Orders that engines have begun, as far as is known; an engine starts with none.
     pub(super) orders: RefCell<HashMap<Name, u64>>,
     pub(super) tallies: RefCell<HashMap<Name, Arc<EngineStats>>>,
@@ -124,7 +124,7 @@
     /// Rights that this node hands out.
     pub(super) rights: RefCell<Rights>,
     /// Nodes that hand out rights to this one, by failure domain.
-    pub(super) handers: RefCell<HashMap<Name, Hander>>,
+    pub(super) handers: RefCell<HashMap<Name, RightsIssuer>>,
     /// Revision of the store up to which its watch of the engines has told this node all changes; 0 while it does not watch.
     pub(super) engines_at: Cell<Revision>,
     /// Wakes the watch of the engines when a proof shows what it has not told.
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -12,7 +12,7 @@
 /// # Store
 impl Control {
     /// Waits for an answer of the store, but not once what its silence says is in doubt; none then.
-    pub(super) async fn until_doubt<T>(&self, answer: impl Future<Output = T>) -> Option<T> {
+    pub(super) async fn until_store_change<T>(&self, answer: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             answer = answer => Some(answer),
             () = self.store_doubted() => None,
@@ -74,7 +74,7 @@
 
     /// Takes note of the era that the store's last answer told.
     fn look_at_era(&self) {
-        self.hear_era(self.edges.store.era());
+        self.observe_era(self.edges.store.era());
     }
 
     /// Takes note that the store has come back from an older copy of itself, if its own answers, or what a node that
@@ -83,7 +83,7 @@
     /// What was read before is of another history. All watches are given up, so that everything is read anew at the
     /// usual turns, and entries that the copy does not have are waited for as after an outage. Engines that had
     /// gone do not come back with their entries, which the copy may have.
-    pub(super) fn hear_era(&self, era: u64) {
+    pub(super) fn observe_era(&self, era: u64) {
         let from = self.era.get();
         if era <= from {
             return;
--- a/crates/heathpitchd/src/gateway/control/tell.rs
+++ b/crates/heathpitchd/src/gateway/control/tell.rs
@@ -79,7 +79,8 @@
 
 /// Reports of this failure domain's engines, for the planner of another one.
 fn near_reports(control: &Control, known: FeedCursor) -> FeedResponse {
-    let (reports, reported) = reports::told(control, Some(&control.domain()), known.reported);
+    let (reports, reported) =
+        reports::reports_since(control, Some(&control.domain()), known.reported);
     let known = FeedCursor { incarnation: control.life, reported, ..FeedCursor::default() };
     FeedResponse { cursor: known, reports, ..nodes(control) }
 }
@@ -138,7 +139,7 @@
         told.withheld = true;
         return Ok(());
     }
-    let (reports, reported) = reports::told(control, None, known.reported);
+    let (reports, reported) = reports::reports_since(control, None, known.reported);
     let serial = control.mirror.borrow().serial();
     told.fresh = true;
     told.cursor = FeedCursor { incarnation: control.life, serial, reported };
