--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to hold layers: sent for one state of an engine, and followed until they are done.
+//! Orders to load layers, each sent for a known state of an engine and tracked until it completes.
 //!
-//! An engine's entry in the store shows the end of an order. When that is overdue, or the store is
-//! away, the engine itself is asked.
+//! An engine's entry in the store shows that an order has completed. If that is overdue, or the store
+//! is unavailable, the engine itself is polled.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,21 +15,20 @@
 use super::{engines, looks, nodes};
 use crate::gateway::event::GatewayEvent;
 
-/// Time beside that of the load after which an engine is asked for the end of an order,
-/// milliseconds.
-const OVERDUE: Millis = 700;
-/// Time between two questions to a busy engine at first, milliseconds; doubled each time.
-const ASK_FIRST: Millis = 400;
-/// Longest time between two questions to a busy engine, milliseconds.
-const ASK_LONGEST: Millis = 1_600;
+/// Time beyond the estimated load time after which an engine is polled for the completion of an order.
+const OVERDUE_MS: Millis = 700;
+/// First interval between polls of a busy engine; doubled each time.
+const FIRST_POLL_MS: Millis = 400;
+/// Longest interval between polls of a busy engine.
+const MAX_POLL_MS: Millis = 1_600;
 
-/// An order that was sent and is not known to be done.
+/// Order that was sent and is not known to be complete.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingOrder {
-    /// What the engine will hold; none if it is busy with an order of another planner.
+    /// Layers that the engine will hold; none if it is busy with an order of another planner.
     layers: Option<LayerRange>,
-    ask: Millis,
-    pause: Millis,
+    poll_at: Millis,
+    poll_interval: Millis,
 }
 
 impl PendingOrder {
@@ -38,37 +37,36 @@
         self.layers
     }
 
-    fn again(self, now: Millis) -> Self {
-        let pause = (self.pause * 2).min(ASK_LONGEST);
-        Self { ask: now + pause, pause, ..self }
+    fn next_poll(self, now: Millis) -> Self {
+        let poll_interval = (self.poll_interval * 2).min(MAX_POLL_MS);
+        Self { poll_at: now + poll_interval, poll_interval, ..self }
     }
 }
 
-/// What became of an order.
-enum Sent {
-    /// Taken, or perhaps taken.
-    Taken,
-    /// The engine is busy with another one.
+/// Result of sending an order.
+enum SendOutcome {
+    /// Accepted, or possibly accepted.
+    Accepted,
+    /// The engine is busy with another order.
     Busy,
-    /// Not taken.
     Refused,
 }
 
-/// Forgets orders that are done, and asks engines whose orders are overdue.
+/// Drops orders that are complete, and polls engines whose orders are overdue.
 pub(super) fn check_pending(control: &Rc<Control>) {
     let now = control.now();
     let entries = control.entries.borrow();
     let mut pending = control.pending.borrow_mut();
     pending.retain(|engine, p| entries.get(engine).is_some_and(|e| Some(e.layers) != p.layers));
-    for (engine, p) in pending.iter_mut().filter(|(_, p)| now >= p.ask) {
-        *p = p.again(now);
+    for (engine, p) in pending.iter_mut().filter(|(_, p)| now >= p.poll_at) {
+        *p = p.next_poll(now);
         if let Some(entry) = entries.get(engine) {
-            spawn_local(ask(control.clone(), entry.clone()));
+            spawn_local(poll_completion(control.clone(), entry.clone()));
         }
     }
 }
 
-/// Orders an engine to hold the layers of an assignment.
+/// Orders an engine to load the layers of an assignment.
 pub(super) fn order_layers(
     control: &Rc<Control>,
     model: &LayeredModel,
@@ -80,32 +78,32 @@
     let fits = card.is_some_and(|c| f64::from(layers.count()) * model.layer_mb <= c.memory_mb);
     check(Invariant::LayerMemory, fits);
     if !fits || layers.end > model.layers {
-        log::error!("layers {layers} do not fit engine {}: not ordered", engine.id);
+        log::error!("layers {layers} do not fit engine {}; order not sent", engine.id);
         return;
     }
     let share = f64::from(layers.count()) / f64::from(model.layers.max(1));
     let load = (model.load_ms as f64 * share) as Millis;
-    let ask = control.now() + load + OVERDUE;
-    let pending = PendingOrder { layers: Some(layers), ask, pause: ASK_FIRST };
+    let poll_at = control.now() + load + OVERDUE_MS;
+    let pending = PendingOrder { layers: Some(layers), poll_at, poll_interval: FIRST_POLL_MS };
     control.pending.borrow_mut().insert(engine.id.clone(), pending);
     let control = control.clone();
     spawn_local(async move {
         match send(&control, &engine, layers, reason).await {
-            Sent::Taken => {}
-            Sent::Busy => {
-                let ask = control.now() + ASK_FIRST;
-                let pending = PendingOrder { layers: None, ask, pause: ASK_FIRST };
+            SendOutcome::Accepted => {}
+            SendOutcome::Busy => {
+                let poll_at = control.now() + FIRST_POLL_MS;
+                let pending = PendingOrder { layers: None, poll_at, poll_interval: FIRST_POLL_MS };
                 control.pending.borrow_mut().insert(engine.id.clone(), pending);
             }
-            Sent::Refused => {
+            SendOutcome::Refused => {
                 control.pending.borrow_mut().remove(&engine.id);
             }
         }
     });
 }
 
-/// Asks an engine whether its order is done.
-async fn ask(control: Rc<Control>, engine: Arc<EngineEntry>) {
+/// Asks an engine whether its order is complete.
+async fn poll_completion(control: Rc<Control>, engine: Arc<EngineEntry>) {
     match engines::ask(&control, &engine).await {
         Ok(status) if !status.busy => {
             control.pending.borrow_mut().remove(&engine.id);
@@ -113,67 +111,72 @@
             engines::correct(&control, &engine, &status);
         }
         Ok(_) => {}
-        // What it was ordered to hold went with it, if it has ended; it is looked at again, and asked then.
+        // If the engine has exited, the ordered layers are lost with it. It is probed, and polled again
+        // once it is reachable.
         Err(RpcError::Connect(e)) => {
-            log::warn!("engine {} cannot be asked for the end of its order: {e}", engine.id);
+            log::warn!("engine {} could not be polled for completion of its order: {e}", engine.id);
             control.pending.borrow_mut().remove(&engine.id);
-            looks::leave(&control, &engine.id, "a question finds no connection");
+            looks::leave(&control, &engine.id, "connection failed while polling an order");
         }
-        Err(e) => log::warn!("engine {} does not tell its state: {e}", engine.id),
+        Err(e) => log::warn!("status request to engine {} failed: {e}", engine.id),
     }
 }
 
-/// Sends an order; with the count of orders from the engine itself if the known one is old.
+/// Sends an order; if the known count of orders is stale, retries once with that of the engine itself.
 async fn send(
     control: &Control,
     engine: &EngineEntry,
     layers: LayerRange,
     reason: LayoutReason,
-) -> Sent {
-    let main = control.shared.table.load().view(engine.id.as_str()).is_some_and(|s| s.main);
-    let release = release(reason, main);
+) -> SendOutcome {
+    let primary = control.shared.table.load().view(engine.id.as_str()).is_some_and(|s| s.main);
+    let release = release_mode(reason, primary);
     let mut orders = control.orders.borrow().get(&engine.id).copied().unwrap_or(0);
-    for second in [false, true] {
+    for is_retry in [false, true] {
         let sent = control.now();
         let answer = control.edges.orders.place(engine, layers, release, orders).await;
         let result = answer.map(|answer| control.record_response(engine, "order", sent, answer));
-        let word = match &result {
+        let text = match &result {
             Ok(OrderOutcome::Taken) => "taken".to_owned(),
             Ok(other) => format!("{other:?}"),
             Err(e) => e.to_string(),
         };
-        let label = if word == "taken" { "taken" } else { "failed" };
+        let label = if text == "taken" { "taken" } else { "failed" };
         control.shared.metrics.orders.with_label_values(&["place", label]).inc();
         let id = engine.id.clone();
-        GatewayEvent::LayersOrdered { engine: id, layers, reason, orders, result: word }.log();
+        GatewayEvent::LayersOrdered { engine: id, layers, reason, orders, result: text }.log();
         match result {
             Ok(OrderOutcome::Taken) => {
                 control.orders.borrow_mut().insert(engine.id.clone(), orders + 1);
-                return Sent::Taken;
+                return SendOutcome::Accepted;
             }
-            Ok(OrderOutcome::Conflict(_)) if !second => match stand(control, engine).await {
-                Some(status) if !status.busy && status.orders != orders => orders = status.orders,
-                Some(_) | None => return Sent::Busy,
-            },
-            // Nothing was sent. Counted as taken it would stand in for layers that nobody loads, for as long as
-            // the engine's entry stays.
+            Ok(OrderOutcome::Conflict(_)) if !is_retry => {
+                match status_after_conflict(control, engine).await {
+                    Some(status) if !status.busy && status.orders != orders => {
+                        orders = status.orders;
+                    }
+                    Some(_) | None => return SendOutcome::Busy,
+                }
+            }
+            // Nothing was sent. If it counted as accepted, the planner would rely on layers that no
+            // engine loads for as long as the engine's entry exists.
             Err(RpcError::Connect(_)) => {
-                looks::leave(control, &engine.id, "an order finds no connection");
-                return Sent::Refused;
+                looks::leave(control, &engine.id, "connection failed while sending an order");
+                return SendOutcome::Refused;
             }
-            // An order without an answer may still be carried out: it stays pending.
-            Err(_) => return Sent::Taken,
-            Ok(OrderOutcome::Conflict(_)) => return Sent::Busy,
-            Ok(OrderOutcome::Unknown | OrderOutcome::Refused(_)) => return Sent::Refused,
+            // An order without a response may still be executed, so it stays pending.
+            Err(_) => return SendOutcome::Accepted,
+            Ok(OrderOutcome::Conflict(_)) => return SendOutcome::Busy,
+            Ok(OrderOutcome::Unknown | OrderOutcome::Refused(_)) => return SendOutcome::Refused,
         }
     }
-    Sent::Refused
+    SendOutcome::Refused
 }
 
-/// How layers are given up: at once by a stand-in that has to close a gap.
-fn release(reason: LayoutReason, main: bool) -> ReleaseMode {
+/// How an engine releases its old layers: immediately if it is not a primary and has to close a gap.
+fn release_mode(reason: LayoutReason, primary: bool) -> ReleaseMode {
     match reason {
-        LayoutReason::Gap if !main => ReleaseMode::Immediate,
+        LayoutReason::Gap if !primary => ReleaseMode::Immediate,
         LayoutReason::Gap
         | LayoutReason::Initial
         | LayoutReason::Reorder
@@ -184,19 +187,20 @@
     }
 }
 
-/// An engine's state after it refused an order; that it had orders of another planner ends the
-/// planning of a node whose lease is in doubt.
-async fn stand(control: &Control, engine: &EngineEntry) -> Option<EngineStatus> {
+/// Status of an engine that rejected an order with a conflict.
+///
+/// If it has orders of another planner and this node's lease may have expired, this node resigns as planner.
+async fn status_after_conflict(control: &Control, engine: &EngineEntry) -> Option<EngineStatus> {
     let status = match engines::ask(control, engine).await {
         Ok(status) => status,
         Err(e) => {
-            log::warn!("engine {} does not tell its state: {e}", engine.id);
+            log::warn!("status request to engine {} failed: {e}", engine.id);
             return None;
         }
     };
     let known = control.orders.borrow().get(&engine.id).copied().unwrap_or(0);
     if status.orders > known && control.lease_doubted() {
-        nodes::resign(control, "another node gives orders and the lease could not be renewed");
+        nodes::resign(control, "another planner sends orders and the lease could not be renewed");
     }
     control.orders.borrow_mut().insert(engine.id.clone(), status.orders);
     Some(status)
--- a/crates/heathpitchd/src/gateway/control/planner.rs
+++ b/crates/heathpitchd/src/gateway/control/planner.rs
@@ -1,4 +1,4 @@
-//! Controller of layers: orders the engines of this failure domain to hold what a layout says.
+//! Layer planner: orders the engines of this failure domain to load the layers that the layout assigns.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,19 +11,19 @@
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
-/// Time between two looks.
-const TICK: Duration = Duration::from_millis(150);
-/// Time for which an engine that came is kept for the layers of one that it may replace,
-/// milliseconds: replacements come a second or two before the old ones leave.
-const NEW: Millis = 2_500;
-/// One in so many engines that cannot be reached shows that this node is cut off.
-const ISOLATED: usize = 3;
+/// Interval between planning rounds.
+const INTERVAL: Duration = Duration::from_millis(150);
+/// Time for which a new engine is reserved for the layers of the one that it may replace:
+/// replacements start a second or two before the old engines leave.
+const NEW_ENGINE_MS: Millis = 2_500;
+/// If more than one in this many engines is unreachable, this node itself is taken to be isolated.
+const ISOLATION_RATIO: usize = 3;
 
-/// Plans for as long as this node holds the lease.
+/// Plans while this node holds the planner's lease.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
         control.planning().await;
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(INTERVAL).await;
         if control.plans() {
             plan(&control);
         }
@@ -36,20 +36,20 @@
         if let Some(model) = &service.model {
             orders::check_pending(control);
             let engines = engines(control, &service.name);
-            if isolated(control, &service.name) {
+            if is_isolated(control, &service.name) {
                 continue;
             }
-            if foreign(control) {
+            if has_foreign_order(control) {
                 continue;
             }
             let workers = workers(control, model, &engines);
-            let fresh = workers.iter().all(|w| w.layers.count() == 0);
-            if fresh && control.settles() {
+            let all_empty = workers.iter().all(|w| w.layers.count() == 0);
+            if all_empty && control.settles() {
                 continue;
             }
             let plan = plan_layout(model, &workers);
             if !plan.is_empty() {
-                log(model, &service.name, &workers, plan.len());
+                log_plan(model, &service.name, &workers, plan.len());
             }
             for assignment in plan {
                 let Some(engine) = engines.iter().find(|e| e.id == assignment.engine) else {
@@ -61,7 +61,7 @@
     }
 }
 
-fn log(model: &LayeredModel, service: &Name, workers: &[Worker], moves: usize) {
+fn log_plan(model: &LayeredModel, service: &Name, workers: &[Worker], moves: usize) {
     let copies = copy_counts(model.layers, workers.iter().map(|w| w.layers));
     GatewayEvent::LayoutPlanned {
         service: service.clone(),
@@ -73,27 +73,27 @@
     .log();
 }
 
-/// Whether so many engines of this failure domain cannot be reached that it is rather this node
-/// that is cut off.
-fn isolated(control: &Control, service: &Name) -> bool {
+/// Whether so many engines of this failure domain are unreachable that this node is more likely
+/// isolated itself.
+fn is_isolated(control: &Control, service: &Name) -> bool {
     let domain = control.domain();
     let entries = control.entries.borrow();
-    let near = entries.values().filter(|e| &e.service == service && e.domain == domain);
-    let (mut all, mut lost) = (0, 0);
-    for entry in near {
-        all += 1;
-        lost += usize::from(control.is_lost(&entry.id));
+    let local = entries.values().filter(|e| &e.service == service && e.domain == domain);
+    let (mut total, mut unreachable) = (0, 0);
+    for entry in local {
+        total += 1;
+        unreachable += usize::from(control.is_lost(&entry.id));
     }
-    lost * ISOLATED > all
+    unreachable * ISOLATION_RATIO > total
 }
 
-/// Whether an engine still carries out an order of another planner, so that what it will hold is
-/// not known.
-fn foreign(control: &Control) -> bool {
+/// Whether an engine is still executing an order of another planner, so that its future layers are
+/// unknown.
+fn has_foreign_order(control: &Control) -> bool {
     control.pending.borrow().values().any(|p| p.layers().is_none())
 }
 
-/// Engines of a service in this failure domain that can be planned with.
+/// Engines of a service in this failure domain that are available for planning.
 fn engines(control: &Control, service: &Name) -> Vec<Arc<EngineEntry>> {
     let domain = control.domain();
     let usable = |e: &&Arc<EngineEntry>| {
@@ -111,26 +111,31 @@
 
 fn workers(control: &Control, model: &LayeredModel, engines: &[Arc<EngineEntry>]) -> Vec<Worker> {
     let pending = control.pending.borrow();
-    let tallies = control.tallies.borrow();
+    let stats = control.tallies.borrow();
     let since = control.since.borrow();
     let now = control.now();
     let worker = |e: &Arc<EngineEntry>| {
         let card = model.card(e.card.as_ref()?.as_str())?.clone();
         if e.layers.end > model.layers {
-            log::warn!("engine {} holds layers {}: not planned with", e.id, e.layers);
+            log::warn!(
+                "engine {} holds layers {} beyond the model's {}; excluded from planning",
+                e.id,
+                e.layers,
+                model.layers
+            );
             return None;
         }
         let ordered = pending.get(&e.id).and_then(PendingOrder::layers);
-        let tally = tallies.get(&e.id);
+        let engine_stats = stats.get(&e.id);
         Some(Worker {
             engine: e.id.clone(),
             card,
             layers: ordered.unwrap_or(e.layers),
             assignable: !pending.contains_key(&e.id),
-            open_requests: tally.map_or(0, |t| t.gauge().count()),
+            open_requests: engine_stats.map_or(0, |s| s.gauge().count()),
             held_tokens: control.held_tokens(&e.id),
             limited: control.is_limited(e),
-            is_new: since.get(&e.id).is_some_and(|at| now < at + NEW),
+            is_new: since.get(&e.id).is_some_and(|at| now < at + NEW_ENGINE_MS),
         })
     };
     engines.iter().filter_map(worker).collect()
