--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -150,14 +150,10 @@
                 control.orders.borrow_mut().insert(engine.id.clone(), orders + 1);
                 return SendOutcome::Accepted;
             }
-            Ok(OrderOutcome::Conflict(_)) if !is_retry => {
-                match status_after_conflict(control, engine).await {
-                    Some(status) if !status.busy && status.orders != orders => {
-                        orders = status.orders;
-                    }
-                    Some(_) | None => return SendOutcome::Busy,
-                }
-            }
+            Ok(OrderOutcome::Conflict(_)) if !is_retry => match requery(control, engine).await {
+                Some(status) if !status.busy && status.orders != orders => orders = status.orders,
+                Some(_) | None => return SendOutcome::Busy,
+            },
             // Nothing was sent. If it counted as accepted, the planner would rely on layers that no
             // engine loads for as long as the engine's entry exists.
             Err(RpcError::Connect(_)) => {
@@ -190,7 +186,7 @@
 /// Status of an engine that rejected an order with a conflict.
 ///
 /// If it has orders of another planner and this node's lease may have expired, this node resigns as planner.
-async fn status_after_conflict(control: &Control, engine: &EngineEntry) -> Option<EngineStatus> {
+async fn requery(control: &Control, engine: &EngineEntry) -> Option<EngineStatus> {
     let status = match engines::ask(control, engine).await {
         Ok(status) => status,
         Err(e) => {
--- a/crates/heathpitchd/src/gateway/control/planner.rs
+++ b/crates/heathpitchd/src/gateway/control/planner.rs
@@ -117,12 +117,7 @@
     let worker = |e: &Arc<EngineEntry>| {
         let card = model.card(e.card.as_ref()?.as_str())?.clone();
         if e.layers.end > model.layers {
-            log::warn!(
-                "engine {} holds layers {} beyond the model's {}; excluded from planning",
-                e.id,
-                e.layers,
-                model.layers
-            );
+            log::warn!("engine {} holds layers {} beyond its model; not planned", e.id, e.layers);
             return None;
         }
         let ordered = pending.get(&e.id).and_then(PendingOrder::layers);
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -1,4 +1,4 @@
-//! What controllers know of engines, published for traffic as one snapshot.
+//! Publishes the engine table, a snapshot of the engines for request threads.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,24 +9,28 @@
 use super::state::Control;
 use crate::gateway::engine_table::{EngineTable, EngineView};
 
-/// An engine, its pace, and the layers that it holds.
+/// Engine, its step factor, and the layers that it holds.
 type Holder<'a> = (&'a Name, f64, LayerRange);
 
 /// # Publishing
 impl Control {
-    /// Engines that requests run through by rule, in each failure domain.
+    /// Engines of the primary chains of each failure domain, which requests normally run through.
     fn primaries(&self) -> HashSet<Name> {
         let Some(catalog) = self.shared.catalog.load_full() else { return HashSet::new() };
         let entries = self.entries.borrow();
-        // By service and failure domain, in one walk.
+        // Holders by service and failure domain.
         let mut holders: HashMap<(&Name, &Name), Vec<Holder<'_>>> = HashMap::new();
         for e in entries.values() {
             let holds = e.state == EntryState::Ready && e.layers.count() > 0;
             let model = catalog.services.get(&e.service).and_then(|s| s.model.as_ref());
             let card = model.zip(e.card.as_ref()).and_then(|(m, card)| m.card(card.as_str()));
             if let Some(card) = card.filter(|_| holds && !self.is_lost(&e.id)) {
-                let pace = card.step_factor * self.slowdown(&e.id);
-                holders.entry((&e.service, &e.domain)).or_default().push((&e.id, pace, e.layers));
+                let step_factor = card.step_factor * self.slowdown(&e.id);
+                holders.entry((&e.service, &e.domain)).or_default().push((
+                    &e.id,
+                    step_factor,
+                    e.layers,
+                ));
             }
         }
         let mut found = HashSet::new();
@@ -38,18 +42,18 @@
         found
     }
 
-    /// Publishes the engines for traffic.
+    /// Publishes the engine table.
     pub(super) fn publish(&self) {
         let catalog = self.shared.catalog.load();
         let mut services: HashMap<Name, Vec<EngineView>> = HashMap::new();
         let primaries = self.primaries();
-        let mut tallies = self.tallies.borrow_mut();
+        let mut stats = self.tallies.borrow_mut();
         let entries = self.entries.borrow();
-        tallies.retain(|engine, _| entries.contains_key(engine));
-        let (mut wishes, now) = (self.wishes.borrow_mut(), self.now());
-        // Of one off the list a call may still be at work, whose answer asks for something.
-        let kept = |w: &Arc<Backpressure>| Arc::strong_count(w) > 1 || w.is_active(now);
-        wishes.retain(|engine, w| entries.contains_key(engine) || kept(w));
+        stats.retain(|engine, _| entries.contains_key(engine));
+        let (mut backpressure, now) = (self.wishes.borrow_mut(), self.now());
+        // A call may still be running at an unlisted engine, and its response may carry backpressure.
+        let in_use = |b: &Arc<Backpressure>| Arc::strong_count(b) > 1 || b.is_active(now);
+        backpressure.retain(|engine, b| entries.contains_key(engine) || in_use(b));
         for entry in entries.values() {
             if self.replaced.borrow().contains(&entry.id) {
                 continue;
@@ -57,10 +61,12 @@
             let model = catalog.as_ref().and_then(|c| c.services.get(&entry.service));
             let model = model.and_then(|s| s.model.as_ref());
             let card = entry.card.as_ref().and_then(|c| model?.card(c.as_str())).cloned();
-            let wish =
-                wishes.entry(entry.id.clone()).or_insert_with(|| self.new_backpressure(entry));
-            let tally = tallies.entry(entry.id.clone());
-            let tally = tally.or_insert_with(|| Arc::new(EngineStats::of(wish.clone()))).clone();
+            let signals = backpressure
+                .entry(entry.id.clone())
+                .or_insert_with(|| self.new_backpressure(entry));
+            let engine_stats = stats.entry(entry.id.clone());
+            let tally =
+                engine_stats.or_insert_with(|| Arc::new(EngineStats::of(signals.clone()))).clone();
             let main = primaries.contains(&entry.id);
             let view = EngineView { entry: entry.clone(), card, tally, main };
             services.entry(entry.service.clone()).or_default().push(view);
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -1,11 +1,11 @@
-//! Controller of the requests under which engines end.
+//! Quarantine of requests that crash engines.
 //!
-//! What this node finds (`ends`) and what others tell it goes into one
-//! [`Quarantine`](heathpitch_policy::Quarantine). Nodes tell each other with every question and answer of the
-//! feed, both ways, whether or not they hear from the store, and planners tell those of other domains: with
-//! 0.4 s between a follower's questions and 0.25 s between those of planners, every node in touch knows
-//! within [`KNOWN_WITHIN`]. Planners write requests that are held back into the store, for nodes that begin when
-//! nobody is left who could tell them; an operator who removes such an entry lets the request through.
+//! Engine exits that this node detects (`ends`) and those that other nodes report go into one
+//! [`Quarantine`](heathpitch_policy::Quarantine). Nodes exchange exits with every request and response of the
+//! feed, in both directions, whether or not the store is reachable, and planners exchange them across
+//! failure domains: followers poll every 0.4 s and planners every 0.25 s, so every connected node knows an
+//! exit within [`PROPAGATION_MS`]. Planners write quarantined requests to the store, for nodes that start when
+//! no running node could tell them; an operator who deletes such an entry releases the request.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -23,34 +23,34 @@
 use crate::gateway::shared::LostSend;
 use crate::gateway::suspicion::{HeldBack, Suspicion, life};
 
-/// Prefix of entries of requests that are held back.
+/// Key prefix of quarantined requests in the store.
 pub(super) const PREFIX: &str = "heathpitch/quarantine/";
-/// Time from the end of an engine to the moment at which all nodes in touch have heard of it, milliseconds: a look
-/// (120), a follower's question (400) and the limit of its answer (300), a planner's (250 and 200), another
-/// follower's. Below the shortest time after which nodes count as in touch (3 000).
-const KNOWN_WITHIN: Millis = 2_000;
-/// Ends told in one message: some sixty bytes each.
-const TOLD_MOST: usize = 256;
-/// Time after an engine's end in which those who hear of it leave the engine, milliseconds: its entry is off
-/// the list after three seconds, and another engine may have its address.
-const LEAVE_WITHIN_MS: Millis = 1_500;
-/// Time between two looks at what is old or has to be written to the store.
-const TICK: Duration = Duration::from_millis(300);
-/// Time that planners leave to the one of the first failure domain by name, milliseconds, so that one writes.
-const WRITE_LATER: Millis = 1_500;
-/// Time for which an entry in the store holds without being written again, milliseconds: the store's longest.
-const ENTRY_TTL: Millis = 600_000;
-/// Engines named in an entry.
-const ENTRY_MOST: usize = 16;
+/// Longest time from an engine's exit until all connected nodes know of it: a probe (120), a follower's
+/// poll (400) and its timeout (300), a planner's (250 and 200), and another follower's. Below the
+/// smallest contact bound (3 000).
+const PROPAGATION_MS: Millis = 2_000;
+/// Most exits in one message, about sixty bytes each.
+const MAX_EXITS: usize = 256;
+/// Age of an exit up to which nodes that learn of it avoid the engine: its entry is unlisted after three
+/// seconds, and another engine may then have its address.
+const AVOID_WITHIN_MS: Millis = 1_500;
+/// Interval between checks for expired requests and for entries to write to the store.
+const INTERVAL: Duration = Duration::from_millis(300);
+/// Time for which planners leave writing to that of the failure domain that is first by name, so that only one writes.
+const WRITE_DELAY_MS: Millis = 1_500;
+/// Lifetime of an entry that is not written again: the store's longest lease.
+const ENTRY_TTL_MS: Millis = 600_000;
+/// Most engines in an entry.
+const MAX_ENTRY_ENGINES: usize = 16;
 
-/// Entries of the store, as far as this node knows: revision, and how often the request had come again.
+/// Quarantine entries of the store as this node knows them.
 #[derive(Debug, Default)]
 pub(super) struct StoredEntries {
     known: HashMap<RequestFingerprint, Entry>,
 }
 
 impl StoredEntries {
-    /// Takes none of them to stand there, so that all are written that are not found.
+    /// Assumes that the store holds none of them, so that all that are not found are written.
     pub(super) fn forget(&mut self) {
         self.known.clear();
     }
@@ -59,66 +59,67 @@
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     revision: Revision,
+    /// Renewals of the request when the entry was written.
     renewed: u32,
 }
 
-/// # What this node finds
+/// # Local observations
 impl Control {
-    /// An engine has ended under calls of this node.
+    /// Records that an engine exited while it ran calls of this node.
     ///
-    /// Told are those that it had just begun to run, or else the youngest, which counts for nothing: the others
-    /// hear by it that the engine has ended, three seconds before its entry lapses.
+    /// Only calls that had just started count as evidence. If there is none, the youngest call is recorded
+    /// without weight, so that other nodes learn of the exit three seconds before the engine's entry expires.
     pub(super) fn record_engine_exit(&self, engine: &EngineEntry, lost: &[LostSend]) {
         let (now, life) = (self.now(), life(engine));
         let youngest = lost.iter().map(|call| call.events).min().unwrap_or(0);
-        let told = |call: &&LostSend| call.events == youngest || just_started(call.events);
+        let recorded = |call: &&LostSend| call.events == youngest || just_started(call.events);
         let mut new = false;
-        for call in lost.iter().filter(told) {
+        for call in lost.iter().filter(recorded) {
             let mut quarantine = self.quarantine.borrow_mut();
             new |= quarantine.record_end(call.print, life.clone(), call.events, now);
         }
-        self.leave(&life);
+        self.avoid(&life);
         if new {
-            self.decide("calls of this node were lost with it");
+            self.update_held("an engine exited under calls of this node");
         }
     }
 
-    /// A request under which engines ended was answered whole.
+    /// Clears a suspected request after a complete response.
     pub(super) fn clear_request(&self, print: RequestFingerprint) {
         if self.quarantine.borrow_mut().clear_request(print) {
-            self.decide("it was answered");
+            self.update_held("the request was answered");
         }
     }
 
-    /// An engine that is said to have ended has answered since.
+    /// Withdraws a reported exit of an engine that has responded since.
     pub(super) fn engine_alive(&self, life: &EngineIncarnation) {
         if self.quarantine.borrow_mut().engine_alive(life) {
-            self.decide("an engine that was taken to have ended answers");
+            self.update_held("an engine reported as exited responds");
         }
     }
 
-    /// A request that is held back came again.
+    /// Extends the quarantine of a request that was received again.
     pub(super) fn renew_request(&self, print: RequestFingerprint) {
         if self.quarantine.borrow_mut().renew(print, self.now()) {
-            self.decide("it came again");
+            self.update_held("the request was received again");
         }
     }
 
-    /// Leaves an engine that has ended, if it is still listed.
-    fn leave(&self, life: &EngineIncarnation) {
+    /// Avoids an engine that has exited, if it is still listed.
+    fn avoid(&self, life: &EngineIncarnation) {
         let listed = self.entries.borrow().get(&life.engine).is_some_and(|e| e.born == life.born);
         if listed && !self.is_lost(&life.engine) {
-            looks::leave(self, &life.engine, "it has ended");
+            looks::leave(self, &life.engine, "engine exited");
         }
     }
 }
 
-/// # What nodes tell each other
+/// # Exchange with other nodes
 impl Control {
-    /// Ends that others have not heard of who know this node's up to `serial`; and up to where they do then.
+    /// Exits recorded after `serial`, and the serial of the last one returned.
     pub(super) fn exits_since(&self, serial: u64) -> (Vec<FeedExit>, u64) {
-        let (ends, upto) = self.quarantine.borrow().since(serial, TOLD_MOST, self.now());
-        let told = ends.into_iter().map(|(end, age_ms)| FeedExit {
+        let (ends, upto) = self.quarantine.borrow().since(serial, MAX_EXITS, self.now());
+        let exits = ends.into_iter().map(|(end, age_ms)| FeedExit {
             fingerprint: end.print,
             engine: end.life.engine,
             born: end.life.born,
@@ -127,42 +128,42 @@
             cleared: end.void,
             age_ms,
         });
-        (told.collect(), upto)
+        (exits.collect(), upto)
     }
 
-    /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn receive_exits(&self, ends: &[FeedExit], sent: Millis, by: &Name) {
+    /// Records exits that another node reported in a message sent at `sent` or later.
+    pub(super) fn receive_exits(&self, exits: &[FeedExit], sent: Millis, by: &Name) {
         let mut new = 0;
-        for told in ends {
-            let life = EngineIncarnation { engine: told.engine.clone(), born: told.born };
+        for exit in exits {
+            let life = EngineIncarnation { engine: exit.engine.clone(), born: exit.born };
             let end = End {
-                print: told.fingerprint,
+                print: exit.fingerprint,
                 life: life.clone(),
-                events: told.events,
-                renewed: told.renewed,
-                void: told.cleared,
+                events: exit.events,
+                renewed: exit.renewed,
+                void: exit.cleared,
             };
             let now = self.now();
-            let age = now.saturating_sub(sent) + told.age_ms;
+            let age = now.saturating_sub(sent) + exit.age_ms;
             if !self.quarantine.borrow_mut().learn(end, age, now) {
                 continue;
             }
             new += 1;
-            if !told.cleared && age < LEAVE_WITHIN_MS {
-                self.leave(&life);
+            if !exit.cleared && age < AVOID_WITHIN_MS {
+                self.avoid(&life);
             }
         }
         if new > 0 {
             GatewayEvent::EndsHeard { by: by.clone(), ends: new }.log();
-            self.decide("another node told");
+            self.update_held("another node reported exits");
         }
     }
 }
 
-/// # Verdict
+/// # Held requests
 impl Control {
-    /// Works out anew what is held back, and publishes it.
-    fn decide(&self, why: &'static str) {
+    /// Recomputes which requests are held back, and publishes them.
+    fn update_held(&self, why: &'static str) {
         let now = self.now();
         let mut quarantine = self.quarantine.borrow_mut();
         let (new, over) = quarantine.decide();
@@ -188,17 +189,20 @@
     }
 }
 
-/// Forgets what is old and keeps the store's entries for as long as this node runs.
+/// Expires old requests and maintains the store's entries while this node runs.
 pub(super) async fn run(control: Rc<Control>) {
-    let contact = control.shared.settings.load().bounds.contact_ms;
-    if contact < KNOWN_WITHIN {
-        log::warn!("ends of engines are known within {KNOWN_WITHIN} ms, agreed are {contact} ms");
+    let contact_ms = control.shared.settings.load().bounds.contact_ms;
+    if contact_ms < PROPAGATION_MS {
+        log::warn!(
+            "engine exits may take {PROPAGATION_MS} ms to reach all nodes, \
+             but bounds.contact_ms is {contact_ms}"
+        );
     }
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(INTERVAL).await;
         let expired = control.quarantine.borrow_mut().expire(control.now());
         if expired {
-            control.decide("it has not come for long");
+            control.update_held("the request expired");
         }
         if control.plans() && control.reachable() && !control.stopping() {
             write_due(&control).await;
@@ -206,11 +210,11 @@
     }
 }
 
-/// Writes the requests that are held back and do not stand in the store as they are.
+/// Writes quarantined requests whose store entries are missing or outdated.
 async fn write_due(control: &Control) {
     for print in due(control) {
         if let Err(e) = write(control, print).await {
-            log::warn!("request {print}, which is held back, cannot be written to the store: {e}");
+            log::warn!("could not write quarantined request {print} to the store: {e}");
             return;
         }
     }
@@ -223,20 +227,20 @@
     let now = control.now();
     let wanted = |print: &RequestFingerprint| {
         let known = entries.known.get(print).map(|e| e.renewed);
-        let held = quarantine.evidence(*print, now).map(|(.., age)| age).min().unwrap_or(0);
+        let age_ms = quarantine.evidence(*print, now).map(|(.., age)| age).min().unwrap_or(0);
         known.is_none_or(|known| known < quarantine.renewed(*print))
-            && (first || held >= WRITE_LATER)
+            && (first || age_ms >= WRITE_DELAY_MS)
     };
     quarantine.held().filter(wanted).collect()
 }
 
 async fn write(control: &Control, print: RequestFingerprint) -> Result<(), StoreError> {
-    let lease = control.call("grant", control.edges.store.grant(ENTRY_TTL)).await?;
+    let lease = control.call("grant", control.edges.store.grant(ENTRY_TTL_MS)).await?;
     let key = format!("{PREFIX}{print}");
     let known = control.quarantined.borrow().known.get(&print).copied();
     let (value, renewed) = {
         let quarantine = control.quarantine.borrow();
-        (entry(&quarantine, print, control.now()), quarantine.renewed(print))
+        (entry_value(&quarantine, print, control.now()), quarantine.renewed(print))
     };
     let write = Write {
         conditions: vec![(key.clone(), known.map_or(Revision(0), |k| k.revision))],
@@ -249,11 +253,11 @@
             control.quarantined.borrow_mut().known.insert(print, entry);
             Ok(())
         }
-        // Another planner was faster; the lease that nothing stands under runs out by itself.
+        // Another planner wrote first; the unused lease expires by itself.
         Err(StoreError::Conflict(items)) => {
             match items.first() {
                 Some(item) => load_entry(control, item),
-                None => removed(control, print),
+                None => release_deleted(control, print),
             }
             Ok(())
         }
@@ -261,8 +265,8 @@
     }
 }
 
-/// The text of an entry: a line for each engine, with its start and the events that the request brought.
-fn entry(
+/// Value of an entry: one line for each engine, with its start time and the events of the request.
+fn entry_value(
     quarantine: &heathpitch_policy::Quarantine,
     print: RequestFingerprint,
     now: Millis,
@@ -270,51 +274,50 @@
     let line = |(life, events, _): (&EngineIncarnation, u32, Millis)| {
         format!("{} {} {events}\n", life.engine, life.born.unwrap_or(0))
     };
-    let lines = quarantine.evidence(print, now).take(ENTRY_MOST).map(line);
+    let lines = quarantine.evidence(print, now).take(MAX_ENTRY_ENGINES).map(line);
     lines.collect::<String>().into()
 }
 
-/// Takes an entry of the store.
+/// Loads an entry of the store.
 pub(super) fn load_entry(control: &Control, item: &Item) {
     let print = item.key.strip_prefix(PREFIX).and_then(|p| p.parse::<RequestFingerprint>().ok());
     let (Some(print), Ok(text)) = (print, std::str::from_utf8(&item.value)) else {
-        return log::warn!("entry {} of a request that is held back cannot be read", item.key);
+        return log::warn!("quarantine entry {} cannot be parsed", item.key);
     };
     let now = control.now();
     let mut new = false;
     for line in text.lines() {
-        match read_line(print, line) {
+        match parse_line(print, line) {
             Some(end) => new |= control.quarantine.borrow_mut().learn(end, 0, now),
-            None => log::warn!("a line of entry {} cannot be read: {line}", item.key),
+            None => log::warn!("line of quarantine entry {} cannot be parsed: {line}", item.key),
         }
     }
     let renewed = control.quarantine.borrow().renewed(print);
     let entry = Entry { revision: item.revision, renewed };
     control.quarantined.borrow_mut().known.insert(print, entry);
     if new {
-        control.decide("it stands in the store");
+        control.update_held("the store has an entry of the request");
     }
 }
 
-fn read_line(print: RequestFingerprint, line: &str) -> Option<End> {
-    let mut words = line.split(' ');
-    let engine = words.next()?.parse().ok()?;
-    let born = words.next()?.parse().ok().filter(|born| *born > 0);
-    let events = words.next()?.parse().ok()?;
+fn parse_line(print: RequestFingerprint, line: &str) -> Option<End> {
+    let mut fields = line.split(' ');
+    let engine = fields.next()?.parse().ok()?;
+    let born = fields.next()?.parse().ok().filter(|born| *born > 0);
+    let events = fields.next()?.parse().ok()?;
     Some(End { print, life: EngineIncarnation { engine, born }, events, renewed: 0, void: false })
 }
 
-/// Takes note that an entry is gone from the store, because an operator let its request through or
-/// because it has not come for long.
+/// Releases the request of an entry that was deleted by an operator or has expired.
 pub(super) fn entry_deleted(control: &Control, key: &str) {
     if let Some(print) = key.strip_prefix(PREFIX).and_then(|p| p.parse().ok()) {
-        removed(control, print);
+        release_deleted(control, print);
     }
 }
 
-fn removed(control: &Control, print: RequestFingerprint) {
+fn release_deleted(control: &Control, print: RequestFingerprint) {
     let known = control.quarantined.borrow_mut().known.remove(&print).is_some();
     if known && control.quarantine.borrow_mut().clear_request(print) {
-        control.decide("its entry was taken from the store");
+        control.update_held("its store entry was deleted");
     }
 }
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -1,9 +1,9 @@
-//! Controller of running streams: finds engines that fell silent and moves streams off them.
+//! Recovery of running streams: moves streams off engines that fail or drain.
 //!
-//! A path stalls as a whole when one of its engines dies, long before the platform says so. If an
-//! engine cannot be reached (`looks`), every silent stream through it is moved to engines that hold
-//! the same layers, or taken up elsewhere if it was the first. A stream that flows shows that all
-//! its engines work.
+//! When an engine fails, the whole path stalls long before the platform reports the failure. If a probe
+//! (`reachability`) finds an engine unreachable, every stalled stream through it is moved to engines that hold
+//! the same layers, or resumed on another path if the engine was the first. A stream that makes progress
+//! shows that all its engines work.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -22,114 +22,117 @@
 use crate::gateway::event::{GatewayEvent, parts};
 use crate::gateway::live::LiveStream;
 
-/// Time between two looks.
-const TICK: Duration = Duration::from_millis(40);
-/// The same while no stream runs and no engine is lost: below the silence of a new stream that is looked into.
-const TICK_IDLE: Duration = Duration::from_millis(200);
-/// Time between two looks at what is old.
-const FORGET_MS: Millis = 1_000;
-/// Time between two looks beyond which this process stood still itself, milliseconds.
-const STALL_SELF_MS: Millis = 200;
-/// Time for which nothing is judged after this process stood still, milliseconds.
-const REST: Millis = 150;
-/// Silence of a stream before its first event which is looked into, milliseconds: prompts are read
-/// meanwhile.
-const SILENT_FIRST: Millis = 350;
-/// Time for which new work is kept from an engine without room for a moved stream, milliseconds.
+/// Interval between checks.
+const INTERVAL: Duration = Duration::from_millis(40);
+/// Interval between checks while no stream runs and no engine is unreachable: below [`FIRST_EVENT_SILENCE_MS`].
+const IDLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between removals of expired state.
+const EXPIRY_INTERVAL_MS: Millis = 1_000;
+/// Delay of a check beyond which this process itself is taken to have been stalled.
+const MAX_CHECK_DELAY_MS: Millis = 200;
+/// Time without checks after this process was stalled.
+const STALL_GRACE_MS: Millis = 150;
+/// Silence before the first event after which a stream counts as stalled: the prompt is processed meanwhile.
+const FIRST_EVENT_SILENCE_MS: Millis = 350;
+/// Time for which an engine without room for a moved stream is deprioritized.
 const MOVE_COOLDOWN_MS: Millis = 250;
-/// Part of the time for which a leaving engine goes on serving at least, after which streams are moved
-/// off it; most end before.
+/// Part of a draining engine's minimum service time after which streams are moved off it; most end earlier.
 const DRAIN_SHARE: f64 = 0.6;
-/// Time after which an engine that left is forgotten, milliseconds.
-const LEFT: Millis = 60_000;
-/// Time between two moves of the same stream, milliseconds.
-const MOVE_AGAIN: Millis = 250;
-/// Time before a stream that an engine had no room for is moved again, milliseconds; doubled each
-/// time.
-const MOVE_SOON: Millis = 80;
+/// Time for which engines that left are remembered.
+const DEPARTED_TTL_MS: Millis = 60_000;
+/// Time between two moves of the same stream.
+const MOVE_INTERVAL_MS: Millis = 250;
+/// Time before a stream that an engine had no room for is moved again; doubled each time.
+const MOVE_RETRY_MS: Millis = 80;
 /// Most doublings of that time.
-const MOVE_DOUBLINGS: u32 = 4;
-/// Silence after which the first engine is asked which one it waits for, milliseconds.
-const ASK: Millis = 280;
+const MAX_MOVE_DOUBLINGS: u32 = 4;
+/// Silence after which the first engine is asked which engine it waits for.
+const STATUS_SILENCE_MS: Millis = 280;
 
-/// A stream under watch.
+/// Running stream and the state of its moves.
 #[derive(Debug)]
 pub(super) struct TrackedStream {
     pub(super) live: Weak<LiveStream>,
-    next: Rc<Cell<Millis>>,
-    refused: Rc<Cell<u32>>,
+    next_move: Rc<Cell<Millis>>,
+    refusals: Rc<Cell<u32>>,
 }
 
-/// Takes a stream under watch.
+/// Starts to track a stream.
 pub(super) fn track(control: &Control, live: &Arc<LiveStream>) {
-    let watched =
-        TrackedStream { live: Arc::downgrade(live), next: Rc::default(), refused: Rc::default() };
-    control.streams.borrow_mut().push(watched);
+    let tracked = TrackedStream {
+        live: Arc::downgrade(live),
+        next_move: Rc::default(),
+        refusals: Rc::default(),
+    };
+    control.streams.borrow_mut().push(tracked);
 }
 
-/// Looks at all streams again and again.
+/// Checks all streams periodically.
 pub(super) async fn run(control: Rc<Control>) {
-    let mut before = control.now();
-    let mut rest = 0;
-    let mut forgotten = 0;
+    let mut last_check = control.now();
+    let mut skip_until = 0;
+    let mut last_expiry = 0;
     let mut looked: Vec<(Name, Millis)> = Vec::new();
     loop {
         let idle = control.streams.borrow().is_empty() && control.lost.borrow().is_empty();
-        let tick = if idle { TICK_IDLE } else { TICK };
-        tokio::time::sleep(tick).await;
+        let interval = if idle { IDLE_INTERVAL } else { INTERVAL };
+        tokio::time::sleep(interval).await;
         let now = control.now();
-        if now.saturating_sub(before) > tick.as_millis() as Millis + STALL_SELF_MS {
-            rest = now + REST;
+        if now.saturating_sub(last_check) > interval.as_millis() as Millis + MAX_CHECK_DELAY_MS {
+            skip_until = now + STALL_GRACE_MS;
         }
-        before = now;
+        last_check = now;
         control.streams.borrow_mut().retain(|w| w.live.strong_count() > 0);
-        if now >= forgotten + FORGET_MS {
-            forgotten = now;
-            control.leaving.borrow_mut().retain(|_, since| now < *since + LEFT);
-            control.forget_lives();
+        if now >= last_expiry + EXPIRY_INTERVAL_MS {
+            last_expiry = now;
+            control.leaving.borrow_mut().retain(|_, since| now < *since + DEPARTED_TTL_MS);
+            control.expire_incarnations();
         }
-        if now < rest {
+        if now < skip_until {
             continue;
         }
         looks::round(&control, &mut looked, now).await;
-        mend(&control);
+        move_streams(&control);
     }
 }
 
-/// Whether a stream has been silent for longer than its engines need.
+/// Whether a stream has been silent for longer than its engines should need.
 pub(super) fn is_silent(live: &LiveStream, now: Millis) -> bool {
-    let begun = live.events.load(std::sync::atomic::Ordering::Relaxed) > 0;
-    let most = if begun { live.silent_most } else { SILENT_FIRST };
-    live.silent(now) >= most
+    let has_events = live.events.load(std::sync::atomic::Ordering::Relaxed) > 0;
+    let limit = if has_events { live.silent_most } else { FIRST_EVENT_SILENCE_MS };
+    live.silent(now) >= limit
 }
 
-/// Moves every stream that runs through an engine that is lost or leaves.
-fn mend(control: &Rc<Control>) {
+/// Moves every stream that runs through an engine that is unreachable or draining.
+fn move_streams(control: &Rc<Control>) {
     let now = control.now();
-    for watched in control.streams.borrow().iter() {
-        let Some(live) = watched.live.upgrade() else { continue };
-        if now < watched.next.get() {
+    for tracked in control.streams.borrow().iter() {
+        let Some(live) = tracked.live.upgrade() else { continue };
+        if now < tracked.next_move.get() {
             continue;
         }
         let path = live.path.load_full();
-        let gone = |s: &Stage| control.is_lost(&s.engine) || is_reborn(control, &live, &s.engine);
+        let gone =
+            |s: &Stage| control.is_lost(&s.engine) || has_restarted(control, &live, &s.engine);
         let broken = path.stages().iter().find(|s| gone(s) || !holds(control, s));
         match broken {
             Some(_) if !is_silent(&live, now) => {}
             Some(s) if s.engine == path.head().engine && !gone(s) => {}
             Some(s) if s.engine == path.head().engine => {
-                watched.next.set(now + MOVE_AGAIN);
+                tracked.next_move.set(now + MOVE_INTERVAL_MS);
                 live.abandon();
             }
             Some(s) => {
-                watched.next.set(now + MOVE_AGAIN);
-                reroute(control, &live, &path, Some(s.engine.clone()), watched);
+                tracked.next_move.set(now + MOVE_INTERVAL_MS);
+                reroute(control, &live, &path, Some(s.engine.clone()), tracked);
             }
-            None if leaves(control, &path) => {
-                watched.next.set(now + MOVE_AGAIN);
-                reroute(control, &live, &path, None, watched);
+            None if has_draining(control, &path) => {
+                tracked.next_move.set(now + MOVE_INTERVAL_MS);
+                reroute(control, &live, &path, None, tracked);
             }
-            None if live.silent(now) >= ASK && control.may_question(&path.head().engine) => {
+            None if live.silent(now) >= STATUS_SILENCE_MS
+                && control.may_question(&path.head().engine) =>
+            {
                 looks::ask(control, &path);
             }
             None => {}
@@ -137,8 +140,8 @@
     }
 }
 
-/// Whether an engine's entry shows the layers of a stage; one that takes other layers shows none
-/// meanwhile, and may have given up those of the stage.
+/// Whether an engine's entry shows the layers of a stage; an engine that is loading other layers
+/// shows none, and may have released those of the stage.
 fn holds(control: &Control, stage: &Stage) -> bool {
     let entries = control.entries.borrow();
     entries
@@ -146,36 +149,36 @@
         .is_none_or(|e| e.layers.first <= stage.layers.first && stage.layers.end <= e.layers.end)
 }
 
-/// Whether an engine has started again since a stream was given its path, and holds none of its tokens.
-fn is_reborn(control: &Control, live: &LiveStream, engine: &Name) -> bool {
+/// Whether an engine has restarted since a stream was routed, and so lost the stream's tokens.
+fn has_restarted(control: &Control, live: &LiveStream, engine: &Name) -> bool {
     let routed = live.routed.load(std::sync::atomic::Ordering::Relaxed);
     control.lives.borrow().restarted_since(engine, routed)
 }
 
-/// Whether an engine behind the first one has been leaving for a while.
-fn leaves(control: &Control, path: &Path) -> bool {
+/// Whether an engine behind the first one refuses work or is due to be left as it drains.
+fn has_draining(control: &Control, path: &Path) -> bool {
     let now = control.now();
     let leaving = control.leaving.borrow();
-    let linger = (control.shared.settings.load().bounds.drain_ms as f64 * DRAIN_SHARE) as Millis;
-    let left = |e: &Name| leaving.get(e).is_some_and(|since| now >= since + linger);
-    path.stages().iter().skip(1).any(|s| control.is_refusing(&s.engine) || left(&s.engine))
+    let drain_ms = (control.shared.settings.load().bounds.drain_ms as f64 * DRAIN_SHARE) as Millis;
+    let is_due = |e: &Name| leaving.get(e).is_some_and(|since| now >= since + drain_ms);
+    path.stages().iter().skip(1).any(|s| control.is_refusing(&s.engine) || is_due(&s.engine))
 }
 
-/// Orders the first engine of a stream to run it through other engines.
+/// Orders the first engine of a stream to route it through other engines.
 fn reroute(
     control: &Rc<Control>,
     live: &Arc<LiveStream>,
     path: &Path,
     leaving: Option<Name>,
-    watched: &TrackedStream,
+    tracked: &TrackedStream,
 ) {
-    let Some(new) = detour(control, live, path) else { return };
+    let Some(new) = find_detour(control, live, path) else { return };
     if new == *path {
         return;
     }
     let Ok(head) = path.head().address.as_str().parse::<SocketAddr>() else { return };
     let (control, live, engine) = (control.clone(), live.clone(), path.head().engine.clone());
-    let (next, refused) = (watched.next.clone(), watched.refused.clone());
+    let (next_move, refusals) = (tracked.next_move.clone(), tracked.refusals.clone());
     spawn_local(async move {
         let sent = control.now();
         let silent_ms = live.silent(sent);
@@ -192,66 +195,67 @@
             leaving,
             parts: parts(Some(&new)),
             silent_ms,
-            result: said(&result),
+            result: result_text(&result),
         }
         .log();
         match result {
             Ok(OrderOutcome::Taken) => live.route(new, control.now()),
             Ok(OrderOutcome::Conflict(Some(address))) => {
-                crowd(&control, address);
-                let doublings = refused.get().min(MOVE_DOUBLINGS);
-                refused.set(doublings + 1);
-                next.set(control.now() + (MOVE_SOON << doublings));
+                deprioritize(&control, address);
+                let doublings = refusals.get().min(MAX_MOVE_DOUBLINGS);
+                refusals.set(doublings + 1);
+                next_move.set(control.now() + (MOVE_RETRY_MS << doublings));
             }
             Ok(_) | Err(_) => {}
         }
     });
 }
 
-fn said(result: &Result<OrderOutcome, RpcError>) -> String {
+fn result_text(result: &Result<OrderOutcome, RpcError>) -> String {
     match result {
-        Ok(ordered) => format!("{ordered:?}"),
+        Ok(outcome) => format!("{outcome:?}"),
         Err(e) => e.to_string(),
     }
 }
 
-/// Keeps moved streams from an engine that has no room for more, for a moment.
-fn crowd(control: &Control, address: SocketAddr) {
+/// Deprioritizes an engine that has no room for more streams for a short time.
+fn deprioritize(control: &Control, address: SocketAddr) {
     let now = control.now();
     if let Some(view) = control.shared.table.load().at(address) {
         view.tally.deprioritize(now + MOVE_COOLDOWN_MS);
     }
 }
 
-/// The best path from a stream's first engine on, without engines that are lost or leave.
-fn detour(control: &Control, live: &LiveStream, path: &Path) -> Option<Path> {
+/// Best path from a stream's first engine, without engines that are unreachable or draining.
+fn find_detour(control: &Control, live: &LiveStream, path: &Path) -> Option<Path> {
     let spec = control.service(&live.service)?;
     let model: &LayeredModel = spec.model.as_ref()?;
     let table = control.shared.table.load();
     let now = control.now();
     let head = &path.head().engine;
     let usable = |s: &EngineView| {
-        let (id, wish) = (&s.entry.id, s.tally.backpressure());
-        // What runs there takes nothing of a limit anew; a right for a stream that is moved there is not sought.
-        let taken = match path.stages().iter().any(|stage| &stage.engine == id) {
-            true => s.works(now) && wish.pause_left(now).is_none(),
-            false => s.open(now) && wish.limit().rate().is_none(),
+        let (id, backpressure) = (&s.entry.id, s.tally.backpressure());
+        // An engine that runs the stream already needs no new right. None is requested for a move, so
+        // engines with a limit are not moved to.
+        let is_open = match path.stages().iter().any(|stage| &stage.engine == id) {
+            true => s.works(now) && backpressure.pause_left(now).is_none(),
+            false => s.open(now) && backpressure.limit().rate().is_none(),
         };
-        // One that has started again lost its tokens, and the same path would not be ordered.
-        id == head || (taken && !control.is_lost(id) && !is_reborn(control, live, id))
+        // A restarted engine lost the stream's tokens, and an unchanged path would not be ordered.
+        id == head || (is_open && !control.is_lost(id) && !has_restarted(control, live, id))
     };
     let (service, tokens) = (&live.service, live.tokens);
     let links = table.links(&Wanted { service, model, tokens, now, current: Some(path) }, usable);
-    // The first engine stays, so its domain is where the others are best.
+    // The first engine does not change, so the others are best placed in its failure domain.
     let home = table.view(head.as_str())?.entry.domain.clone();
     let search = ChainQuery { model, name: &live.service, home: &home, current: Some(path) };
     find_local_chain(&search, &links).map(|(path, _)| path)
 }
 
-/// # Lives
+/// # Incarnations
 impl Control {
-    /// Forgets the lives of engines that left long ago.
-    fn forget_lives(&self) {
+    /// Forgets the incarnations of engines that left long ago.
+    fn expire_incarnations(&self) {
         let (entries, leaving) = (self.entries.borrow(), self.leaving.borrow());
         let kept = |engine: &Name| entries.contains_key(engine) || leaving.contains_key(engine);
         self.lives.borrow_mut().retain(kept);
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -1,7 +1,7 @@
-//! Controller of engines' reports: by what factor they are slower than their cards, and what they hold.
+//! Engine reports: by what factor an engine is slower than its card, and how many tokens it holds.
 //!
-//! The planner of a failure domain asks the engines that requests run through, those that are filling
-//! up more often, and tells the other nodes of its domain with what it tells them of the store.
+//! The planner of a failure domain polls the engines that requests run through, and those that are filling
+//! up more often. It forwards the reports to the other nodes of its domain in its feed responses.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,60 +14,59 @@
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
-/// Time between two rounds in which engines that are filling up are asked: about the time by which a
-/// report is late, so that its age, which is what may be admitted in vain, at most doubles.
-const ROUND: Duration = Duration::from_millis(250);
-/// One in so many rounds asks all engines: each question costs a fraction of a call on the store.
-const ALL: u32 = 4;
-/// Share of an engine's room from which it is filling up: at twice the usual load it takes longer than
-/// a round of all engines from here to full.
-const FILLING: f64 = 0.5;
-/// Engines asked in other rounds, the fullest first: what one path holds, all its engines hold.
-const FILLING_MOST: usize = 2;
-/// Age beyond which a report is not told any more, milliseconds.
-const OLD: Millis = 3_000;
-
-/// Change of an engine's factor that may make another one faster.
-const CHANGE: f64 = 0.3;
-
-/// What an engine said of itself.
+/// Interval between rounds: about the lag of a report, so that polling at most doubles a report's age,
+/// during which requests may be admitted that find no room.
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
+/// Every so many rounds all engines are polled: a poll costs a fraction of a store call.
+const FULL_ROUND_EVERY: u32 = 4;
+/// Share of an engine's token capacity from which it counts as filling up: at twice the typical load,
+/// filling up from there takes longer than the time between two full rounds.
+const FILLING_SHARE: f64 = 0.5;
+/// Engines polled in other rounds, fullest first: all engines of a path hold the same tokens.
+const MAX_FILLING: usize = 2;
+/// Age beyond which a report is no longer used or forwarded.
+const MAX_AGE_MS: Millis = 3_000;
+
+/// Change of an engine's slowdown that may make another engine the faster one.
+const SLOWDOWN_CHANGE: f64 = 0.3;
+
+/// Last report of an engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Report {
-    pace: f64,
-    /// Tokens that requests held there.
-    held: f64,
+    slowdown: f64,
+    /// Tokens that requests held at the engine.
+    held_tokens: f64,
     at: Millis,
-    /// Its place among all reports that this node took.
+    /// Position among all reports that this node recorded.
     serial: u64,
 }
 
 impl Report {
-    /// Whether it says what is taken of an engine without a report: that it holds nothing and is as fast as its
-    /// card.
+    /// Whether it equals what is assumed without a report: no tokens held, and as fast as the card.
     ///
-    /// Said again it is not told on: most engines in use are idle on a quiet day.
+    /// Repeated idle reports are not forwarded, since at low load most engines are idle.
     fn is_idle(&self) -> bool {
-        self.held == 0.0 && (self.pace - 1.0).abs() <= CHANGE
+        self.held_tokens == 0.0 && (self.slowdown - 1.0).abs() <= SLOWDOWN_CHANGE
     }
 }
 
-/// Asks engines for as long as this node plans.
+/// Polls engines while this node is the planner.
 pub(super) async fn run(control: Rc<Control>) {
     for round in 0_u32.. {
         control.planning().await;
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
         if !control.plans() {
             continue;
         }
-        let all = round % ALL == 0;
-        let asked = if all { used(&control) } else { filling(&control) };
-        let answers = asked.iter().map(|e| engines::ask(&control, e));
+        let all = round % FULL_ROUND_EVERY == 0;
+        let polled = if all { active_engines(&control) } else { filling_engines(&control) };
+        let answers = polled.iter().map(|e| engines::ask(&control, e));
         let answers = futures::future::join_all(answers).await;
-        for (engine, answer) in asked.iter().zip(answers) {
+        for (engine, answer) in polled.iter().zip(answers) {
             match answer {
-                Ok(status) => take(&control, engine, &status),
-                // Whether an engine is lost is for `looks` to find.
-                Err(e) => log::info!("engine {} gives no report: {e}", engine.id),
+                Ok(status) => record_status(&control, engine, &status),
+                // `reachability` decides whether an engine is reachable.
+                Err(e) => log::info!("report request to engine {} failed: {e}", engine.id),
             }
         }
         if all {
@@ -76,8 +75,8 @@
     }
 }
 
-/// Reports for the nodes that this one tells, of all engines or of those in one failure domain, that came
-/// after the one with serial `known`; and the serial of the last one.
+/// Reports recorded after serial `known`, of all engines or of those in one failure domain, and the
+/// serial of the last report.
 pub(super) fn reports_since(
     control: &Control,
     domain: Option<&Name>,
@@ -89,78 +88,79 @@
         Some(domain) => entries.get(engine).is_some_and(|e| &e.domain == domain),
         None => true,
     };
-    let new =
-        |(engine, r): &(&Name, &Report)| r.serial > known && now < r.at + OLD && wanted(engine);
+    let new = |(engine, r): &(&Name, &Report)| {
+        r.serial > known && now < r.at + MAX_AGE_MS && wanted(engine)
+    };
     let report = |(engine, r): (&Name, &Report)| FeedReport {
         engine: engine.clone(),
-        slowdown: r.pace,
-        held_tokens: r.held,
+        slowdown: r.slowdown,
+        held_tokens: r.held_tokens,
         age_ms: now.saturating_sub(r.at),
     };
     (reports.iter().filter(new).map(report).collect(), control.reported.get())
 }
 
-/// Takes reports that another node told in answer to a question sent at `sent`.
+/// Records reports from another node's response to a request sent at `sent`.
 pub(super) fn receive(control: &Control, reports: &[FeedReport], sent: Millis) {
     let mut changed = false;
     for r in reports {
         let at = sent.saturating_sub(r.age_ms);
-        changed |= put(control, &r.engine, r.slowdown, r.held_tokens, at);
+        changed |= record(control, &r.engine, r.slowdown, r.held_tokens, at);
     }
     if changed {
         control.publish();
     }
 }
 
-/// Engines of this failure domain that requests run through and that are filling up.
-fn filling(control: &Control) -> Vec<Arc<EngineEntry>> {
+/// Active engines of this failure domain that are filling up.
+fn filling_engines(control: &Control) -> Vec<Arc<EngineEntry>> {
     let (table, now) = (control.shared.table.load(), control.now());
     let share = |e: &Arc<EngineEntry>| {
         let view = table.view(e.id.as_str())?;
         let service = control.service(&e.service)?;
-        let room =
+        let capacity =
             service.model.as_ref()?.token_capacity(view.card.as_ref()?, e.layers.count()).max(1.0);
-        Some(view.tally.occupancy().held(table.beside, now) / room)
+        Some(view.tally.occupancy().held(table.beside, now) / capacity)
     };
-    let shares = used(control).into_iter().filter_map(|e| Some((share(&e)?, e)));
-    let mut filling: Vec<_> = shares.filter(|(s, _)| *s > FILLING).collect();
+    let shares = active_engines(control).into_iter().filter_map(|e| Some((share(&e)?, e)));
+    let mut filling: Vec<_> = shares.filter(|(s, _)| *s > FILLING_SHARE).collect();
     filling.sort_by(|a, b| b.0.total_cmp(&a.0));
-    filling.into_iter().take(FILLING_MOST).map(|(_, e)| e).collect()
+    filling.into_iter().take(MAX_FILLING).map(|(_, e)| e).collect()
 }
 
 /// Engines of this failure domain that requests run through.
-fn used(control: &Control) -> Vec<Arc<EngineEntry>> {
+fn active_engines(control: &Control) -> Vec<Arc<EngineEntry>> {
     let domain = control.domain();
     let table = control.shared.table.load();
     let views = table.services.values().flatten();
-    let used = views.filter(|v| {
+    let active = views.filter(|v| {
         v.entry.domain == domain
             && v.entry.layers.count() > 0
             && (v.main || v.tally.gauge().count() > 0)
             && !control.is_lost(&v.entry.id)
     });
-    used.map(|v| v.entry.clone()).collect()
+    active.map(|v| v.entry.clone()).collect()
 }
 
-fn take(control: &Control, engine: &EngineEntry, status: &EngineStatus) {
+fn record_status(control: &Control, engine: &EngineEntry, status: &EngineStatus) {
     let service = control.service(&engine.service);
     let model = service.as_ref().and_then(|s| s.model.as_ref());
-    let late = model.map_or(0, |m| m.report_lag_ms);
-    let usual = model.map_or(0.0, LayeredModel::mean_tokens);
-    let held = status.held_tokens(usual).unwrap_or(0.0);
-    let at = control.now().saturating_sub(late);
-    // All of a round are published together.
-    let _ = put(control, &engine.id, status.slowdown, held, at);
+    let lag_ms = model.map_or(0, |m| m.report_lag_ms);
+    let mean_tokens = model.map_or(0.0, LayeredModel::mean_tokens);
+    let held_tokens = status.held_tokens(mean_tokens).unwrap_or(0.0);
+    let at = control.now().saturating_sub(lag_ms);
+    // The reports of a round are published together.
+    let _ = record(control, &engine.id, status.slowdown, held_tokens, at);
 }
 
-/// Takes a report; gives whether it may make another engine the faster one.
-fn put(control: &Control, engine: &Name, pace: f64, held: f64, at: Millis) -> bool {
+/// Records a report, and returns whether it may make another engine the faster one.
+fn record(control: &Control, engine: &Name, slowdown: f64, held_tokens: f64, at: Millis) -> bool {
     let known = control.reports.borrow().get(engine).is_some_and(|r| r.at >= at);
-    // What another node tells may be of the life before.
+    // A report from another node may be of the engine's previous incarnation.
     if known || control.lives.borrow().restarted_since(engine, at) {
         return false;
     }
-    let mut report = Report { pace, held, at, serial: 0 };
+    let mut report = Report { slowdown, held_tokens, at, serial: 0 };
     report.serial = match control.reports.borrow().get(engine) {
         Some(old) if old.is_idle() && report.is_idle() => old.serial,
         _ => {
@@ -168,31 +168,31 @@
             control.reported.get()
         }
     };
-    let changed = (report.pace - control.slowdown(engine)).abs() > CHANGE;
+    let changed = (report.slowdown - control.slowdown(engine)).abs() > SLOWDOWN_CHANGE;
     if changed {
-        GatewayEvent::EnginePaced { engine: engine.clone(), pace: report.pace }.log();
+        GatewayEvent::EnginePaced { engine: engine.clone(), pace: report.slowdown }.log();
     }
     control.reports.borrow_mut().insert(engine.clone(), report);
     if let Some(tally) = control.tallies.borrow().get(engine) {
-        tally.record_slowdown(report.pace, report.at);
-        tally.occupancy().report(report.held as u64, report.at);
+        tally.record_slowdown(report.slowdown, report.at);
+        tally.occupancy().report(report.held_tokens as u64, report.at);
     }
     changed
 }
 
 /// # Reports
 impl Control {
-    /// Tokens that requests hold at an engine by its report; what this node alone sends says little of all.
+    /// Tokens that requests hold at an engine by its report: this node's own requests are only a part of them.
     pub(super) fn held_tokens(&self, engine: &Name) -> f64 {
         let now = self.now();
         let reports = self.reports.borrow();
-        reports.get(engine).filter(|r| now < r.at + OLD).map_or(0.0, |r| r.held)
+        reports.get(engine).filter(|r| now < r.at + MAX_AGE_MS).map_or(0.0, |r| r.held_tokens)
     }
 
-    /// Factor by which an engine is slower than its card, as far as is known.
+    /// Known factor by which an engine is slower than its card; 1 without a recent report.
     pub(super) fn slowdown(&self, engine: &Name) -> f64 {
         let now = self.now();
         let reports = self.reports.borrow();
-        reports.get(engine).filter(|r| now < r.at + OLD).map_or(1.0, |r| r.pace)
+        reports.get(engine).filter(|r| now < r.at + MAX_AGE_MS).map_or(1.0, |r| r.slowdown)
     }
 }
--- a/crates/heathpitchd/tests/gateway_crashing_requests.rs
+++ b/crates/heathpitchd/tests/gateway_crashing_requests.rs
@@ -301,7 +301,7 @@
     let gone = engines.iter().find(|e| e.ended()).unwrap();
     engines.iter().for_each(|e| e.play(Play::Stream(2, Duration::from_millis(2))));
     for node in &nodes {
-        let left = |e: &Value| e["engine"] == gone.id.as_str() && e["why"] == "it has ended";
+        let left = |e: &Value| e["engine"] == gone.id.as_str() && e["why"] == "engine exited";
         wait("it is left", async || node.events("engine_doubted").iter().any(left)).await;
         for _ in 0..8 {
             assert_eq!(tell(node, "proper").await.status, 200);
