--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -1,10 +1,11 @@
-//! Controller of rights to send requests to engines that name a limit.
+//! Rights to send requests to engines that advertise a rate limit.
 //!
-//! The node that plans an engine's failure domain hands them out, one a request, as long as nobody else can: its lease
-//! is proven, or, while the store is away, more than half of the domain's nodes still ask it. One that begins to plan waits
-//! until an earlier one has ceased by either. Where nobody can be reached nodes draw a small part for
-//! themselves ([`EngineLimit`](heathpitch_policy::EngineLimit)). Nodes tell each other of limits with each question and answer
-//! of the feed, as of engines that leave.
+//! The planner of an engine's failure domain issues the rights, one for each request, as long as no other
+//! node can: its lease is proven, or, while the store is unreachable, more than half of the domain's nodes
+//! still poll it. A new planner waits until an earlier one must have stopped by either rule. Where no issuer
+//! can be reached, nodes issue a small share of the limit to themselves
+//! ([`EngineLimit`](heathpitch_policy::EngineLimit)). Nodes exchange limits with every request and response of
+//! the feed, as they do drain notices.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,40 +22,40 @@
 use crate::gateway::shared::{Granted, RightsWanted};
 use crate::gateway::suspicion::life;
 
-/// Limits told in one message, some forty bytes each.
-const TOLD_MOST: usize = 256;
-/// Time for which a node has planned before it hands out rights, milliseconds: a planner before it has heard of it by
-/// then, or its followers have ceased to count.
-const QUIET: Millis = 1_300;
-/// Time for a question for rights: many times the delay between failure domains, and little beside the time
-/// within which answers are wanted.
-const LIMIT: Duration = Duration::from_millis(60);
-/// The same with a new connection.
-const LIMIT_NEW: Duration = Duration::from_millis(100);
-/// Time for which a node that does not answer, or hands out nothing, is not asked, milliseconds.
-const REST: Millis = 300;
-/// Time between two looks at what is old.
-const TICK: Duration = Duration::from_secs(5);
+/// Most limits in one message, about forty bytes each.
+const MAX_LIMITS: usize = 256;
+/// Time after becoming planner before a node issues rights: by then an earlier planner has learned of it,
+/// or the earlier planner's followers no longer count as present.
+const ISSUE_DELAY_MS: Millis = 1_300;
+/// Timeout of a rights request: many times the latency between failure domains, and small against callers'
+/// deadlines.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(60);
+/// Timeout of a connection attempt for a rights request.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time without requests to an issuer that does not answer or is not active.
+const BACKOFF_MS: Millis = 300;
+/// Interval between removals of expired state.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The node that hands out rights for the engines of one failure domain, as far as this one knows.
+/// Issuer of rights for the engines of one failure domain, as this node knows it.
 #[derive(Default)]
 pub(super) struct RightsIssuer {
-    /// Where it was asked last, on a connection that is kept.
+    /// Address and kept connection of the last request.
     client: Option<(SocketAddr, Rc<FeedClient>)>,
-    /// Whether it handed out rights when it was asked last, once it was.
+    /// Whether it issued rights at the last request, if there was one.
     active: Option<bool>,
-    /// Until when it is not asked.
-    rest: Millis,
+    /// Time before which no request is sent.
+    retry_at: Millis,
 }
 
-/// # What engines say, and nodes tell each other
+/// # Limits that engines advertise and nodes exchange
 impl Control {
-    /// An engine named another limit to this node than before, or none any more.
+    /// Records that an engine advertised a new limit to this node, or stopped advertising one.
     pub(super) fn record_limit(&self, life: &EngineIncarnation) {
-        let Some(wish) = self.wishes.borrow().get(&life.engine).cloned() else { return };
-        let (now, limit) = (self.now(), wish.limit());
+        let Some(backpressure) = self.wishes.borrow().get(&life.engine).cloned() else { return };
+        let (now, limit) = (self.now(), backpressure.limit());
         let at = now.saturating_sub(limit.age(now));
-        self.learn_limit(life, limit.rate(), at, "its own answer");
+        self.learn_limit(life, limit.rate(), at, "engine response");
     }
 
     fn learn_limit(
@@ -76,39 +77,40 @@
         new
     }
 
-    /// Limits that others have not heard of who know them up to `serial`; and up to where they do then.
+    /// Limits learned after `serial`, and the serial of the last one returned.
     pub(super) fn limits_since(&self, serial: u64) -> (Vec<FeedLimit>, u64) {
-        let (new, upto) = self.limits.borrow().since(serial, TOLD_MOST, self.now());
-        let told = |LimitUpdate { life, rate, age }| FeedLimit {
+        let (new, upto) = self.limits.borrow().since(serial, MAX_LIMITS, self.now());
+        let feed_limit = |LimitUpdate { life, rate, age }| FeedLimit {
             engine: life.engine,
             born: life.born,
             rate,
             age_ms: age,
         };
-        (new.into_iter().map(told).collect(), upto)
+        (new.into_iter().map(feed_limit).collect(), upto)
     }
 
-    /// Takes what another node told in a message that was sent at `sent` or later.
+    /// Learns limits that another node reported in a message sent at `sent` or later.
     pub(super) fn receive_limits(&self, limits: &[FeedLimit], sent: Millis) {
-        for told in limits {
-            let life = EngineIncarnation { engine: told.engine.clone(), born: told.born };
-            // A limit may be as young as it was when it was told, its end as old as the message may be.
-            let from = if told.rate.is_some() { self.now() } else { sent };
-            let at = from.saturating_sub(told.age_ms);
-            if self.learn_limit(&life, told.rate, at, "another node") {
-                self.pass_limit(&life, told.rate, at);
+        for limit in limits {
+            let life = EngineIncarnation { engine: limit.engine.clone(), born: limit.born };
+            // The transit time of the message is unknown: a limit counts as young as it can be, and its
+            // end as old as it can be, so that a limit is kept rather than dropped.
+            let from = if limit.rate.is_some() { self.now() } else { sent };
+            let at = from.saturating_sub(limit.age_ms);
+            if self.learn_limit(&life, limit.rate, at, "another node") {
+                self.apply_limit(&life, limit.rate, at);
             }
         }
     }
 
-    /// Takes a limit that a record of the store holds.
+    /// Restores a limit from a record in the store.
     pub(super) fn restore_limit(&self, life: &EngineIncarnation, limit: LimitEntry) {
         let now = self.now();
         let new = self.limits.borrow_mut().restore(life.clone(), limit, now);
         if limit.in_probes
-            && let Some(wish) = self.wishes.borrow().get(&life.engine)
+            && let Some(backpressure) = self.wishes.borrow().get(&life.engine)
         {
-            wish.limit().set_in_probes();
+            backpressure.limit().set_in_probes();
         }
         if !new {
             return;
@@ -117,11 +119,11 @@
         let engine = life.engine.clone();
         let age_ms = now.saturating_sub(at);
         GatewayEvent::EngineLimited { engine, limit: Some(rate), age_ms, by: "the store" }.log();
-        self.pass_limit(life, Some(rate), at);
+        self.apply_limit(life, Some(rate), at);
     }
 
-    /// Lets traffic know what was heard at `at` of an engine's limit.
-    fn pass_limit(&self, life: &EngineIncarnation, rate: Option<Rate>, at: Millis) {
+    /// Makes a limit learned at `at` take effect for requests.
+    fn apply_limit(&self, life: &EngineIncarnation, rate: Option<Rate>, at: Millis) {
         let entry = self.entries.borrow().get(&life.engine).cloned();
         if let Some(entry) = entry.filter(|e| e.born == life.born) {
             self.backpressure_of(&entry).limit().learn(rate, at);
@@ -129,48 +131,49 @@
     }
 }
 
-/// # Handing out
+/// # Issuing
 impl Control {
-    /// Whether this node hands out rights for the engines of its failure domain.
+    /// Whether this node issues rights for the engines of its failure domain.
     fn issues_rights(&self) -> bool {
         let now = self.now();
-        let settled = self.planned().is_some_and(|since| now >= since + QUIET);
-        let asked = 2 * (self.followers.borrow().present(now) + 1) > self.beside();
-        settled && !self.stopping() && (!self.lease_doubted() || asked)
+        let settled = self.planned().is_some_and(|since| now >= since + ISSUE_DELAY_MS);
+        let has_majority = 2 * (self.followers.borrow().present(now) + 1) > self.beside();
+        settled && !self.stopping() && (!self.lease_doubted() || has_majority)
     }
 
-    /// Whether an engine takes less than is asked for.
+    /// Whether more rights are requested for an engine than its limit allows.
     pub(super) fn is_limited(&self, engine: &EngineEntry) -> bool {
         let life = life(engine);
         self.limits.borrow().of(&life).is_some() && self.rights.borrow().binds(&life)
     }
 
-    /// Hands out rights to a node that asks for them.
-    pub(super) fn issue_rights(&self, ask: &RightsRequest) -> RightsResponse {
+    /// Issues rights to a node that requests them.
+    pub(super) fn issue_rights(&self, request: &RightsRequest) -> RightsResponse {
         let now = self.now();
-        self.receive_limits(std::slice::from_ref(&ask.limit), now);
+        self.receive_limits(std::slice::from_ref(&request.limit), now);
         if !self.issues_rights() {
             return RightsResponse::default();
         }
-        let life = EngineIncarnation { engine: ask.limit.engine.clone(), born: ask.limit.born };
+        let life =
+            EngineIncarnation { engine: request.limit.engine.clone(), born: request.limit.born };
         let limit = self.limits.borrow().of(&life);
         let Some((rate, _)) = limit else {
-            // Its limit is over, as the one asking will hear.
-            return RightsResponse { active: true, issued: ask.requested, wait_ms: 0 };
+            // The engine has no limit any more, which the requester will learn from the feed.
+            return RightsResponse { active: true, issued: request.requested, wait_ms: 0 };
         };
         let draw = rand::rng().random_range(0.0..1.0);
         let mut rights = self.rights.borrow_mut();
-        let grant = rights.issue(&life, rate, &ask.node, ask.requested, draw, now);
+        let grant = rights.issue(&life, rate, &request.node, request.requested, draw, now);
         RightsResponse { active: true, issued: grant.given, wait_ms: grant.wait }
     }
 }
 
-/// Seeks rights for a call of this node.
+/// Requests rights for a call of this node.
 pub(super) fn spawn_request(control: &Rc<Control>, wanted: RightsWanted) {
     let control = control.clone();
     spawn_local(async move {
-        let granted = ask(&control, &wanted.engine, wanted.count).await;
-        // One that waits no longer finds what was handed out the next time.
+        let granted = request_rights(&control, &wanted.engine, wanted.count).await;
+        // Rights for a call that no longer waits are kept for the next call.
         if let Err(Granted::Given(count, sent)) = wanted.reply.send(granted) {
             let now = control.now();
             control.backpressure_of(&wanted.engine).limit().add_rights(count, sent, now);
@@ -178,45 +181,45 @@
     });
 }
 
-/// A right to ask an engine something that takes a slot there; none if it needs none.
+/// Acquires a right for a request that takes a slot at an engine; none if the engine has no limit.
 ///
 /// # Errors
 ///
-/// What came instead of a right.
+/// The grant, if it contains no right.
 pub(super) async fn acquire(
     control: &Control,
     engine: &EngineEntry,
 ) -> Result<Option<Right>, Granted> {
-    let wish = control.backpressure_of(engine);
-    if wish.limit().rate().is_none() {
+    let backpressure = control.backpressure_of(engine);
+    if backpressure.limit().rate().is_none() {
         return Ok(None);
     }
-    if let Some(right) = EngineLimit::take(&wish, control.now()) {
+    if let Some(right) = EngineLimit::take(&backpressure, control.now()) {
         return Ok(Some(right));
     }
-    match ask(control, engine, 1).await {
+    match request_rights(control, engine, 1).await {
         granted @ Granted::Given(count, sent) => {
-            EngineLimit::receive(&wish, count, sent, control.now()).map(Some).ok_or(granted)
+            EngineLimit::receive(&backpressure, count, sent, control.now()).map(Some).ok_or(granted)
         }
         granted => Err(granted),
     }
 }
 
-/// Asks the node that hands out rights for an engine.
-async fn ask(control: &Control, engine: &EngineEntry, count: u16) -> Granted {
+/// Requests rights for an engine from their issuer.
+async fn request_rights(control: &Control, engine: &EngineEntry, count: u16) -> Granted {
     let sent = control.now();
-    let wish = control.backpressure_of(engine);
-    let (rate, age_ms) = (wish.limit().rate(), wish.limit().age(sent));
-    let ask = RightsRequest {
+    let backpressure = control.backpressure_of(engine);
+    let (rate, age_ms) = (backpressure.limit().rate(), backpressure.limit().age(sent));
+    let request = RightsRequest {
         node: control.node(),
         limit: FeedLimit { engine: engine.id.clone(), born: engine.born, rate, age_ms },
         requested: count,
     };
-    let told = match engine.domain == control.domain() && control.plans() {
-        true => Ok(control.issue_rights(&ask)),
-        false => ask_planner(control, &engine.domain, &ask).await,
+    let response = match engine.domain == control.domain() && control.plans() {
+        true => Ok(control.issue_rights(&request)),
+        false => request_from_planner(control, &engine.domain, &request).await,
     };
-    let granted = match told {
+    let granted = match response {
         Ok(RightsResponse { active: false, .. }) | Err(_) => Granted::Nobody,
         Ok(RightsResponse { issued: 0, wait_ms, .. }) => Granted::Wait(wait_ms),
         Ok(RightsResponse { issued: given, .. }) => Granted::Given(given, sent),
@@ -230,75 +233,78 @@
     granted
 }
 
-/// Asks the planner of another failure domain, or of this one, on the kept connection or on a new one.
-async fn ask_planner(
+/// Requests rights from the planner of a failure domain, on the kept connection or a new one.
+async fn request_from_planner(
     control: &Control,
     domain: &Name,
-    ask: &RightsRequest,
+    request: &RightsRequest,
 ) -> Result<RightsResponse, RpcError> {
-    let none = || RpcError::Connect("no planner is known, or it did not answer".to_owned());
+    let unavailable =
+        || RpcError::Connect("no planner is known, or its last response failed".to_owned());
     let planner = control.sources.borrow().planner(domain).map(|p| p.source.clone());
-    let (Some(planner), Some(_)) = (planner, control.shared.peer) else { return Err(none()) };
+    let (Some(planner), Some(_)) = (planner, control.shared.peer) else {
+        return Err(unavailable());
+    };
     let kept = {
-        let mut handers = control.handers.borrow_mut();
-        let hander = handers.entry(domain.clone()).or_default();
+        let mut issuers = control.handers.borrow_mut();
+        let issuer = issuers.entry(domain.clone()).or_default();
         let same = |(at, _): &&(SocketAddr, _)| *at == planner.address;
-        let kept = hander.client.as_ref().filter(same).map(|(_, client)| client.clone());
-        if kept.is_some() && control.now() < hander.rest {
-            return Err(none());
+        let kept = issuer.client.as_ref().filter(same).map(|(_, client)| client.clone());
+        if kept.is_some() && control.now() < issuer.retry_at {
+            return Err(unavailable());
         }
         kept
     };
-    let told = asked(kept, &planner, ask).await;
-    let mut handers = control.handers.borrow_mut();
-    let hander = handers.entry(domain.clone()).or_default();
-    let (active, why) = match &told {
-        Ok((told, _)) if told.active => (true, "it answers".to_owned()),
-        Ok(_) => (false, "it cannot know that it is the only one".to_owned()),
+    let result = send_request(kept, &planner, request).await;
+    let mut issuers = control.handers.borrow_mut();
+    let issuer = issuers.entry(domain.clone()).or_default();
+    let (active, why) = match &result {
+        Ok((response, _)) if response.active => (true, "it issues rights".to_owned()),
+        Ok(_) => (false, "it cannot prove that it is the only issuer".to_owned()),
         Err(e) => (false, e.to_string()),
     };
     if !active {
-        hander.rest = control.now() + REST;
+        issuer.retry_at = control.now() + BACKOFF_MS;
     }
-    if hander.active.replace(active) != Some(active) {
+    if issuer.active.replace(active) != Some(active) {
         let (planner, domain) = (planner.node.clone(), domain.clone());
         GatewayEvent::RightsChanged { planner, domain, active, why }.log();
     }
-    let (told, client) = told?;
-    hander.client = Some((planner.address, client));
-    Ok(told)
+    let (response, client) = result?;
+    issuer.client = Some((planner.address, client));
+    Ok(response)
 }
 
-async fn asked(
+async fn send_request(
     kept: Option<Rc<FeedClient>>,
     planner: &Source,
-    ask: &RightsRequest,
+    request: &RightsRequest,
 ) -> Result<(RightsResponse, Rc<FeedClient>), RpcError> {
     if let Some(client) = kept {
-        match client.request_rights(ask, LIMIT).await {
-            Ok(told) => return Ok((told, client)),
-            Err(e) => log::info!("the connection to node {} was lost: {e}", planner.node),
+        match client.request_rights(request, REQUEST_TIMEOUT).await {
+            Ok(response) => return Ok((response, client)),
+            Err(e) => log::info!("rights request to node {} failed: {e}", planner.node),
         }
     }
-    let client = Rc::new(FeedClient::open(planner.address, LIMIT_NEW).await?);
-    let told = client.request_rights(ask, LIMIT).await?;
-    Ok((told, client))
+    let client = Rc::new(FeedClient::open(planner.address, CONNECT_TIMEOUT).await?);
+    let response = client.request_rights(request, REQUEST_TIMEOUT).await?;
+    Ok((response, client))
 }
 
-/// Forgets what is old, for as long as this node runs.
+/// Removes expired rights and limits while this node runs.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         let now = control.now();
         control.rights.borrow_mut().expire(now);
         let entries = control.entries.borrow();
-        // Limits that the store keeps are known before its list of engines.
+        // Limits may be restored from the store before its list of engines is known.
         if entries.is_empty() {
             continue;
         }
-        let wishes = control.wishes.borrow();
+        let backpressure = control.wishes.borrow();
         let kept = |life: &EngineIncarnation| {
-            entries.contains_key(&life.engine) || wishes.contains_key(&life.engine)
+            entries.contains_key(&life.engine) || backpressure.contains_key(&life.engine)
         };
         control.limits.borrow_mut().retain(kept, now);
     }
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -1,4 +1,4 @@
-//! Calls on the store: counted, with what they say of whether it answers and whether it came back older.
+//! Store calls: counts them, tracks whether the store is reachable, and detects restores from an older copy.
 
 use std::time::Duration;
 
@@ -11,31 +11,35 @@
 
 /// # Store
 impl Control {
-    /// Waits for an answer of the store, but not once what its silence says is in doubt; none then.
-    pub(super) async fn until_store_change<T>(&self, answer: impl Future<Output = T>) -> Option<T> {
+    /// Waits for a response of the store; none if the store's state changes first, since a missing response
+    /// says nothing then.
+    pub(super) async fn until_store_change<T>(
+        &self,
+        response: impl Future<Output = T>,
+    ) -> Option<T> {
         tokio::select! {
-            answer = answer => Some(answer),
-            () = self.store_doubted() => None,
+            response = response => Some(response),
+            () = self.store_changed() => None,
         }
     }
 
-    /// Waits until the store ceases to answer or the node that told this one ceases to tell.
-    async fn store_doubted(&self) {
+    /// Waits until the store becomes unreachable, its era changes, or the feed of this node ends.
+    async fn store_changed(&self) {
         let (reachable, fed, era) = (self.reachable.get(), self.fed(), self.era.get());
-        let turned = || (reachable && !self.reachable.get()) || (fed && !self.fed());
-        let lost = || turned() || era != self.era.get();
-        while !lost() {
+        let is_lost = || (reachable && !self.reachable.get()) || (fed && !self.fed());
+        let changed = || is_lost() || era != self.era.get();
+        while !changed() {
             self.turned.notified().await;
         }
     }
 
-    /// Waits for a while, but not beyond the store's return.
+    /// Waits before a retry, but not longer than until the store is reachable again.
     pub(super) async fn pause(&self, pause: Duration) {
-        // Either way the call is tried again.
+        // The call is retried in either case.
         let _ = tokio::time::timeout(pause, self.turned.notified()).await;
     }
 
-    /// Makes a call on the store, counts it and takes note of whether the store answers.
+    /// Calls the store, counts the call, and records whether the store is reachable.
     pub(super) async fn call<T>(
         &self,
         name: &'static str,
@@ -43,14 +47,14 @@
     ) -> Result<T, StoreError> {
         let sent = self.now();
         let result = call.await;
-        self.note(name, sent, &result);
-        self.look_at_era();
+        self.record_call(name, sent, &result);
+        self.check_era();
         result
     }
 
-    /// Waits up to `wait` for changes under a prefix after a revision, of something that the log names.
+    /// Waits up to `wait` for changes under a prefix after a revision; `of` names the watched data in the log.
     ///
-    /// A watch that is lost says nothing of the store: connections are lost alone, too.
+    /// A lost watch does not show that the store is unreachable: a connection can be lost on its own.
     pub(super) async fn watch(
         &self,
         of: &'static str,
@@ -66,30 +70,30 @@
                 let asked_ms = self.now().saturating_sub(sent);
                 GatewayEvent::WatchLost { of, asked_ms, error: e.to_string() }.log();
             }
-            _ => self.note("watch", sent, &result),
+            _ => self.record_call("watch", sent, &result),
         }
-        self.look_at_era();
+        self.check_era();
         result
     }
 
-    /// Takes note of the era that the store's last answer told.
-    fn look_at_era(&self) {
+    /// Records the era of the store's last response.
+    fn check_era(&self) {
         self.observe_era(self.edges.store.era());
     }
 
-    /// Takes note that the store has come back from an older copy of itself, if its own answers, or what a node that
-    /// heard from it tells, are of a later era than before.
+    /// Records the era of the store, from its own response or from another node. A later era than before
+    /// shows that the store was restored from an older copy.
     ///
-    /// What was read before is of another history. All watches are given up, so that everything is read anew at the
-    /// usual turns, and entries that the copy does not have are waited for as after an outage. Engines that had
-    /// gone do not come back with their entries, which the copy may have.
+    /// Earlier reads belong to another history then. All watches are cancelled, so that everything is read again
+    /// on the usual schedule, and entries that the copy lacks are awaited as after an outage. Engines that
+    /// had left stay out of use, although the copy may contain their entries.
     pub(super) fn observe_era(&self, era: u64) {
         let from = self.era.get();
         if era <= from {
             return;
         }
         self.era.set(era);
-        // The first one that is heard is no return.
+        // The first known era is no restore.
         if from == 0 {
             return;
         }
@@ -112,35 +116,35 @@
         self.turned.notify_waiters();
     }
 
-    /// Counts a call, sent at `sent`, and takes note of whether the store answers.
+    /// Counts a call sent at `sent`, and records whether the store is reachable.
     ///
-    /// One that was sent before the store's return and is lost afterwards says nothing of it any more:
-    /// taken for a second outage, it held the news of a configuration back by 0.17 s.
-    fn note<T>(&self, call: &'static str, sent: Millis, result: &Result<T, StoreError>) {
-        let (word, answers) = match result {
+    /// A call that was sent before the store became reachable again and is lost afterwards is ignored: counted
+    /// as a second outage, it would delay the adoption of a configuration, by 0.17 s in one case.
+    fn record_call<T>(&self, call: &'static str, sent: Millis, result: &Result<T, StoreError>) {
+        let (label, reachable) = match result {
             Ok(_) => ("ok", true),
             Err(StoreError::Conflict(_)) => ("conflict", true),
             Err(StoreError::Compacted) => ("forgotten", true),
             Err(StoreError::LeaseExpired) => ("lease_over", true),
-            // Nothing was asked.
+            // No request was sent.
             Err(StoreError::Restored) => return,
             Err(StoreError::Refused(_)) => ("refused", false),
             Err(StoreError::Rpc(_)) => ("lost", false),
         };
-        self.shared.metrics.store.with_label_values(&[call, word]).inc();
-        if !answers {
+        self.shared.metrics.store.with_label_values(&[call, label]).inc();
+        if !reachable {
             let (now, beside) = (self.now(), self.beside());
             self.sources.borrow_mut().store_unavailable(now, beside, &mut rand::rng());
         }
-        if answers == self.reachable.get() || (!answers && sent < self.returned.get()) {
+        if reachable == self.reachable.get() || (!reachable && sent < self.returned.get()) {
             return;
         }
-        self.reachable.set(answers);
-        if answers {
+        self.reachable.set(reachable);
+        if reachable {
             self.returned.set(self.now());
         }
         self.turned.notify_waiters();
         let error = result.as_ref().err().map(|e| format!("{call}: {e}"));
-        GatewayEvent::StoreReachable { reachable: answers, error }.log();
+        GatewayEvent::StoreReachable { reachable, error }.log();
     }
 }
--- a/crates/heathpitchd/src/gateway/control/suspension.rs
+++ b/crates/heathpitchd/src/gateway/control/suspension.rs
@@ -1,7 +1,7 @@
-//! Finds out that the VM was suspended, and has everything that waits look at the time again.
+//! Detects suspensions of the VM, and makes all waiting tasks check the time again.
 //!
-//! What is known is not touched: its age counts the suspension by itself. Connections that were idle may
-//! have been given up by the other side meanwhile, and are closed.
+//! Known state is kept, since its age includes the suspension. Idle connections are closed, since the peer may
+//! have dropped them in the meantime.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,22 +11,22 @@
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
-/// Time between two looks: what waits for its time is late by no more once the VM goes on.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between polls of the clocks; timers are late by no more than this once the VM resumes.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks at the clocks again and again.
+/// Polls the clocks periodically.
 pub(super) async fn watch(control: Rc<Control>) {
     let shared = &control.shared;
     let mut detector = SuspensionDetector::new(shared.clock.clocks());
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let Some(ms) = detector.poll(shared.clock.clocks()) else { continue };
         let now = control.now();
         let (proof_ms, list_ms) = (shared.fresh.load().age(now), shared.listed.load().age(now));
         GatewayEvent::VmSuspended { ms, proof_ms, list_ms }.log();
         shared.pool.close_all_idle();
         shared.resume();
-        // Whoever waits for a turn, for the store's return or for its next try looks again.
+        // Wakes tasks that wait for a role change, for the store, or for a retry.
         control.turned.notify_waiters();
     }
 }
