--- a/crates/heathpitchd/src/gateway/control/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -1,8 +1,9 @@
-//! Controller of what engines ask for in their answers.
+//! Backpressure signals and drain notices in engine responses.
 //!
-//! Rest is for this node alone and binds by [`Backpressure`](heathpitch_policy::Backpressure), which traffic shares. That an
-//! engine leaves is for all: it is taken as its entry's word would be, told to other nodes with each question
-//! and answer of the feed, and outlives the entry, which may be behind.
+//! A requested pause applies to this node only, through
+//! [`Backpressure`](heathpitch_policy::Backpressure), which request threads share. A drain notice applies to all
+//! nodes: it has the same effect as a draining entry, is sent to other nodes with every request and response of
+//! the feed, and outlives the entry, which may be outdated.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,84 +19,87 @@
 use crate::gateway::suspicion::life;
 use crate::gateway::wishes::Said;
 
-/// Engines told in one message, some forty bytes each.
-const TOLD_MOST: usize = 256;
-/// Time between two looks at engines that said they leave and are still there; each is asked once in it.
-const TICK: Duration = Duration::from_secs(5);
+/// Most drain notices in one message, about forty bytes each.
+const MAX_DRAINS: usize = 256;
+/// Interval between checks of engines that announced a drain and are still listed; each is polled once per interval.
+const RECHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// # What engines say to this node
+/// # Signals to this node
 impl Control {
-    /// Takes note of what an engine asks for in an answer to this node's own question, and gives what it says.
+    /// Records the backpressure of a response to this node's own request, and returns the response's value.
     pub(super) fn record_response<T>(
         &self,
         engine: &EngineEntry,
         of: &'static str,
         sent: Millis,
-        answer: EngineResponse<T>,
+        response: EngineResponse<T>,
     ) -> T {
-        let EngineResponse { value, status, backpressure: asked } = answer;
-        let wish = self.backpressure_of(engine);
-        let limit = match asked.limit {
-            // Until one did, nothing says that answers to questions name it as those to calls do.
-            AdvertisedLimit::Unlimited if !wish.limit().is_in_probes() => AdvertisedLimit::Unknown,
-            word => word,
+        let EngineResponse { value, status, backpressure: signal } = response;
+        let known = self.backpressure_of(engine);
+        let limit = match signal.limit {
+            // Responses to probes may lack the limit that responses to calls carry, so a missing limit
+            // counts only once a probe response has carried one.
+            AdvertisedLimit::Unlimited if !known.limit().is_in_probes() => AdvertisedLimit::Unknown,
+            limit => limit,
         };
         if matches!(limit, AdvertisedLimit::Limited(_)) {
-            wish.limit().set_in_probes();
+            known.limit().set_in_probes();
         }
-        let asked = BackpressureSignal { limit, ..asked };
-        let heard = Said { engine, of, status, sent };
-        if self.shared.heed(heard, asked, &wish) {
+        let signal = BackpressureSignal { limit, ..signal };
+        let info = Said { engine, of, status, sent };
+        if self.shared.heed(info, signal, &known) {
             self.engine_draining(&life(engine));
         }
         value
     }
 
-    /// What an engine asked this node for.
+    /// Backpressure of an engine toward this node.
     pub(super) fn backpressure_of(&self, engine: &EngineEntry) -> Arc<Backpressure> {
-        let mut wishes = self.wishes.borrow_mut();
-        wishes.entry(engine.id.clone()).or_insert_with(|| self.new_backpressure(engine)).clone()
+        let mut backpressure = self.wishes.borrow_mut();
+        backpressure
+            .entry(engine.id.clone())
+            .or_insert_with(|| self.new_backpressure(engine))
+            .clone()
     }
 
-    /// What an engine that this node has not asked yet said to others.
+    /// Initial backpressure of an engine: the limit that it advertised to other nodes.
     pub(super) fn new_backpressure(&self, engine: &EngineEntry) -> Arc<Backpressure> {
-        let wish = Backpressure::default();
+        let backpressure = Backpressure::default();
         let (life, limits) = (life(engine), self.limits.borrow());
         if let Some((rate, at)) = limits.of(&life) {
-            wish.limit().learn(Some(rate), at);
+            backpressure.limit().learn(Some(rate), at);
         }
         if limits.is_in_probes(&life) {
-            wish.limit().set_in_probes();
+            backpressure.limit().set_in_probes();
         }
-        Arc::new(wish)
+        Arc::new(backpressure)
     }
 
-    /// Asks an engine whether it takes new work; none if it wants no questions now either, since a check takes
-    /// a slot as calls do.
-    pub(super) async fn check(
+    /// Health check of an engine; none if its backpressure forbids a check now, which takes a slot like a call.
+    pub(super) async fn check_health(
         &self,
         engine: &EngineEntry,
         path: &str,
     ) -> Option<Result<EngineResponse<bool>, RpcError>> {
         let mut right = rights::acquire(self, engine).await.ok()?;
-        let entered = self.backpressure_of(engine).admit_probe(right.as_mut(), self.now())?;
+        let admission = self.backpressure_of(engine).admit_probe(right.as_mut(), self.now())?;
         let sent = self.now();
-        let answer = self.edges.orders.healthy(engine, path).await;
-        drop(entered);
-        Some(answer.inspect(|answer| {
-            self.record_response(engine, "check", sent, *answer);
+        let response = self.edges.orders.healthy(engine, path).await;
+        drop(admission);
+        Some(response.inspect(|response| {
+            self.record_response(engine, "check", sent, *response);
         }))
     }
 
-    /// An engine said in an answer to this node that it leaves.
+    /// Records an engine's drain notice to this node.
     pub(super) fn engine_draining(&self, life: &EngineIncarnation) {
-        if self.leave_by_word(life, 0, "its own answer") {
+        if self.learn_drain(life, 0, "engine response") {
             self.publish();
         }
     }
 
-    /// Takes such a word of `age` ago, as `by` tells; gives whether a listed engine leaves by it that did not before.
-    fn leave_by_word(&self, life: &EngineIncarnation, age: Millis, by: &'static str) -> bool {
+    /// Learns a drain notice of `age` ago from `by`, and returns whether it made a listed engine draining.
+    fn learn_drain(&self, life: &EngineIncarnation, age: Millis, by: &'static str) -> bool {
         if !self.leavers.borrow_mut().learn(life.clone(), age, self.now()) {
             return false;
         }
@@ -112,27 +116,26 @@
     }
 }
 
-/// # What nodes tell each other
+/// # Exchange with other nodes
 impl Control {
-    /// Engines that leave by their own word, which others have not heard who know them up to `serial`; and up to
-    /// where they do then.
+    /// Drain notices learned after `serial`, and the serial of the last one returned.
     pub(super) fn drains_since(&self, serial: u64) -> (Vec<FeedDrain>, u64) {
-        let (new, upto) = self.leavers.borrow().since(serial, TOLD_MOST, self.now());
-        let told = new.into_iter().map(|(life, age_ms)| FeedDrain {
+        let (new, upto) = self.leavers.borrow().since(serial, MAX_DRAINS, self.now());
+        let drains = new.into_iter().map(|(life, age_ms)| FeedDrain {
             engine: life.engine,
             born: life.born,
             age_ms,
         });
-        (told.collect(), upto)
+        (drains.collect(), upto)
     }
 
-    /// Takes what another node told in a message that was sent at `sent` or later.
-    pub(super) fn receive_drains(&self, leaves: &[FeedDrain], sent: Millis) {
-        let late = self.now().saturating_sub(sent);
+    /// Learns drain notices that another node reported in a message sent at `sent` or later.
+    pub(super) fn receive_drains(&self, drains: &[FeedDrain], sent: Millis) {
+        let transit_ms = self.now().saturating_sub(sent);
         let mut changed = false;
-        for told in leaves {
-            let life = EngineIncarnation { engine: told.engine.clone(), born: told.born };
-            changed |= self.leave_by_word(&life, told.age_ms + late, "another node");
+        for drain in drains {
+            let life = EngineIncarnation { engine: drain.engine.clone(), born: drain.born };
+            changed |= self.learn_drain(&life, drain.age_ms + transit_ms, "another node");
         }
         if changed {
             self.publish();
@@ -140,30 +143,30 @@
     }
 }
 
-/// Asks engines that are still there long after they said that they leave, for as long as this node runs.
+/// Rechecks engines that are still listed long after their drain notice, while this node runs.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(RECHECK_INTERVAL).await;
         control.leavers.borrow_mut().expire(control.now());
-        let doubtful = control.leavers.borrow().due_for_recheck(control.now());
-        for life in doubtful {
-            ask_again(&control, &life).await;
+        let due = control.leavers.borrow().due_for_recheck(control.now());
+        for life in due {
+            recheck(&control, &life).await;
         }
     }
 }
 
-/// Asks an engine which the store lists as ready whether it leaves; its check says so, as all its answers do.
-async fn ask_again(control: &Control, life: &EngineIncarnation) {
+/// Checks whether an engine that the store lists as ready is still draining, which every response shows.
+async fn recheck(control: &Control, life: &EngineIncarnation) {
     let entry = control.entries.borrow().get(&life.engine).cloned();
     let Some(entry) = entry.filter(|e| e.born == life.born) else { return };
     if !engines::is_listed_ready(control, &entry.id) {
         return;
     }
     let Some(service) = control.service(&entry.service) else { return };
-    match control.check(&entry, &service.health_path).await {
-        Some(Ok(answer)) if answer.value && !answer.backpressure.draining => {}
+    match control.check_health(&entry, &service.health_path).await {
+        Some(Ok(response)) if response.value && !response.backpressure.draining => {}
         Some(Ok(_)) | None => return,
-        Some(Err(e)) => return log::info!("engine {} does not answer its check: {e}", entry.id),
+        Some(Err(e)) => return log::info!("health check of engine {} failed: {e}", entry.id),
     }
     control.leavers.borrow_mut().cancel(life, control.now());
     control.backpressure_of(&entry).cancel_drain();
--- a/crates/heathpitchd/src/gateway/control/looks.rs
+++ b/crates/heathpitchd/src/gateway/control/looks.rs
@@ -56,7 +56,7 @@
     }
     let control = control.clone();
     spawn_local(async move {
-        match control.check(&entry, &service.health_path).await {
+        match control.check_health(&entry, &service.health_path).await {
             Some(Ok(answer)) if !answer.value => {}
             Some(Ok(_)) | None => return,
             Some(Err(e)) => {
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -239,19 +239,17 @@
     domain: &Name,
     request: &RightsRequest,
 ) -> Result<RightsResponse, RpcError> {
-    let unavailable =
+    let failed =
         || RpcError::Connect("no planner is known, or its last response failed".to_owned());
     let planner = control.sources.borrow().planner(domain).map(|p| p.source.clone());
-    let (Some(planner), Some(_)) = (planner, control.shared.peer) else {
-        return Err(unavailable());
-    };
+    let (Some(planner), Some(_)) = (planner, control.shared.peer) else { return Err(failed()) };
     let kept = {
         let mut issuers = control.handers.borrow_mut();
         let issuer = issuers.entry(domain.clone()).or_default();
         let same = |(at, _): &&(SocketAddr, _)| *at == planner.address;
         let kept = issuer.client.as_ref().filter(same).map(|(_, client)| client.clone());
         if kept.is_some() && control.now() < issuer.retry_at {
-            return Err(unavailable());
+            return Err(failed());
         }
         kept
     };
