--- a/crates/heathpitchd/src/gateway/control/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -1,9 +1,9 @@
 //! Backpressure signals and drain notices in engine responses.
 //!
 //! A requested pause applies to this node only, through
-//! [`Backpressure`](heathpitch_policy::Backpressure), which request threads share. A drain notice applies to all
-//! nodes: it has the same effect as a draining entry, is sent to other nodes with every request and response of
-//! the feed, and outlives the entry, which may be outdated.
+//! [`Backpressure`](heathpitch_policy::Backpressure), which request threads share. A drain notice
+//! applies to all nodes: it has the same effect as a draining entry, is sent to other nodes with
+//! every request and response of the feed, and outlives the entry, which may be outdated.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,12 +21,14 @@
 
 /// Most drain notices in one message, about forty bytes each.
 const MAX_DRAINS: usize = 256;
-/// Interval between checks of engines that announced a drain and are still listed; each is polled once per interval.
+/// Interval between checks of engines that announced a drain and are still listed; each is polled
+/// once per interval.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// # Signals to this node
 impl Control {
-    /// Records the backpressure of a response to this node's own request, and returns the response's value.
+    /// Records the backpressure of a response to this node's own request, and returns the
+    /// response's value.
     pub(super) fn record_response<T>(
         &self,
         engine: &EngineEntry,
@@ -37,8 +39,8 @@
         let EngineResponse { value, status, backpressure: signal } = response;
         let known = self.backpressure_of(engine);
         let limit = match signal.limit {
-            // Responses to probes may lack the limit that responses to calls carry, so a missing limit
-            // counts only once a probe response has carried one.
+            // Responses to probes may lack the limit that responses to calls carry, so a missing
+            // limit counts only once a probe response has carried one.
             AdvertisedLimit::Unlimited if !known.limit().is_in_probes() => AdvertisedLimit::Unknown,
             limit => limit,
         };
@@ -75,7 +77,8 @@
         Arc::new(backpressure)
     }
 
-    /// Health check of an engine; none if its backpressure forbids a check now, which takes a slot like a call.
+    /// Health check of an engine; none if its backpressure forbids a check now, which takes a slot
+    /// like a call.
     pub(super) async fn check_health(
         &self,
         engine: &EngineEntry,
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Learns a drain notice of `age` ago from `by`, and returns whether it made a listed engine draining.
+    /// Learns a drain notice of `age` ago from `by`, and returns whether it made a listed engine
+    /// draining.
     fn learn_drain(&self, life: &EngineIncarnation, age: Millis, by: &'static str) -> bool {
         if !self.leavers.borrow_mut().learn(life.clone(), age, self.now()) {
             return false;
@@ -155,7 +159,8 @@
     }
 }
 
-/// Checks whether an engine that the store lists as ready is still draining, which every response shows.
+/// Checks whether an engine that the store lists as ready is still draining, which every response
+/// shows.
 async fn recheck(control: &Control, life: &EngineIncarnation) {
     let entry = control.entries.borrow().get(&life.engine).cloned();
     let Some(entry) = entry.filter(|e| e.born == life.born) else { return };
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to load layers, each sent for a known state of an engine and tracked until it completes.
 //!
-//! An engine's entry in the store shows that an order has completed. If that is overdue, or the store
-//! is unavailable, the engine itself is polled.
+//! An engine's entry in the store shows that an order has completed. If that is overdue, or the
+//! store is unavailable, the engine itself is polled.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,7 +15,8 @@
 use super::{engines, looks, nodes};
 use crate::gateway::event::GatewayEvent;
 
-/// Time beyond the estimated load time after which an engine is polled for the completion of an order.
+/// Time beyond the estimated load time after which an engine is polled for the completion of an
+/// order.
 const OVERDUE_MS: Millis = 700;
 /// First interval between polls of a busy engine; doubled each time.
 const FIRST_POLL_MS: Millis = 400;
@@ -111,8 +112,8 @@
             engines::correct(&control, &engine, &status);
         }
         Ok(_) => {}
-        // If the engine has exited, the ordered layers are lost with it. It is probed, and polled again
-        // once it is reachable.
+        // If the engine has exited, the ordered layers are lost with it. It is probed, and polled
+        // again once it is reachable.
         Err(RpcError::Connect(e)) => {
             log::warn!("engine {} could not be polled for completion of its order: {e}", engine.id);
             control.pending.borrow_mut().remove(&engine.id);
@@ -122,7 +123,8 @@
     }
 }
 
-/// Sends an order; if the known count of orders is stale, retries once with that of the engine itself.
+/// Sends an order; if the known count of orders is stale, retries once with that of the engine
+/// itself.
 async fn send(
     control: &Control,
     engine: &EngineEntry,
@@ -169,7 +171,8 @@
     SendOutcome::Refused
 }
 
-/// How an engine releases its old layers: immediately if it is not a primary and has to close a gap.
+/// How an engine releases its old layers: immediately if it is not a primary and has to close a
+/// gap.
 fn release_mode(reason: LayoutReason, primary: bool) -> ReleaseMode {
     match reason {
         LayoutReason::Gap if !primary => ReleaseMode::Immediate,
@@ -185,7 +188,8 @@
 
 /// Status of an engine that rejected an order with a conflict.
 ///
-/// If it has orders of another planner and this node's lease may have expired, this node resigns as planner.
+/// If it has orders of another planner and this node's lease may have expired, this node resigns as
+/// planner.
 async fn requery(control: &Control, engine: &EngineEntry) -> Option<EngineStatus> {
     let status = match engines::ask(control, engine).await {
         Ok(status) => status,
--- a/crates/heathpitchd/src/gateway/control/planner.rs
+++ b/crates/heathpitchd/src/gateway/control/planner.rs
@@ -1,4 +1,5 @@
-//! Layer planner: orders the engines of this failure domain to load the layers that the layout assigns.
+//! Layer planner: orders the engines of this failure domain to load the layers that the layout
+//! assigns.
 
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -51,7 +51,8 @@
         let entries = self.entries.borrow();
         stats.retain(|engine, _| entries.contains_key(engine));
         let (mut backpressure, now) = (self.wishes.borrow_mut(), self.now());
-        // A call may still be running at an unlisted engine, and its response may carry backpressure.
+        // A call may still be running at an unlisted engine, and its response may carry
+        // backpressure.
         let in_use = |b: &Arc<Backpressure>| Arc::strong_count(b) > 1 || b.is_active(now);
         backpressure.retain(|engine, b| entries.contains_key(engine) || in_use(b));
         for entry in entries.values() {
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -1,11 +1,12 @@
 //! Quarantine of requests that crash engines.
 //!
 //! Engine exits that this node detects (`ends`) and those that other nodes report go into one
-//! [`Quarantine`](heathpitch_policy::Quarantine). Nodes exchange exits with every request and response of the
-//! feed, in both directions, whether or not the store is reachable, and planners exchange them across
-//! failure domains: followers poll every 0.4 s and planners every 0.25 s, so every connected node knows an
-//! exit within [`PROPAGATION_MS`]. Planners write quarantined requests to the store, for nodes that start when
-//! no running node could tell them; an operator who deletes such an entry releases the request.
+//! [`Quarantine`](heathpitch_policy::Quarantine). Nodes exchange exits with every request and
+//! response of the feed, in both directions, whether or not the store is reachable, and planners
+//! exchange them across failure domains: followers poll every 0.4 s and planners every 0.25 s, so
+//! every connected node knows an exit within [`PROPAGATION_MS`]. Planners write quarantined
+//! requests to the store, for nodes that start when no running node could tell them; an operator
+//! who deletes such an entry releases the request.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -25,18 +26,19 @@
 
 /// Key prefix of quarantined requests in the store.
 pub(super) const PREFIX: &str = "heathpitch/quarantine/";
-/// Longest time from an engine's exit until all connected nodes know of it: a probe (120), a follower's
-/// poll (400) and its timeout (300), a planner's (250 and 200), and another follower's. Below the
-/// smallest contact bound (3 000).
+/// Longest time from an engine's exit until all connected nodes know of it: a probe (120), a
+/// follower's poll (400) and its timeout (300), a planner's (250 and 200), and another follower's.
+/// Below the smallest contact bound (3 000).
 const PROPAGATION_MS: Millis = 2_000;
 /// Most exits in one message, about sixty bytes each.
 const MAX_EXITS: usize = 256;
-/// Age of an exit up to which nodes that learn of it avoid the engine: its entry is unlisted after three
-/// seconds, and another engine may then have its address.
+/// Age of an exit up to which nodes that learn of it avoid the engine: its entry is unlisted after
+/// three seconds, and another engine may then have its address.
 const AVOID_WITHIN_MS: Millis = 1_500;
 /// Interval between checks for expired requests and for entries to write to the store.
 const INTERVAL: Duration = Duration::from_millis(300);
-/// Time for which planners leave writing to that of the failure domain that is first by name, so that only one writes.
+/// Time for which planners leave writing to that of the failure domain that is first by name, so
+/// that only one writes.
 const WRITE_DELAY_MS: Millis = 1_500;
 /// Lifetime of an entry that is not written again: the store's longest lease.
 const ENTRY_TTL_MS: Millis = 600_000;
@@ -67,8 +69,9 @@
 impl Control {
     /// Records that an engine exited while it ran calls of this node.
     ///
-    /// Only calls that had just started count as evidence. If there is none, the youngest call is recorded
-    /// without weight, so that other nodes learn of the exit three seconds before the engine's entry expires.
+    /// Only calls that had just started count as evidence. If there is none, the youngest call is
+    /// recorded without weight, so that other nodes learn of the exit three seconds before the
+    /// engine's entry expires.
     pub(super) fn record_engine_exit(&self, engine: &EngineEntry, lost: &[LostSend]) {
         let (now, life) = (self.now(), life(engine));
         let youngest = lost.iter().map(|call| call.events).min().unwrap_or(0);
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -1,9 +1,9 @@
 //! Recovery of running streams: moves streams off engines that fail or drain.
 //!
-//! When an engine fails, the whole path stalls long before the platform reports the failure. If a probe
-//! (`reachability`) finds an engine unreachable, every stalled stream through it is moved to engines that hold
-//! the same layers, or resumed on another path if the engine was the first. A stream that makes progress
-//! shows that all its engines work.
+//! When an engine fails, the whole path stalls long before the platform reports the failure. If a
+//! probe (`reachability`) finds an engine unreachable, every stalled stream through it is moved to
+//! engines that hold the same layers, or resumed on another path if the engine was the first. A
+//! stream that makes progress shows that all its engines work.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -24,7 +24,8 @@
 
 /// Interval between checks.
 const INTERVAL: Duration = Duration::from_millis(40);
-/// Interval between checks while no stream runs and no engine is unreachable: below [`FIRST_EVENT_SILENCE_MS`].
+/// Interval between checks while no stream runs and no engine is unreachable: below
+/// [`FIRST_EVENT_SILENCE_MS`].
 const IDLE_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between removals of expired state.
 const EXPIRY_INTERVAL_MS: Millis = 1_000;
@@ -32,11 +33,13 @@
 const MAX_CHECK_DELAY_MS: Millis = 200;
 /// Time without checks after this process was stalled.
 const STALL_GRACE_MS: Millis = 150;
-/// Silence before the first event after which a stream counts as stalled: the prompt is processed meanwhile.
+/// Silence before the first event after which a stream counts as stalled: the prompt is processed
+/// meanwhile.
 const FIRST_EVENT_SILENCE_MS: Millis = 350;
 /// Time for which an engine without room for a moved stream is deprioritized.
 const MOVE_COOLDOWN_MS: Millis = 250;
-/// Part of a draining engine's minimum service time after which streams are moved off it; most end earlier.
+/// Part of a draining engine's minimum service time after which streams are moved off it; most end
+/// earlier.
 const DRAIN_SHARE: f64 = 0.6;
 /// Time for which engines that left are remembered.
 const DEPARTED_TTL_MS: Millis = 60_000;
@@ -235,8 +238,8 @@
     let head = &path.head().engine;
     let usable = |s: &EngineView| {
         let (id, backpressure) = (&s.entry.id, s.tally.backpressure());
-        // An engine that runs the stream already needs no new right. None is requested for a move, so
-        // engines with a limit are not moved to.
+        // An engine that runs the stream already needs no new right. None is requested for a move,
+        // so engines with a limit are not moved to.
         let is_open = match path.stages().iter().any(|stage| &stage.engine == id) {
             true => s.works(now) && backpressure.pause_left(now).is_none(),
             false => s.open(now) && backpressure.limit().rate().is_none(),
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -1,7 +1,8 @@
 //! Engine reports: by what factor an engine is slower than its card, and how many tokens it holds.
 //!
-//! The planner of a failure domain polls the engines that requests run through, and those that are filling
-//! up more often. It forwards the reports to the other nodes of its domain in its feed responses.
+//! The planner of a failure domain polls the engines that requests run through, and those that are
+//! filling up more often. It forwards the reports to the other nodes of its domain in its feed
+//! responses.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,13 +15,13 @@
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
 
-/// Interval between rounds: about the lag of a report, so that polling at most doubles a report's age,
-/// during which requests may be admitted that find no room.
+/// Interval between rounds: about the lag of a report, so that polling at most doubles a report's
+/// age, during which requests may be admitted that find no room.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 /// Every so many rounds all engines are polled: a poll costs a fraction of a store call.
 const FULL_ROUND_EVERY: u32 = 4;
-/// Share of an engine's token capacity from which it counts as filling up: at twice the typical load,
-/// filling up from there takes longer than the time between two full rounds.
+/// Share of an engine's token capacity from which it counts as filling up: at twice the typical
+/// load, filling up from there takes longer than the time between two full rounds.
 const FILLING_SHARE: f64 = 0.5;
 /// Engines polled in other rounds, fullest first: all engines of a path hold the same tokens.
 const MAX_FILLING: usize = 2;
@@ -182,7 +183,8 @@
 
 /// # Reports
 impl Control {
-    /// Tokens that requests hold at an engine by its report: this node's own requests are only a part of them.
+    /// Tokens that requests hold at an engine by its report: this node's own requests are only a
+    /// part of them.
     pub(super) fn held_tokens(&self, engine: &Name) -> f64 {
         let now = self.now();
         let reports = self.reports.borrow();
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -1,11 +1,11 @@
 //! Rights to send requests to engines that advertise a rate limit.
 //!
-//! The planner of an engine's failure domain issues the rights, one for each request, as long as no other
-//! node can: its lease is proven, or, while the store is unreachable, more than half of the domain's nodes
-//! still poll it. A new planner waits until an earlier one must have stopped by either rule. Where no issuer
-//! can be reached, nodes issue a small share of the limit to themselves
-//! ([`EngineLimit`](heathpitch_policy::EngineLimit)). Nodes exchange limits with every request and response of
-//! the feed, as they do drain notices.
+//! The planner of an engine's failure domain issues the rights, one for each request, as long as no
+//! other node can: its lease is proven, or, while the store is unreachable, more than half of the
+//! domain's nodes still poll it. A new planner waits until an earlier one must have stopped by
+//! either rule. Where no issuer can be reached, nodes issue a small share of the limit to
+//! themselves ([`EngineLimit`](heathpitch_policy::EngineLimit)). Nodes exchange limits with every
+//! request and response of the feed, as they do drain notices.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,11 +24,11 @@
 
 /// Most limits in one message, about forty bytes each.
 const MAX_LIMITS: usize = 256;
-/// Time after becoming planner before a node issues rights: by then an earlier planner has learned of it,
-/// or the earlier planner's followers no longer count as present.
+/// Time after becoming planner before a node issues rights: by then an earlier planner has learned
+/// of it, or the earlier planner's followers no longer count as present.
 const ISSUE_DELAY_MS: Millis = 1_300;
-/// Timeout of a rights request: many times the latency between failure domains, and small against callers'
-/// deadlines.
+/// Timeout of a rights request: many times the latency between failure domains, and small against
+/// callers' deadlines.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(60);
 /// Timeout of a connection attempt for a rights request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
@@ -93,8 +93,8 @@
     pub(super) fn receive_limits(&self, limits: &[FeedLimit], sent: Millis) {
         for limit in limits {
             let life = EngineIncarnation { engine: limit.engine.clone(), born: limit.born };
-            // The transit time of the message is unknown: a limit counts as young as it can be, and its
-            // end as old as it can be, so that a limit is kept rather than dropped.
+            // The transit time of the message is unknown: a limit counts as young as it can be, and
+            // its end as old as it can be, so that a limit is kept rather than dropped.
             let from = if limit.rate.is_some() { self.now() } else { sent };
             let at = from.saturating_sub(limit.age_ms);
             if self.learn_limit(&life, limit.rate, at, "another node") {
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -1,4 +1,5 @@
-//! Store calls: counts them, tracks whether the store is reachable, and detects restores from an older copy.
+//! Store calls: counts them, tracks whether the store is reachable, and detects restores from an
+//! older copy.
 
 use std::time::Duration;
 
@@ -11,8 +12,8 @@
 
 /// # Store
 impl Control {
-    /// Waits for a response of the store; none if the store's state changes first, since a missing response
-    /// says nothing then.
+    /// Waits for a response of the store; none if the store's state changes first, since a missing
+    /// response says nothing then.
     pub(super) async fn until_store_change<T>(
         &self,
         response: impl Future<Output = T>,
@@ -52,9 +53,11 @@
         result
     }
 
-    /// Waits up to `wait` for changes under a prefix after a revision; `of` names the watched data in the log.
+    /// Waits up to `wait` for changes under a prefix after a revision; `of` names the watched data
+    /// in the log.
     ///
-    /// A lost watch does not show that the store is unreachable: a connection can be lost on its own.
+    /// A lost watch does not show that the store is unreachable: a connection can be lost on its
+    /// own.
     pub(super) async fn watch(
         &self,
         of: &'static str,
@@ -81,12 +84,12 @@
         self.observe_era(self.edges.store.era());
     }
 
-    /// Records the era of the store, from its own response or from another node. A later era than before
-    /// shows that the store was restored from an older copy.
+    /// Records the era of the store, from its own response or from another node. A later era than
+    /// before shows that the store was restored from an older copy.
     ///
-    /// Earlier reads belong to another history then. All watches are cancelled, so that everything is read again
-    /// on the usual schedule, and entries that the copy lacks are awaited as after an outage. Engines that
-    /// had left stay out of use, although the copy may contain their entries.
+    /// Earlier reads belong to another history then. All watches are cancelled, so that everything
+    /// is read again on the usual schedule, and entries that the copy lacks are awaited as after an
+    /// outage. Engines that had left stay out of use, although the copy may contain their entries.
     pub(super) fn observe_era(&self, era: u64) {
         let from = self.era.get();
         if era <= from {
@@ -118,8 +121,9 @@
 
     /// Counts a call sent at `sent`, and records whether the store is reachable.
     ///
-    /// A call that was sent before the store became reachable again and is lost afterwards is ignored: counted
-    /// as a second outage, it would delay the adoption of a configuration, by 0.17 s in one case.
+    /// A call that was sent before the store became reachable again and is lost afterwards is
+    /// ignored: counted as a second outage, it would delay the adoption of a configuration, by 0.17
+    /// s in one case.
     fn record_call<T>(&self, call: &'static str, sent: Millis, result: &Result<T, StoreError>) {
         let (label, reachable) = match result {
             Ok(_) => ("ok", true),
--- a/crates/heathpitchd/src/gateway/control/suspension.rs
+++ b/crates/heathpitchd/src/gateway/control/suspension.rs
@@ -1,7 +1,7 @@
 //! Detects suspensions of the VM, and makes all waiting tasks check the time again.
 //!
-//! Known state is kept, since its age includes the suspension. Idle connections are closed, since the peer may
-//! have dropped them in the meantime.
+//! Known state is kept, since its age includes the suspension. Idle connections are closed, since
+//! the peer may have dropped them in the meantime.
 
 use std::rc::Rc;
 use std::time::Duration;
