--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests that crash engines.
 //!
-//! Engine exits that this node detects (`ends`) and those that other nodes report go into one
+//! Engine exits that this node detects (`engine_exits`) and those that other nodes report go into one
 //! [`Quarantine`](heathpitch_policy::Quarantine). Nodes exchange exits with every request and
 //! response of the feed, in both directions, whether or not the store is reachable, and planners
 //! exchange them across failure domains: followers poll every 0.4 s and planners every 0.25 s, so
