--- a/crates/heathpitchd/tests/gateway_backpressure.rs
+++ b/crates/heathpitchd/tests/gateway_backpressure.rs
@@ -1,11 +1,11 @@
-//! Engines that ask for rest, or say in their answers that they leave.
+//! Engines that request a pause, or announce a drain, in their responses.
 //!
-//! Seen: an engine turned a node away with a time for which it wanted nothing from it, and got eight requests
-//! from that node within it; another node sent it five. It came about because it had the least load of its
-//! service, as it turned everybody away at once, so that call after call was sent there: of one node's
-//! seventeen calls in six seconds eleven. The cause: a node took from such an answer that the call had not run,
-//! and nothing that outlived the call. Proof: on that code the first test here counts 8 to 74 requests within a rest,
-//! by each way to an engine, and the log shows the time that each of their answers asked for.
+//! Without pauses in effect, an engine that rejected a node's request with a retry time received
+//! eight more requests from that node within it, and five from another node. As it rejected
+//! everything immediately it had the least load of its service, so most calls were sent there:
+//! eleven of one node's seventeen calls in six seconds. A node took from such a response only that
+//! the call had not run, and kept nothing beyond the call. Without the fix the first test here
+//! counts 8 to 74 requests within a pause, by each kind of request.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -17,54 +17,54 @@
 use heathpitch_standin::{Caller, Engine, GatewayProcess, Play, Reply};
 use hyper::Method;
 
-/// Rest that engines ask for, and as they write it.
-const REST: (Duration, &str) = (Duration::from_millis(2_500), "2.5");
-/// Time after such an answer in which requests may still come that were under way.
-const UNDER_WAY: Duration = Duration::from_millis(500);
-/// Requests that may come all the same until the rest is over.
-const MORE: usize = 2;
-/// Time after an answer which says that its engine leaves until it may get no new work, as agreed.
+/// Requested pause, as a duration and as the header's value.
+const PAUSE: (Duration, &str) = (Duration::from_millis(2_500), "2.5");
+/// Time after such a response in which requests in flight may still arrive.
+const IN_FLIGHT: Duration = Duration::from_millis(500);
+/// Requests that may arrive after that, until the end of the pause.
+const MAX_IN_PAUSE: usize = 2;
+/// Time from a drain notice until the engine may receive no new work: the drain bound.
 const DRAIN: Duration = Duration::from_millis(2_000);
 /// Time between two calls.
-const PAUSE: Duration = Duration::from_millis(10);
+const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// When an engine was asked for anything that takes a slot there: calls and checks.
-fn asked(engine: &Engine) -> Vec<Instant> {
+/// Times of all requests that take a slot at an engine: calls and health checks.
+fn request_times(engine: &Engine) -> Vec<Instant> {
     let seen = engine.seen().into_iter().map(|s| s.at);
     seen.chain(engine.checks()).collect()
 }
 
-/// Most requests that came to an engine within the rest that it asked for as it turned one away.
-fn most_in_rest(engine: &Engine) -> usize {
-    let asked = asked(engine);
-    let within = |at: Instant| (at + UNDER_WAY, at + REST.0);
-    let count = |(from, to)| asked.iter().filter(|t| (from..to).contains(*t)).count();
-    let seen = engine.seen();
-    let away = seen.iter().filter(|s| !s.ran);
-    away.map(|s| count(within(s.at))).max().unwrap_or(0)
+/// Most requests that an engine received within the pause that it requested when it rejected one.
+fn most_in_pause(engine: &Engine) -> usize {
+    let times = request_times(engine);
+    let pause = |at: Instant| (at + IN_FLIGHT, at + PAUSE.0);
+    let count = |(from, to)| times.iter().filter(|t| (from..to).contains(*t)).count();
+    let received = engine.seen();
+    let rejected = received.iter().filter(|s| !s.ran);
+    rejected.map(|s| count(pause(s.at))).max().unwrap_or(0)
 }
 
-/// Calls again and again for a while.
+/// Calls repeatedly for a time.
 async fn call_for(caller: &Caller, time: Duration, method: Method, target: &str) -> Vec<Reply> {
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut replies = Vec::new();
-    while begun.elapsed() < time {
+    while start.elapsed() < time {
         replies.push(caller.call(method.clone(), target, "body").await.unwrap());
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
     replies
 }
 
-/// Ways to an engine: calls that may be repeated and those that may run once, streams of one engine, and
-/// streams through layers.
-const WAYS: [(Method, &str, &str); 4] = [
+/// Kinds of request: idempotent calls, at-most-once calls, streams of one engine, and streams
+/// through layers.
+const REQUEST_KINDS: [(Method, &str, &str); 4] = [
     (Method::GET, "/get/x", "api"),
     (Method::POST, "/book/x", "api"),
     (Method::POST, "/whole/x", "one"),
     (Method::POST, "/tell/x", "llm"),
 ];
 
-/// A node, and two engines that are alike for one of the ways: first the one that a call goes to.
+/// A node and two identical engines for one kind of request, first the one that a call goes to.
 struct Pair {
     _world: World,
     node: GatewayProcess,
@@ -72,7 +72,7 @@
 }
 
 impl Pair {
-    async fn of(method: &Method, target: &str, service: &str) -> Self {
+    async fn new(method: &Method, target: &str, service: &str) -> Self {
         let world = World::new();
         let [a, b] = ["a", "b"].map(|name| world.engine(name, service));
         if service == "llm" {
@@ -95,35 +95,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_asked_for_rest_gets_next_to_nothing_within_it() {
-    let found = WAYS.map(async |(method, target, service)| {
-        let pair = Pair::of(&method, target, service).await;
-        let [tired, other] = &pair.engines;
-        tired.rest(REST.1);
-        tired.play(Play::Refuse);
-        let replies = call_for(&pair.caller(), REST.0, method, target).await;
+async fn an_engine_that_requested_a_pause_gets_almost_no_requests_within_it() {
+    let found = REQUEST_KINDS.map(async |(method, target, service)| {
+        let pair = Pair::new(&method, target, service).await;
+        let [paused, other] = &pair.engines;
+        paused.rest(PAUSE.1);
+        paused.play(Play::Refuse);
+        let replies = call_for(&pair.caller(), PAUSE.0, method, target).await;
         let served = replies.iter().filter(|r| r.status == 200).count();
         assert!(other.seen().len() >= served);
-        (target, most_in_rest(tired), replies.len() - served)
+        (target, most_in_pause(paused), replies.len() - served)
     });
     let found = futures::future::join_all(found).await;
-    // One call may be what the engine turned away.
-    let fine = |(_, most, unserved): &(&str, usize, usize)| *most <= MORE && *unserved <= 1;
-    assert!(found.iter().all(fine), "while it rested, and calls not served: {found:?}");
+    // The call that the engine rejected may be unserved.
+    let fine = |(_, most, unserved): &(&str, usize, usize)| *most <= MAX_IN_PAUSE && *unserved <= 1;
+    assert!(found.iter().all(fine), "requests in the pause, calls not served: {found:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_says_in_an_answer_that_it_leaves_gets_no_new_work() {
-    let found = WAYS.map(async |(method, target, service)| {
-        let pair = Pair::of(&method, target, service).await;
-        let leaving = &pair.engines[0];
-        let before = leaving.seen().len();
-        leaving.leave(true);
-        let replies = call_for(&pair.caller(), DRAIN + UNDER_WAY, method, target).await;
+async fn an_engine_that_announces_a_drain_in_a_response_gets_no_new_work() {
+    let found = REQUEST_KINDS.map(async |(method, target, service)| {
+        let pair = Pair::new(&method, target, service).await;
+        let draining = &pair.engines[0];
+        let before = draining.seen().len();
+        draining.leave(true);
+        let replies = call_for(&pair.caller(), DRAIN + IN_FLIGHT, method, target).await;
         assert!(replies.iter().all(|r| r.status == 200), "{target}");
-        let seen = &leaving.seen()[before..];
+        let seen = &draining.seen()[before..];
         (target, seen.iter().filter(|s| s.at > seen[0].at + DRAIN).count())
     });
     let found = futures::future::join_all(found).await;
-    assert!(found.iter().all(|(_, late)| *late == 0), "later than agreed: {found:?}");
+    assert!(found.iter().all(|(_, late)| *late == 0), "requests after the drain bound: {found:?}");
 }
--- a/crates/heathpitchd/tests/gateway_backpressure_scope.rs
+++ b/crates/heathpitchd/tests/gateway_backpressure_scope.rs
@@ -1,4 +1,5 @@
-//! How long what engines ask for binds, whom, and what callers are told.
+//! Scope of backpressure: how long it holds, for which nodes, and how callers are answered
+//! meanwhile.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -11,7 +12,8 @@
 use hyper::Method;
 use serde_json::Value;
 
-/// Time within which all nodes hear of what one of them heard, as agreed on the smallest deployments.
+/// Time within which all nodes know what one of them learned: the contact bound of the smallest
+/// deployments.
 const CONTACT: Duration = Duration::from_millis(3_000);
 
 fn caller(node: &GatewayProcess) -> Caller {
@@ -22,176 +24,189 @@
     caller(node).call(Method::GET, "/get/x", "").await.unwrap()
 }
 
-/// Turns away what comes, and asks for this rest.
-fn tire(engine: &Engine, rest: &str) {
-    engine.rest(rest);
+/// Makes an engine reject requests and request this pause.
+fn request_pause(engine: &Engine, pause: &str) {
+    engine.rest(pause);
     engine.play(Play::Refuse);
 }
 
-fn is(event: &Value, engine: &Engine) -> bool {
+fn is_about(event: &Value, engine: &Engine) -> bool {
     event["engine"] == engine.id.as_str()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_finds_all_engines_resting_is_told_so_at_once_and_when_to_come() {
+async fn a_caller_is_refused_immediately_with_a_retry_time_when_all_engines_are_paused() {
     let world = World::new();
     let engines = [world.engine("a", "api"), world.engine("b", "api")];
-    engines.iter().for_each(|e| tire(e, "1.2"));
+    engines.iter().for_each(|e| request_pause(e, "1.2"));
     let node = world.node().await;
-    let begun = Instant::now();
+    let start = Instant::now();
     assert_eq!(get(&node).await.status, 503);
-    let mut backs = Vec::new();
+    let mut retry_times = Vec::new();
     for _ in 0..6 {
-        let asked = Instant::now();
+        let sent = Instant::now();
         let reply = get(&node).await;
-        assert!(asked.elapsed() < Duration::from_millis(100), "{:?}", asked.elapsed());
+        assert!(sent.elapsed() < Duration::from_millis(100), "{:?}", sent.elapsed());
         assert_eq!((reply.status, reply.stamp()), (503, None));
         let text = String::from_utf8_lossy(&reply.body).into_owned();
         assert!(text.contains("resting") && text.contains("not_run"), "{text}");
-        backs.push(reply.header("retry-after").unwrap().parse::<f64>().unwrap());
+        retry_times.push(reply.header("retry-after").unwrap().parse::<f64>().unwrap());
     }
     let most = 0.3 * 5.0;
-    assert!(backs.iter().all(|b| (0.5..=most).contains(b)), "as the rest is over: {backs:?}");
-    assert!(backs.iter().any(|b| *b != backs[0]), "not all at once: {backs:?}");
-    let came: usize = engines.iter().map(|e| e.seen().len()).sum();
-    assert_eq!(came, 2, "each turned one away");
+    assert!(
+        retry_times.iter().all(|t| (0.5..=most).contains(t)),
+        "retry times match the end of the pause: {retry_times:?}"
+    );
+    assert!(
+        retry_times.iter().any(|t| *t != retry_times[0]),
+        "retry times are spread: {retry_times:?}"
+    );
+    let requests: usize = engines.iter().map(|e| e.seen().len()).sum();
+    assert_eq!(requests, 2, "each engine rejected one");
     engines.iter().for_each(|e| e.play(Play::Whole));
-    wait("an engine is taken up again", async || get(&node).await.status == 200).await;
-    assert!(begun.elapsed() >= Duration::from_millis(1_200), "{:?}", begun.elapsed());
+    wait("an engine is used again", async || get(&node).await.status == 200).await;
+    assert!(start.elapsed() >= Duration::from_millis(1_200), "{:?}", start.elapsed());
 }
 
-/// What was on its way when rest was asked for comes back later, with other times and with none.
+/// Responses that were in flight when the pause was requested arrive later, with other times or
+/// none.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_longest_rest_that_was_asked_for_holds() {
+async fn the_longest_requested_pause_holds() {
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    tire(&engine, "2");
+    request_pause(&engine, "2");
     get(&node).await;
-    let begun = Instant::now();
-    // Nothing reaches it any more that it could answer otherwise; its check is not asked for either.
-    for rest in ["0.1", "0", "nonsense", "-5", ""] {
-        tire(&engine, rest);
+    let start = Instant::now();
+    // No request reaches the engine any more, which could get another response, nor does a health
+    // check.
+    for pause in ["0.1", "0", "nonsense", "-5", ""] {
+        request_pause(&engine, pause);
         get(&node).await;
     }
-    wait("it is asked again", async || {
+    wait("the engine gets a request again", async || {
         get(&node).await;
         engine.seen().len() > 1
     })
     .await;
-    assert!(begun.elapsed() >= Duration::from_millis(1_950), "{:?}", begun.elapsed());
+    assert!(start.elapsed() >= Duration::from_millis(1_950), "{:?}", start.elapsed());
     assert_eq!(engine.checks().len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_time_that_cannot_be_read_is_no_rest_and_a_very_long_one_ends_with_its_engine_s_life() {
+async fn malformed_pauses_are_ignored_and_a_very_long_one_ends_with_a_restart() {
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    for nonsense in ["soon", "-3", "NaN", "Fri, 04 Dec 2026 00:00:00 GMT"] {
-        tire(&engine, nonsense);
+    for malformed in ["soon", "-3", "NaN", "Fri, 04 Dec 2026 00:00:00 GMT"] {
+        request_pause(&engine, malformed);
         get(&node).await;
         engine.play(Play::Whole);
-        assert_eq!(get(&node).await.status, 200, "{nonsense}");
+        assert_eq!(get(&node).await.status, 200, "{malformed}");
     }
-    tire(&engine, "1e300");
+    request_pause(&engine, "1e300");
     get(&node).await;
     engine.play(Play::Whole);
     assert_eq!(get(&node).await.status, 503);
     engine.restart();
     engine.list("ready");
-    wait("its new life is used", async || get(&node).await.status == 200).await;
+    wait("the restarted engine is used", async || get(&node).await.status == 200).await;
 }
 
-/// Its entry lapses and comes back, as entries do when the store was away.
+/// Entries expire and come back, as after an outage of the store.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_an_engine_asked_for_outlives_its_entry() {
+async fn backpressure_outlives_the_entry_of_its_engine() {
     let world = World::new();
-    let (tired, leaving) = (world.engine("a", "api"), world.engine("b", "api"));
+    let (paused, draining) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
-    leaving.leave(true);
-    tire(&tired, "60");
-    wait("both have said so", async || {
+    draining.leave(true);
+    request_pause(&paused, "60");
+    wait("both signals are known", async || {
         get(&node).await;
         node.events("engine_wished").len() >= 2
     })
     .await;
-    let came = tired.seen().len() + leaving.seen().len();
-    for engine in [&tired, &leaving] {
+    let before = paused.seen().len() + draining.seen().len();
+    for engine in [&paused, &draining] {
         engine.unlist();
-        wait("it is gone", async || node.events("engine_gone").iter().any(|e| is(e, engine))).await;
-        let listed = async || node.events("engine_listed").iter().filter(|e| is(e, engine)).count();
-        let before = listed().await;
+        wait("the entry is gone", async || {
+            node.events("engine_gone").iter().any(|e| is_about(e, engine))
+        })
+        .await;
+        let listed =
+            async || node.events("engine_listed").iter().filter(|e| is_about(e, engine)).count();
+        let listings = listed().await;
         engine.list("ready");
-        wait("it is back", async || listed().await > before).await;
+        wait("the entry is back", async || listed().await > listings).await;
     }
     for _ in 0..10 {
         assert_eq!(get(&node).await.status, 503);
     }
-    assert_eq!(tired.seen().len() + leaving.seen().len(), came);
+    assert_eq!(paused.seen().len() + draining.seen().len(), before);
 }
 
-/// The store is away, and its entry says that it is ready.
+/// The store is unreachable, and the engine's entry says that it is ready.
 #[tokio::test(flavor = "multi_thread")]
-async fn every_node_leaves_an_engine_that_said_to_one_of_them_that_it_leaves() {
+async fn every_node_avoids_an_engine_that_announced_a_drain_to_one_of_them() {
     let world = World::new();
-    let (leaving, other) = (world.engine("a", "api"), world.engine("b", "api"));
+    let (draining, other) = (world.engine("a", "api"), world.engine("b", "api"));
     let (planner, link, follower) = world.planner_and_follower().await;
     let far = world.start_in("atl", "n3");
     far.wait_ready().await.unwrap();
     wait("planners know each other", async || !far.events("neighbour_changed").is_empty()).await;
     link.set(Link::Silent);
-    leaving.leave(true);
-    wait("the follower has heard it", async || {
+    draining.leave(true);
+    wait("the follower knows of the drain", async || {
         assert_eq!(status(&caller(&follower), "/open/x").await, 200);
-        leaving.seen().last().is_some_and(|s| s.at.elapsed() < Duration::from_millis(500))
+        draining.seen().last().is_some_and(|s| s.at.elapsed() < Duration::from_millis(500))
             && !follower.events("engine_leaves").is_empty()
     })
     .await;
-    let told = Instant::now();
+    let announced = Instant::now();
     for node in [&planner, &far] {
-        wait("it knows", async || !node.events("engine_leaves").is_empty()).await;
+        wait("the node knows of the drain", async || !node.events("engine_leaves").is_empty())
+            .await;
         assert_eq!(node.events("engine_leaves")[0]["by"], "another node");
     }
-    assert!(told.elapsed() < CONTACT, "{:?}", told.elapsed());
-    println!("known to all after {:?}", told.elapsed());
-    let came = leaving.seen().len();
+    assert!(announced.elapsed() < CONTACT, "{:?}", announced.elapsed());
+    println!("known to all after {:?}", announced.elapsed());
+    let before = draining.seen().len();
     for node in [&planner, &far, &follower] {
         for _ in 0..5 {
             assert_eq!(status(&caller(node), "/open/x").await, 200);
         }
     }
-    assert_eq!(leaving.seen().len(), came);
+    assert_eq!(draining.seen().len(), before);
     assert!(!other.seen().is_empty());
-    let begun = world.start_in("atl", "n4");
-    begun.wait_ready().await.unwrap();
-    wait("one that begins is told", async || !begun.events("engine_leaves").is_empty()).await;
+    let new = world.start_in("atl", "n4");
+    new.wait_ready().await.unwrap();
+    wait("a new node learns of the drain", async || !new.events("engine_leaves").is_empty()).await;
 }
 
-/// A word that was wrong must not cost a service its only engine for good.
+/// A wrong drain notice must not cost a service its only engine permanently.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_is_there_long_after_and_says_it_no_more_is_used_again() {
+async fn an_engine_that_stays_listed_and_no_longer_announces_a_drain_is_used_again() {
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
     engine.leave(true);
     assert_eq!(get(&node).await.status, 200);
     assert_eq!(get(&node).await.status, 503);
-    // Half a minute passes.
+    // Four suspensions of ten seconds: more than the 30 s after which the engine is rechecked.
     for i in 1..=4 {
         node.signal("USR2").unwrap();
-        wait("it is over", async || node.events("vm_suspended").len() == i).await;
+        wait("the suspension is detected", async || node.events("vm_suspended").len() == i).await;
     }
-    wait("it is asked whether it leaves", async || !engine.checks().is_empty()).await;
-    assert_eq!(get(&node).await.status, 503, "it said so again");
+    wait("the engine is rechecked", async || !engine.checks().is_empty()).await;
+    assert_eq!(get(&node).await.status, 503, "it announced the drain again");
     engine.leave(false);
-    wait("it is used again", async || get(&node).await.status == 200).await;
-    wait("the log says so", async || !node.events("engine_stays").is_empty()).await;
+    wait("the engine is used again", async || get(&node).await.status == 200).await;
+    wait("the end of the drain is logged", async || !node.events("engine_stays").is_empty()).await;
 }
 
-/// Another engine has taken the address, and is leaving itself.
+/// Another engine, which is draining itself, uses the address of an engine that is gone.
 #[tokio::test(flavor = "multi_thread")]
-async fn another_engine_s_word_at_the_same_address_is_not_taken_for_this_one_s() {
+async fn a_drain_notice_of_another_engine_at_the_same_address_is_ignored() {
     let world = World::new();
     let other = world.engine("b", "one");
     other.leave(true);
@@ -201,9 +216,9 @@
     assert_eq!(node.events("engine_leaves").len() + node.events("engine_wished").len(), 0);
 }
 
-/// The engine that turns streams away stands behind the first one of their path, which tells its address.
+/// The engine that rejects streams is behind the first one of the path, which reports its address.
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_go_round_an_engine_behind_the_first_that_asked_for_rest() {
+async fn streams_avoid_an_engine_behind_the_first_that_requested_a_pause() {
     let world = World::new();
     let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
     [&a, &d].iter().for_each(|e| e.hold(0, 4));
@@ -218,7 +233,8 @@
         seen.iter().filter(|s| s.path().unwrap().contains(&engine.address.to_string())).count()
     };
     for _ in 0..12 {
-        // The one that answered rests as well as the one at fault, so that no path may be left.
+        // The engine that responded is paused as well as the one at fault, so that no path may be
+        // left.
         let reply = tell().await;
         assert!(reply.status == 200 || reply.status == 503, "{}", reply.status);
     }
@@ -226,41 +242,41 @@
     assert!(through(&c) + through(&b) > 0);
 }
 
-/// A stream that runs is not cut off; one that comes then goes elsewhere.
+/// A running stream is not cut off; new ones go to another engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn running_streams_go_on_at_an_engine_that_asks_for_rest_or_leaves() {
+async fn running_streams_continue_at_an_engine_that_requests_a_pause_or_drains() {
     let world = World::new();
     let (a, b) = (world.engine("a", "one"), world.engine("b", "one"));
     [&a, &b].iter().for_each(|e| e.play(Play::Stream(40, Duration::from_millis(20))));
     let node = world.node().await;
     let long = async || caller(&node).call(Method::POST, "/whole/x", "long").await.unwrap();
-    let wish = async {
-        wait("one runs", async || a.seen().len() + b.seen().len() == 1).await;
+    let signal = async {
+        wait("one stream runs", async || a.seen().len() + b.seen().len() == 1).await;
         let used = if a.seen().is_empty() { &b } else { &a };
-        tire(used, "5");
+        request_pause(used, "5");
         used.leave(true);
         tokio::time::sleep(Duration::from_millis(50)).await;
         let replies = futures::future::join_all((0..4).map(|_| long())).await;
         assert!(replies.iter().all(|r| r.status == 200 && r.whole));
         used.seen().len()
     };
-    let (running, came) = tokio::join!(long(), wish);
+    let (running, received) = tokio::join!(long(), signal);
     assert!(running.whole && running.events() == (1..=40).collect::<Vec<_>>());
-    assert!(came <= 3, "those that were under way: {came}");
+    assert!(received <= 3, "only streams in flight may arrive: {received}");
 }
 
-/// It has the least load of all, as it answers at once.
+/// The engine has the least load of all, as it responds immediately.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_turns_calls_away_without_a_time_is_passed_over_for_a_moment() {
+async fn an_engine_that_rejects_calls_without_a_retry_time_is_avoided_for_a_short_time() {
     let world = World::new();
-    let (away, _other) = (world.engine("a", "api"), world.engine("b", "api"));
-    away.play(Play::Refuse);
+    let (rejecting, _other) = (world.engine("a", "api"), world.engine("b", "api"));
+    rejecting.play(Play::Refuse);
     let node = world.node().await;
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_millis(1_000) {
+    let start = Instant::now();
+    while start.elapsed() < Duration::from_millis(1_000) {
         assert_eq!(get(&node).await.status, 200);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let came = away.seen().len();
-    assert!((1..=3).contains(&came), "once in 0.6 s: {came}");
+    let received = rejecting.seen().len();
+    assert!((1..=3).contains(&received), "once in 0.6 s: {received}");
 }
--- a/crates/heathpitchd/tests/gateway_crashing_requests.rs
+++ b/crates/heathpitchd/tests/gateway_crashing_requests.rs
@@ -1,11 +1,11 @@
 //! Requests that crash engines.
 //!
-//! Without a quarantine, one request crashed nine to seventeen engines in turn, each with all streams that
-//! ran there, and a failure domain was avoided without the first layers for a time. The request crashed an
-//! engine, was sent to a second one, and was then repeated by its caller with another id at another node;
-//! what a node learned from the crash was dropped with the call and known to no other node. Without the fix
-//! the first test here counts nine to twelve more crashes after the third, mostly two for each time that the
-//! request is received.
+//! Without a quarantine, one request crashed nine to seventeen engines in turn, each with all
+//! streams that ran there, and a failure domain was avoided without the first layers for a time.
+//! The request crashed an engine, was sent to a second one, and was then repeated by its caller
+//! with another id at another node; what a node learned from the crash was dropped with the call
+//! and known to no other node. Without the fix the first test here counts nine to twelve more
+//! crashes after the third, mostly two for each time that the request is received.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -153,7 +153,7 @@
         let address = listen[i % listen.len()];
         tokio::spawn(async move {
             let caller = Caller::new(address).key(KEY);
-            let body = format!("harmless {i}");
+            let body = format!("proper {i}");
             let mut held = 0;
             // Callers retry after a failure.
             for _ in 0..8 {
@@ -258,11 +258,11 @@
     engines.iter().for_each(|e| e.play(Play::CutAfter(0)));
     let node = world.node().await;
     for _ in 0..8 {
-        stream(&node, "harmless").await;
+        stream(&node, "proper").await;
     }
     assert_eq!(node.events("engine_ended").len(), 0);
     engines.iter().for_each(|e| e.play(Play::Stream(3, Duration::from_millis(2))));
-    assert_eq!(stream(&node, "harmless").await.status, 200);
+    assert_eq!(stream(&node, "proper").await.status, 200);
 }
 
 /// Engines crash on their own, one after the other, while they run the same long stream.
@@ -272,7 +272,7 @@
     let engines = engines(&world, 8);
     let node = world.node().await;
     for _ in 0..4 {
-        let call = stream(&node, "harmless");
+        let call = stream(&node, "proper");
         let fault = async {
             tokio::time::sleep(Duration::from_millis(500)).await;
             let runs = |e: &&Engine| {
@@ -287,14 +287,14 @@
     assert_eq!(node.events("request_held_back").len(), 0);
 }
 
-/// When each node had to detect the exit itself, a caller was refused after four attempts at engines that
-/// had exited: entries expire only three seconds after an exit.
+/// When each node had to detect the exit itself, a caller was refused after four attempts at
+/// engines that had exited: entries expire only three seconds after an exit.
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_avoid_an_engine_whose_exit_another_node_detected() {
     let world = World::new();
     let engines = engines(&world, 6);
     let nodes = nodes(&world).await;
-    let call = stream(&nodes[0], "harmless");
+    let call = stream(&nodes[0], "proper");
     let fault = async {
         wait("the stream runs", async || engines.iter().any(|e| !e.seen().is_empty())).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
@@ -308,7 +308,7 @@
         wait("the engine is avoided", async || node.events("engine_doubted").iter().any(avoided))
             .await;
         for _ in 0..8 {
-            assert_eq!(stream(node, "harmless").await.status, 200);
+            assert_eq!(stream(node, "proper").await.status, 200);
         }
         assert_eq!(node.events("engine_doubted").iter().filter(|e| avoided(e)).count(), 1);
         let sent =
--- a/crates/heathpitchd/tests/gateway_limits.rs
+++ b/crates/heathpitchd/tests/gateway_limits.rs
@@ -1,10 +1,11 @@
 //! Engines that advertise a limit on the requests per second from all nodes together.
 //!
-//! Before nodes enforced limits, two overloaded engines that advertised 4.9 and 3.6 requests a second in
-//! their responses received 38 and 37 requests within four seconds, from nodes that had forwarded such
-//! responses. Each of three nodes kept choosing the engine by its load, about three times a second. No node
-//! read the limit, and a limit on the sum over all nodes cannot be kept by each node on its own. Without the
-//! fix the first test here counts 236 to 459 requests, by each kind of request, where 26 are allowed.
+//! Before nodes enforced limits, two overloaded engines that advertised 4.9 and 3.6 requests a
+//! second in their responses received 38 and 37 requests within four seconds, from nodes that had
+//! forwarded such responses. Each of three nodes kept choosing the engine by its load, about three
+//! times a second. No node read the limit, and a limit on the sum over all nodes cannot be kept by
+//! each node on its own. Without the fix the first test here counts 236 to 459 requests, by each
+//! kind of request, where 26 are allowed.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -81,8 +82,8 @@
 }
 
 impl RequestKind {
-    /// Calls with keys are refused while the validity of keys cannot be confirmed, so the public route
-    /// is called without one.
+    /// Calls with keys are refused while the validity of keys cannot be confirmed, so the public
+    /// route is called without one.
     fn caller(&self, node: &GatewayProcess) -> Caller {
         match self.target.starts_with("/open/") {
             true => Caller::new(node.listen),
@@ -102,7 +103,8 @@
     ]
 }
 
-/// Three nodes in two failure domains and two identical engines, the first of which advertises a limit.
+/// Three nodes in two failure domains and two identical engines, the first of which advertises a
+/// limit.
 struct Fleet {
     world: World,
     nodes: [GatewayProcess; 3],
@@ -161,8 +163,8 @@
     );
 }
 
-/// Calls all nodes while `fault` runs; returns the limited engine's most requests in a window, and its
-/// requests per second from `since` on.
+/// Calls all nodes while `fault` runs; returns the limited engine's most requests in a window, and
+/// its requests per second from `since` on.
 async fn call_under(
     fleet: &Fleet,
     kind: &RequestKind,
@@ -186,7 +188,8 @@
     kind
 }
 
-/// While the issuer of rights is stopped, another node issues them; the first one must not when it resumes.
+/// While the issuer of rights is stopped, another node issues them; the first one must not when it
+/// resumes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_is_observed_while_the_issuer_is_paused_and_after() {
     let (fleet, kind) = (Fleet::new(&idempotent()).await, idempotent());
@@ -268,7 +271,8 @@
     assert!(start.elapsed() < CONTACT, "{:?}", start.elapsed());
 }
 
-/// Such an engine answers only the planner's status requests, whose responses carry the limit and its end.
+/// Such an engine answers only the planner's status requests, whose responses carry the limit and
+/// its end.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_of_an_engine_behind_the_first_is_observed_and_ends() {
     let world = World::new();
@@ -295,8 +299,8 @@
     assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
 }
 
-/// An engine with a limit of 0 is tried now and then, and used again once it drops the limit; meanwhile
-/// callers are refused immediately with a retry time.
+/// An engine with a limit of 0 is tried now and then, and used again once it drops the limit;
+/// meanwhile callers are refused immediately with a retry time.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_of_zero_does_not_exclude_an_engine_for_ever() {
     let world = World::new();
@@ -326,7 +330,8 @@
     .await;
 }
 
-/// New nodes read the limit from the store when no running node knows it; the engine's responses end it as usual.
+/// New nodes read the limit from the store when no running node knows it; the engine's responses
+/// end it as usual.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_is_known_to_nodes_that_start_after_all_were_killed() {
     let world = World::new();
@@ -360,7 +365,8 @@
     .await;
 }
 
-/// Such an engine answers no calls, and new nodes have seen none of its responses to status requests.
+/// Such an engine answers no calls, and new nodes have seen none of its responses to status
+/// requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_of_an_engine_behind_the_first_ends_after_all_nodes_were_killed() {
     let world = World::new();
--- a/crates/heathpitchd/tests/gateway_lost_connections.rs
+++ b/crates/heathpitchd/tests/gateway_lost_connections.rs
@@ -1,15 +1,15 @@
-//! Links to the store that lose connections without a word.
+//! Links to the store that lose connections silently.
 //!
-//! Seen: a node sent streams to an engine 2.3 s after the store had taken its word that it leaves;
-//! 2.0 s are agreed. The node's failure domain had been cut off for 6 s, and its link had been back for
-//! 2.6 s. How it came about: its watch of the engines had been asked just before the cut, on a
-//! connection that did not come back with the network; a proof of the configuration on a new connection
-//! went through at once. Cause: the node took that answer for a sign that it knows all that the store
-//! holds, and waited up to 16 s for the watch; as its domain's planner it told the others the same.
-//! Proof: the watch that brought 46 changes at once had been asked 12.7 s before.
+//! A node sent streams to an engine 2.3 s after the store had recorded its drain; the bound is 2.0
+//! s. The node's failure domain had been partitioned for 6 s, and its link had been restored for
+//! 2.6 s. Its watch of the engines was sent just before the partition, on a connection that did not
+//! survive it, while a proof of the configuration on a new connection succeeded immediately. The
+//! node took that proof as a sign that its state was complete, and waited up to 16 s for the watch;
+//! as planner of its domain it served the same state to the others. The watch that finally returned
+//! 46 changes at once had been sent 12.7 s before.
 //!
-//! Once a link is back for the time after which nodes count as in touch, an engine that left longer ago
-//! than agreed gets no request, whatever became of the connections of before.
+//! Once a link has been restored for the contact bound, an engine whose drain is older than the
+//! drain bound must receive no request, whatever happened to the earlier connections.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -22,36 +22,36 @@
 use hyper::Method;
 use serde_json::json;
 
-/// Time after which a node whose links are sound again counts as in touch.
-const IN_TOUCH: Duration = Duration::from_millis(3_000);
-/// Time for which an engine that said that it leaves may still be sent requests.
+/// Time after which a node whose links are restored counts as connected: the contact bound.
+const CONTACT: Duration = Duration::from_millis(3_000);
+/// Time for which a draining engine may still be sent requests: the drain bound.
 const DRAIN: Duration = Duration::from_millis(2_000);
-/// Calls made to see where they go: with two engines of equal load, one of them is missed by all
-/// with a likelihood of one in a million.
+/// Calls made to see where they go: with two engines of equal load, all calls miss one of them with
+/// a probability of one in a million.
 const CALLS: usize = 20;
 
-/// A node that plans its failure domain, and whose link to the store can be spoilt.
+/// A planner whose link to the store can be disturbed.
 async fn planner(world: &World) -> (GatewayProcess, Proxy) {
     let (node, link) = world.start_behind("n1", &json!({}));
     node.wait_ready().await.unwrap();
-    wait("it plans", async || !node.events("domain_planner").is_empty()).await;
+    wait("the node is planner", async || !node.events("domain_planner").is_empty()).await;
     (node, link)
 }
 
-/// Cuts a node off from the store until it knows; its connections don't come back with the link. Gives
-/// when the link was sound again, once the store answers.
-async fn cut_off(node: &GatewayProcess, link: &Proxy) -> Instant {
+/// Partitions a node from the store until it detects that, then restores the link, but not its
+/// connections. Returns the time at which the link was restored, once the store answers.
+async fn partition(node: &GatewayProcess, link: &Proxy) -> Instant {
     link.set(Link::Silent);
-    wait("the node knows", async || reachable(node) == Some(false)).await;
+    wait("the node finds the store unreachable", async || reachable(node) == Some(false)).await;
     link.lose();
     link.set(Link::Pass);
-    let sound = Instant::now();
+    let restored = Instant::now();
     wait("the store answers", async || reachable(node) == Some(true)).await;
-    sound
+    restored
 }
 
-/// Requests of a node that reach an engine, of as many as show whether any does.
-async fn reach(node: &GatewayProcess, engine: &Engine) -> usize {
+/// Number of a node's calls that an engine receives, out of [`CALLS`].
+async fn count_calls(node: &GatewayProcess, engine: &Engine) -> usize {
     let caller = Caller::new(node.listen).key(KEY);
     let before = engine.seen().len();
     for _ in 0..CALLS {
@@ -60,59 +60,60 @@
     engine.seen().len() - before
 }
 
-/// Waits until a node in touch since `sound` must know of what happened at `told`.
-async fn must_know(sound: Instant, told: Instant) {
-    let at = (sound + IN_TOUCH).max(told + DRAIN);
+/// Waits until a node whose link was restored at `restored` must know of a drain recorded at
+/// `drained`.
+async fn wait_until_known(restored: Instant, drained: Instant) {
+    let at = (restored + CONTACT).max(drained + DRAIN);
     tokio::time::sleep(at.saturating_duration_since(Instant::now())).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_was_cut_off_hears_of_engines_that_leave_afterwards() {
+async fn a_node_learns_of_drains_after_a_partition() {
     let world = World::new();
     let (a, _b) = (world.engine("a", "api"), world.engine("b", "api"));
     let (node, link) = planner(&world).await;
-    assert!(reach(&node, &a).await > 0);
-    let sound = cut_off(&node, &link).await;
+    assert!(count_calls(&node, &a).await > 0);
+    let restored = partition(&node, &link).await;
     a.list("draining");
-    must_know(sound, Instant::now()).await;
-    assert_eq!(reach(&node, &a).await, 0);
+    wait_until_known(restored, Instant::now()).await;
+    assert_eq!(count_calls(&node, &a).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_watch_that_falls_silent_alone_is_not_waited_for() {
+async fn a_watch_whose_connection_alone_is_lost_is_not_awaited() {
     let world = World::new();
     let (a, _b) = (world.engine("a", "api"), world.engine("b", "api"));
     let (node, link) = planner(&world).await;
     link.lose();
-    let sound = Instant::now();
+    let restored = Instant::now();
     a.list("draining");
-    must_know(sound, Instant::now()).await;
-    assert_eq!(reach(&node, &a).await, 0);
+    wait_until_known(restored, Instant::now()).await;
+    assert_eq!(count_calls(&node, &a).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planner_that_hears_nothing_of_engines_leads_no_other_node_astray() {
+async fn a_planner_that_lost_its_engine_watch_does_not_mislead_followers() {
     let world = World::new();
     let (a, _b) = (world.engine("a", "api"), world.engine("b", "api"));
     let (planner, link) = planner(&world).await;
     let other = world.start("n2", &json!({}));
     other.wait_ready().await.unwrap();
-    wait("the second node is told", async || fed(&other) == Some(true)).await;
+    wait("the second node follows the planner", async || fed(&other) == Some(true)).await;
     link.lose();
     a.list("draining");
-    // The second node's own links are sound all the time.
-    must_know(Instant::now() - IN_TOUCH, Instant::now()).await;
-    assert_eq!(reach(&other, &a).await, 0, "the second node");
-    tokio::time::sleep(IN_TOUCH - DRAIN).await;
-    assert_eq!(reach(&planner, &a).await, 0, "the planner");
+    // The second node's own links work all the time.
+    wait_until_known(Instant::now() - CONTACT, Instant::now()).await;
+    assert_eq!(count_calls(&other, &a).await, 0, "the second node");
+    tokio::time::sleep(CONTACT - DRAIN).await;
+    assert_eq!(count_calls(&planner, &a).await, 0, "the planner");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_was_cut_off_hears_of_configurations_at_once_again() {
+async fn a_node_adopts_configurations_immediately_after_a_partition() {
     let mut world = World::new();
     world.engine("a", "api");
     let (node, link) = planner(&world).await;
-    cut_off(&node, &link).await;
+    partition(&node, &link).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     for version in [9, 14, 20, 25] {
         world.site.version = version;
@@ -122,10 +123,10 @@
             let last = node.events("config_adopted").pop().filter(|e| e["version"] == version);
             last.and_then(|e| e["at"].as_u64())
         };
-        wait("it is in force", async || adopted().is_some()).await;
-        // Without the watch it is found by the next proof, up to two seconds later.
-        let took = adopted().unwrap().saturating_sub(sent);
-        assert!(took < 150, "version {version}: {took} ms");
+        wait("the configuration is in force", async || adopted().is_some()).await;
+        // Without the watch only the next proof finds it, up to two seconds later.
+        let elapsed_ms = adopted().unwrap().saturating_sub(sent);
+        assert!(elapsed_ms < 150, "version {version}: {elapsed_ms} ms");
         tokio::time::sleep(Duration::from_millis(330)).await;
     }
 }
--- a/crates/heathpitchd/tests/gateway_suspension.rs
+++ b/crates/heathpitchd/tests/gateway_suspension.rs
@@ -12,7 +12,8 @@
 use hyper::Method;
 use serde_json::json;
 
-/// The node's proof of the configuration is too old after the suspension, and the store does not answer.
+/// The node's proof of the configuration is too old after the suspension, and the store does not
+/// answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_that_may_have_been_revoked_meanwhile_is_rejected() {
     let world = World::new();
