--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -75,7 +75,7 @@
     let mut last_check = control.now();
     let mut skip_until = 0;
     let mut last_expiry = 0;
-    let mut looked: Vec<(Name, Millis)> = Vec::new();
+    let mut probed: Vec<(Name, Millis)> = Vec::new();
     loop {
         let idle = control.streams.borrow().is_empty() && control.lost.borrow().is_empty();
         let interval = if idle { IDLE_INTERVAL } else { INTERVAL };
@@ -85,7 +85,7 @@
             skip_until = now + STALL_GRACE_MS;
         }
         last_check = now;
-        control.streams.borrow_mut().retain(|w| w.live.strong_count() > 0);
+        control.streams.borrow_mut().retain(|t| t.live.strong_count() > 0);
         if now >= last_expiry + EXPIRY_INTERVAL_MS {
             last_expiry = now;
             control.leaving.borrow_mut().retain(|_, since| now < *since + DEPARTED_TTL_MS);
@@ -94,7 +94,7 @@
         if now < skip_until {
             continue;
         }
-        looks::round(&control, &mut looked, now).await;
+        looks::round(&control, &mut probed, now).await;
         move_streams(&control);
     }
 }
@@ -115,12 +115,12 @@
             continue;
         }
         let path = live.path.load_full();
-        let gone =
+        let has_failed =
             |s: &Stage| control.is_lost(&s.engine) || has_restarted(control, &live, &s.engine);
-        let broken = path.stages().iter().find(|s| gone(s) || !holds(control, s));
+        let broken = path.stages().iter().find(|s| has_failed(s) || !holds(control, s));
         match broken {
             Some(_) if !is_silent(&live, now) => {}
-            Some(s) if s.engine == path.head().engine && !gone(s) => {}
+            Some(s) if s.engine == path.head().engine && !has_failed(s) => {}
             Some(s) if s.engine == path.head().engine => {
                 tracked.next_move.set(now + MOVE_INTERVAL_MS);
                 live.abandon();
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -141,7 +141,7 @@
         settled && !self.stopping() && (!self.lease_doubted() || has_majority)
     }
 
-    /// Whether more rights are requested for an engine than its limit allows.
+    /// Whether demand for an engine has exceeded its limit for some time.
     pub(super) fn is_limited(&self, engine: &EngineEntry) -> bool {
         let life = life(engine);
         self.limits.borrow().of(&life).is_some() && self.rights.borrow().binds(&life)
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -12,8 +12,8 @@
 
 /// # Store
 impl Control {
-    /// Waits for a response of the store; none if the store's state changes first, since a missing
-    /// response says nothing then.
+    /// Waits for a response of the store; none once a pending long poll no longer shows that nothing
+    /// has changed.
     pub(super) async fn until_store_change<T>(
         &self,
         response: impl Future<Output = T>,
--- a/crates/heathpitchd/tests/gateway_backpressure_scope.rs
+++ b/crates/heathpitchd/tests/gateway_backpressure_scope.rs
@@ -227,7 +227,7 @@
     let heads = [&a, &d];
     heads.iter().for_each(|e| e.play(Play::Blame(b.address)));
     heads.iter().for_each(|e| e.rest("30"));
-    let tell = async || caller(&node).call(Method::POST, "/tell/x", "prompt").await.unwrap();
+    let stream = async || caller(&node).call(Method::POST, "/tell/x", "prompt").await.unwrap();
     let through = |engine: &Engine| {
         let seen = [a.seen(), d.seen()].concat();
         seen.iter().filter(|s| s.path().unwrap().contains(&engine.address.to_string())).count()
@@ -235,7 +235,7 @@
     for _ in 0..12 {
         // The engine that responded is paused as well as the one at fault, so that no path may be
         // left.
-        let reply = tell().await;
+        let reply = stream().await;
         assert!(reply.status == 200 || reply.status == 503, "{}", reply.status);
     }
     assert!(through(&b) <= 1, "{} through it, {} through the other", through(&b), through(&c));
--- a/crates/heathpitchd/tests/gateway_limits.rs
+++ b/crates/heathpitchd/tests/gateway_limits.rs
@@ -281,21 +281,23 @@
     behind.hold(4, 8);
     first.play(Play::Stream(3, Duration::from_millis(1)));
     let node = world.node().await;
-    let tell = async || caller(&node).call(Method::POST, "/tell/x", "body").await.unwrap().status;
-    assert_eq!(tell().await, 200);
+    let stream = async || caller(&node).call(Method::POST, "/tell/x", "body").await.unwrap().status;
+    assert_eq!(stream().await, 200);
     behind.limit(&["0"]);
-    wait("its limit is known", async || tell().await == 503).await;
+    wait("the limit is known", async || stream().await == 503).await;
     let before = first.seen().len();
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(3) {
-        tell().await;
+        stream().await;
         tokio::time::sleep(CALL_INTERVAL).await;
     }
     assert!(first.seen().len() <= before + 2, "{} in three seconds", first.seen().len() - before);
     behind.limit(&[]);
     let start = Instant::now();
-    wait("the limit has ended", async || [tell().await, tell().await, tell().await] == [200; 3])
-        .await;
+    wait("the limit has ended", async || {
+        [stream().await, stream().await, stream().await] == [200; 3]
+    })
+    .await;
     assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
 }
 
@@ -374,7 +376,7 @@
     first.hold(0, 4);
     behind.hold(4, 8);
     first.play(Play::Stream(3, Duration::from_millis(1)));
-    let tell = async |node: &GatewayProcess| {
+    let stream = async |node: &GatewayProcess| {
         caller(node).call(Method::POST, "/tell/x", "body").await.unwrap().status
     };
     let node = world.node().await;
@@ -390,7 +392,7 @@
     .await;
     let start = Instant::now();
     wait("the limit has ended", async || {
-        [tell(&node).await, tell(&node).await, tell(&node).await] == [200; 3]
+        [stream(&node).await, stream(&node).await, stream(&node).await] == [200; 3]
     })
     .await;
     assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
