--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -77,7 +77,7 @@
     let mut at = from;
     loop {
         let answer = control.watch("configuration", prefix, at, WATCH_MS);
-        let Some(answer) = control.until_doubt(answer).await else {
+        let Some(answer) = control.until_store_change(answer).await else {
             if control.wait_to_read().await {
                 return;
             }
--- a/crates/heathpitchd/src/gateway/control/engine_exits.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_exits.rs
@@ -72,7 +72,7 @@
     youngest.truncate(MAX_LOGGED);
     let (name, calls) = (engine.id.clone(), lost.len());
     GatewayEvent::EngineEnded { engine: name, calls, youngest }.log();
-    control.engine_ended(engine, lost);
+    control.record_engine_exit(engine, lost);
 }
 
 /// Whether an address refuses connections, so that nothing listens there.
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -57,7 +57,7 @@
     let read = async || list(&control).await;
     // The watch's connection may not recover when the store does.
     let watch = async |at| {
-        control.until_doubt(watch(&control, at)).await;
+        control.until_store_change(watch(&control, at)).await;
     };
     control.read_and_watch(RETRY, read, watch).await;
 }
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -56,7 +56,7 @@
 ) -> Result<EngineStatus, RpcError> {
     let sent = control.now();
     let answer = control.edges.orders.status(engine).await?;
-    let status = control.heed(engine, "report", sent, answer);
+    let status = control.record_response(engine, "report", sent, answer);
     let recency = control.incarnations.borrow_mut().observe(&engine.id, status.born, control.now());
     match recency {
         Recency::Current => {}
@@ -119,7 +119,7 @@
 /// Adds or updates an entry, appends it to `changed` if it differs from the listed one, and returns its
 /// engine's id if it is readable.
 fn put(control: &Control, item: &Item, changed: &mut Vec<Arc<EngineEntry>>) -> Option<Name> {
-    control.hear_era(item.revision.era());
+    control.observe_era(item.revision.era());
     let entry = match read(control, item) {
         Ok(entry) => entry,
         Err(e) => {
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -200,7 +200,7 @@
         return PollOutcome::Declined;
     }
     state.cursor = response.cursor;
-    reports::hear(control, &response.reports, sent);
+    reports::receive(control, &response.reports, sent);
     prove(&control.shared.listed, proven);
     state.fresh_until = proven + MAX_LIST_AGE_MS;
     if control.revision() >= response.revision {
@@ -298,8 +298,8 @@
     pub(super) fn notices_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
         let known =
             if known.incarnation == self.incarnation { known } else { NoticeCursor::default() };
-        let (ends, ended) = self.ends_since(known.exits);
-        let (leaves, left) = self.leaves_since(known.drains);
+        let (ends, ended) = self.exits_since(known.exits);
+        let (leaves, left) = self.drains_since(known.drains);
         let (limits, limited) = self.limits_since(known.limits);
         let mark = NoticeCursor {
             incarnation: self.incarnation,
@@ -312,8 +312,8 @@
 
     /// Records notices of another node from a message sent at `sent` or later.
     pub(super) fn record_notices(&self, notices: &FeedNotices, sent: Millis, by: &Name) {
-        self.hear_ends(&notices.exits, sent, by);
-        self.hear_leaves(&notices.drains, sent);
-        self.hear_limits(&notices.limits, sent);
+        self.receive_exits(&notices.exits, sent, by);
+        self.receive_drains(&notices.drains, sent);
+        self.receive_limits(&notices.limits, sent);
     }
 }
--- a/crates/heathpitchd/src/gateway/control/feed_server.rs
+++ b/crates/heathpitchd/src/gateway/control/feed_server.rs
@@ -82,7 +82,8 @@
 
 /// Reports of this failure domain's engines, for the planner of another failure domain.
 fn local_reports(control: &Control, known: FeedCursor) -> FeedResponse {
-    let (reports, reported) = reports::told(control, Some(&control.domain()), known.reported);
+    let (reports, reported) =
+        reports::reports_since(control, Some(&control.domain()), known.reported);
     let known = FeedCursor { incarnation: control.incarnation, reported, ..FeedCursor::default() };
     FeedResponse { cursor: known, reports, ..nodes(control) }
 }
@@ -143,7 +144,7 @@
         response.withheld = true;
         return Ok(());
     }
-    let (reports, reported) = reports::told(control, None, known.reported);
+    let (reports, reported) = reports::reports_since(control, None, known.reported);
     let serial = control.mirror.borrow().serial();
     response.fresh = true;
     response.cursor = FeedCursor { incarnation: control.incarnation, serial, reported };
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -10,11 +10,12 @@
 //! - `engine_exits`, `quarantine`: detection of engines that exited, and the requests suspected of causing it
 //! - `wishes`, `rights`, `limit_records`: backpressure of engines, rights under their limits, and the stored limits
 //! - `recovery`, `reachability`: rerouting of running streams away from unreachable engines
-//! - `suspended`: detection of VM suspensions
+//! - `suspension`: detection of VM suspensions
 //!
 //! Controllers publish snapshots in [`Shared`], the engine table through `publish`. Traffic shares no other
 //! state with them.
 
+mod backpressure;
 mod config;
 mod engine_exits;
 mod engine_list;
@@ -35,13 +36,11 @@
 mod sources;
 mod state;
 mod store;
-mod suspended;
-mod wishes;
+mod suspension;
 
-use std::io;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::thread;
+use std::{io, thread};
 
 use heathpitch_net::{Body, Bounds, FeedServer, Listener, full, json, serve};
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -89,7 +88,7 @@
                 let issuer = control.clone();
                 let server = FeedServer::new(
                     Rc::new(move |request| feed_server::answer(&c, request)),
-                    Rc::new(move |request| issuer.hand_out(&request)),
+                    Rc::new(move |request| issuer.issue_rights(&request)),
                 );
                 spawn_local(server.serve(peers.into_socket()));
             }
@@ -105,10 +104,10 @@
             spawn_local(reports::run(control.clone()));
             spawn_local(neighbours::follow(control.clone()));
             spawn_local(quarantine::run(control.clone()));
-            spawn_local(wishes::run(control.clone()));
+            spawn_local(backpressure::run(control.clone()));
             spawn_local(rights::run(control.clone()));
             spawn_local(limit_records::run(control.clone()));
-            spawn_local(suspended::watch(control.clone()));
+            spawn_local(suspension::watch(control.clone()));
             spawn_local(receive(control, inbox));
             let _ = stop.wait_for(|s| *s).await;
             Ok(())
@@ -120,17 +119,17 @@
 async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<Notice>) {
     while let Some(notice) = inbox.recv().await {
         match notice {
-            Notice::Stream(live) => recovery::take(&control, &live),
+            Notice::Stream(live) => recovery::track(&control, &live),
             Notice::Replaced(engine) => engines::mark_replaced(&control, &engine),
             Notice::Misplaced(engine) => engines::refresh_layers(&control, &engine),
             Notice::Refused(engine) => reachability::check_refusal(&control, &engine),
             Notice::Lost(lost) => engine_exits::record_lost(&control, lost),
-            Notice::Answered(print) => control.answered(print),
-            Notice::Incarnations(life) => control.engine_lives(&life),
-            Notice::Leaves(life) => control.engine_leaves(&life),
-            Notice::HeldBack(print) => control.came_again(print),
-            Notice::Limited(life) => control.engine_limited(&life),
-            Notice::Rights(wanted) => rights::seek(&control, wanted),
+            Notice::Answered(print) => control.clear_request(print),
+            Notice::Incarnations(life) => control.engine_alive(&life),
+            Notice::Leaves(life) => control.engine_draining(&life),
+            Notice::HeldBack(print) => control.renew_request(print),
+            Notice::Limited(life) => control.record_limit(&life),
+            Notice::Rights(wanted) => rights::spawn_request(&control, wanted),
         }
     }
 }
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -102,7 +102,7 @@
     if response.domain_size > 0 {
         control.domain_sizes.borrow_mut().insert(domain.clone(), response.domain_size);
     }
-    reports::hear(control, &response.reports, sent);
+    reports::receive(control, &response.reports, sent);
     control.record_notices(&response.notices, sent, &neighbour.planner.node);
 }
 
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -89,7 +89,7 @@
         // The watch's connection may be dead, and the planner with it.
         let watched = watch(&control, &key, holder, listing.at);
         let watched = tokio::select! {
-            watched = control.until_doubt(watched) => watched,
+            watched = control.until_store_change(watched) => watched,
             () = control.wait_until_no_claim() => None,
         };
         if watched != Some(WatchEnd::BecamePlanner) {
@@ -138,7 +138,7 @@
                 ItemChange::Deleted(deleted) if &**deleted == key => holder = None,
                 // Planners of other failure domains are polled until they have a successor.
                 ItemChange::Deleted(deleted) => {
-                    quarantine::gone(control, deleted);
+                    quarantine::entry_deleted(control, deleted);
                     limit_records::record_deleted(control, deleted);
                 }
             }
@@ -268,7 +268,7 @@
 
 fn record_entry(control: &Control, item: &Item) {
     if item.key.starts_with(quarantine::PREFIX) {
-        return quarantine::take(control, item);
+        return quarantine::load_entry(control, item);
     }
     if item.key.starts_with(limit_records::PREFIX) {
         return limit_records::load_record(control, item);
--- a/crates/heathpitchd/src/gateway/control/reachability.rs
+++ b/crates/heathpitchd/src/gateway/control/reachability.rs
@@ -55,7 +55,7 @@
     }
     let control = control.clone();
     spawn_local(async move {
-        match control.check(&entry, &service.health_path).await {
+        match control.check_health(&entry, &service.health_path).await {
             Some(Ok(answer)) if !answer.value => {}
             Some(Ok(_)) | None => return,
             Some(Err(e)) => {
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -17,12 +17,12 @@
 use super::engine_exits::EngineExits;
 use super::feed_server::FullTransfers;
 use super::limit_records::StoredLimits;
-use super::orders::Pending;
-use super::quarantine::Entries;
+use super::orders::PendingOrder;
+use super::quarantine::StoredEntries;
 use super::reachability::Unreachable;
-use super::recovery::Watched;
+use super::recovery::TrackedStream;
 use super::reports::Report;
-use super::rights::Hander;
+use super::rights::RightsIssuer;
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::shared::{Edges, Shared};
 
@@ -102,14 +102,14 @@
     /// Time at which this node became planner; meaningful only while `lease` is set.
     planner_since: Cell<Millis>,
     renewed: Cell<Millis>,
-    pub(super) pending: RefCell<HashMap<Name, Pending>>,
-    pub(super) streams: RefCell<Vec<Watched>>,
+    pub(super) pending: RefCell<HashMap<Name, PendingOrder>>,
+    pub(super) streams: RefCell<Vec<TrackedStream>>,
     /// Recently lost connections of calls, and the engines found to have exited.
     pub(super) engine_exits: RefCell<EngineExits>,
     /// Requests suspected of crashing engines, from this node's evidence and that received from others.
     pub(super) quarantine: RefCell<Quarantine>,
     /// Quarantine entries present in the store.
-    pub(super) stored_quarantine: RefCell<Entries>,
+    pub(super) stored_quarantine: RefCell<StoredEntries>,
     /// Highest number of orders each engine is known to have begun; an engine starts with none.
     pub(super) orders: RefCell<HashMap<Name, u64>>,
     pub(super) engine_stats: RefCell<HashMap<Name, Arc<EngineStats>>>,
@@ -124,7 +124,7 @@
     /// Rights issued by this node.
     pub(super) rights: RefCell<Rights>,
     /// Nodes that issue rights to this one, by failure domain.
-    pub(super) rights_issuers: RefCell<HashMap<Name, Hander>>,
+    pub(super) rights_issuers: RefCell<HashMap<Name, RightsIssuer>>,
     /// Store revision up to which the watch of engines has delivered all changes; 0 while there is no watch.
     pub(super) engines_revision: Cell<Revision>,
     /// Notified when a proof shows a store revision that the watch of engines has not delivered.
--- /dev/null
+++ b/crates/heathpitchd/tests/gateway_backpressure_scope.rs
@@ -0,0 +1,282 @@
+//! Scope of backpressure: how long it holds, for which nodes, and how callers are answered
+//! meanwhile.
+
+#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+
+mod gateway;
+
+use std::time::{Duration, Instant};
+
+use gateway::{KEY, World, status, wait};
+use heathpitch_standin::{Caller, Engine, GatewayProcess, Link, Play, Reply};
+use hyper::Method;
+use serde_json::Value;
+
+/// Time within which all nodes know what one of them learned: the contact bound of the smallest
+/// deployments.
+const CONTACT: Duration = Duration::from_millis(3_000);
+
+fn caller(node: &GatewayProcess) -> Caller {
+    Caller::new(node.listen).key(KEY)
+}
+
+async fn get(node: &GatewayProcess) -> Reply {
+    caller(node).call(Method::GET, "/get/x", "").await.unwrap()
+}
+
+/// Makes an engine reject requests and request this pause.
+fn request_pause(engine: &Engine, pause: &str) {
+    engine.rest(pause);
+    engine.play(Play::Refuse);
+}
+
+fn is_about(event: &Value, engine: &Engine) -> bool {
+    event["engine"] == engine.id.as_str()
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_caller_is_refused_immediately_with_a_retry_time_when_all_engines_are_paused() {
+    let world = World::new();
+    let engines = [world.engine("a", "api"), world.engine("b", "api")];
+    engines.iter().for_each(|e| request_pause(e, "1.2"));
+    let node = world.node().await;
+    let start = Instant::now();
+    assert_eq!(get(&node).await.status, 503);
+    let mut retry_times = Vec::new();
+    for _ in 0..6 {
+        let sent = Instant::now();
+        let reply = get(&node).await;
+        assert!(sent.elapsed() < Duration::from_millis(100), "{:?}", sent.elapsed());
+        assert_eq!((reply.status, reply.stamp()), (503, None));
+        let text = String::from_utf8_lossy(&reply.body).into_owned();
+        assert!(text.contains("resting") && text.contains("not_run"), "{text}");
+        retry_times.push(reply.header("retry-after").unwrap().parse::<f64>().unwrap());
+    }
+    let most = 0.3 * 5.0;
+    assert!(
+        retry_times.iter().all(|t| (0.5..=most).contains(t)),
+        "retry times match the end of the pause: {retry_times:?}"
+    );
+    assert!(
+        retry_times.iter().any(|t| *t != retry_times[0]),
+        "retry times are spread: {retry_times:?}"
+    );
+    let requests: usize = engines.iter().map(|e| e.seen().len()).sum();
+    assert_eq!(requests, 2, "each engine rejected one");
+    engines.iter().for_each(|e| e.play(Play::Whole));
+    wait("an engine is used again", async || get(&node).await.status == 200).await;
+    assert!(start.elapsed() >= Duration::from_millis(1_200), "{:?}", start.elapsed());
+}
+
+/// Responses that were in flight when the pause was requested arrive later, with other times or
+/// none.
+#[tokio::test(flavor = "multi_thread")]
+async fn the_longest_requested_pause_holds() {
+    let world = World::new();
+    let engine = world.engine("a", "api");
+    let node = world.node().await;
+    request_pause(&engine, "2");
+    get(&node).await;
+    let start = Instant::now();
+    // No request reaches the engine any more, which could get another response, nor does a health
+    // check.
+    for pause in ["0.1", "0", "nonsense", "-5", ""] {
+        request_pause(&engine, pause);
+        get(&node).await;
+    }
+    wait("the engine gets a request again", async || {
+        get(&node).await;
+        engine.seen().len() > 1
+    })
+    .await;
+    assert!(start.elapsed() >= Duration::from_millis(1_950), "{:?}", start.elapsed());
+    assert_eq!(engine.checks().len(), 0);
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn malformed_pauses_are_ignored_and_a_very_long_one_ends_with_a_restart() {
+    let world = World::new();
+    let engine = world.engine("a", "api");
+    let node = world.node().await;
+    for malformed in ["soon", "-3", "NaN", "Fri, 04 Dec 2026 00:00:00 GMT"] {
+        request_pause(&engine, malformed);
+        get(&node).await;
+        engine.play(Play::Whole);
+        assert_eq!(get(&node).await.status, 200, "{malformed}");
+    }
+    request_pause(&engine, "1e300");
+    get(&node).await;
+    engine.play(Play::Whole);
+    assert_eq!(get(&node).await.status, 503);
+    engine.restart();
+    engine.list("ready");
+    wait("the restarted engine is used", async || get(&node).await.status == 200).await;
+}
+
+/// Entries expire and come back, as after an outage of the store.
+#[tokio::test(flavor = "multi_thread")]
+async fn backpressure_outlives_the_entry_of_its_engine() {
+    let world = World::new();
+    let (paused, draining) = (world.engine("a", "api"), world.engine("b", "api"));
+    let node = world.node().await;
+    draining.leave(true);
+    request_pause(&paused, "60");
+    wait("both signals are known", async || {
+        get(&node).await;
+        node.events("engine_wished").len() >= 2
+    })
+    .await;
+    let before = paused.seen().len() + draining.seen().len();
+    for engine in [&paused, &draining] {
+        engine.unlist();
+        wait("the entry is gone", async || {
+            node.events("engine_gone").iter().any(|e| is_about(e, engine))
+        })
+        .await;
+        let listed =
+            async || node.events("engine_listed").iter().filter(|e| is_about(e, engine)).count();
+        let listings = listed().await;
+        engine.list("ready");
+        wait("the entry is back", async || listed().await > listings).await;
+    }
+    for _ in 0..10 {
+        assert_eq!(get(&node).await.status, 503);
+    }
+    assert_eq!(paused.seen().len() + draining.seen().len(), before);
+}
+
+/// The store is unreachable, and the engine's entry says that it is ready.
+#[tokio::test(flavor = "multi_thread")]
+async fn every_node_avoids_an_engine_that_announced_a_drain_to_one_of_them() {
+    let world = World::new();
+    let (draining, other) = (world.engine("a", "api"), world.engine("b", "api"));
+    let (planner, link, follower) = world.planner_and_follower().await;
+    let far = world.start_in("atl", "n3");
+    far.wait_ready().await.unwrap();
+    wait("planners know each other", async || !far.events("neighbour_changed").is_empty()).await;
+    link.set(Link::Silent);
+    draining.leave(true);
+    wait("the follower knows of the drain", async || {
+        assert_eq!(status(&caller(&follower), "/open/x").await, 200);
+        draining.seen().last().is_some_and(|s| s.at.elapsed() < Duration::from_millis(500))
+            && !follower.events("engine_leaves").is_empty()
+    })
+    .await;
+    let announced = Instant::now();
+    for node in [&planner, &far] {
+        wait("the node knows of the drain", async || !node.events("engine_leaves").is_empty())
+            .await;
+        assert_eq!(node.events("engine_leaves")[0]["by"], "another node");
+    }
+    assert!(announced.elapsed() < CONTACT, "{:?}", announced.elapsed());
+    println!("known to all after {:?}", announced.elapsed());
+    let before = draining.seen().len();
+    for node in [&planner, &far, &follower] {
+        for _ in 0..5 {
+            assert_eq!(status(&caller(node), "/open/x").await, 200);
+        }
+    }
+    assert_eq!(draining.seen().len(), before);
+    assert!(!other.seen().is_empty());
+    let new = world.start_in("atl", "n4");
+    new.wait_ready().await.unwrap();
+    wait("a new node learns of the drain", async || !new.events("engine_leaves").is_empty()).await;
+}
+
+/// A wrong drain notice must not cost a service its only engine permanently.
+#[tokio::test(flavor = "multi_thread")]
+async fn an_engine_that_stays_listed_and_no_longer_announces_a_drain_is_used_again() {
+    let world = World::new();
+    let engine = world.engine("a", "api");
+    let node = world.node().await;
+    engine.leave(true);
+    assert_eq!(get(&node).await.status, 200);
+    assert_eq!(get(&node).await.status, 503);
+    // Four suspensions of ten seconds: more than the 30 s after which the engine is rechecked.
+    for i in 1..=4 {
+        node.signal("USR2").unwrap();
+        wait("the suspension is detected", async || node.events("vm_suspended").len() == i).await;
+    }
+    wait("the engine is rechecked", async || !engine.checks().is_empty()).await;
+    assert_eq!(get(&node).await.status, 503, "it announced the drain again");
+    engine.leave(false);
+    wait("the engine is used again", async || get(&node).await.status == 200).await;
+    wait("the end of the drain is logged", async || !node.events("engine_stays").is_empty()).await;
+}
+
+/// Another engine, which is draining itself, uses the address of an engine that is gone.
+#[tokio::test(flavor = "multi_thread")]
+async fn a_drain_notice_of_another_engine_at_the_same_address_is_ignored() {
+    let world = World::new();
+    let other = world.engine("b", "one");
+    other.leave(true);
+    world.store.list_engine("gone", "api", "mem", other.address);
+    let node = world.node().await;
+    assert_eq!(get(&node).await.status, 503);
+    assert_eq!(node.events("engine_leaves").len() + node.events("engine_wished").len(), 0);
+}
+
+/// The engine that rejects streams is behind the first one of the path, which reports its address.
+#[tokio::test(flavor = "multi_thread")]
+async fn streams_avoid_an_engine_behind_the_first_that_requested_a_pause() {
+    let world = World::new();
+    let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
+    [&a, &d].iter().for_each(|e| e.hold(0, 4));
+    [&b, &c].iter().for_each(|e| e.hold(4, 8));
+    let node = world.node().await;
+    let heads = [&a, &d];
+    heads.iter().for_each(|e| e.play(Play::Blame(b.address)));
+    heads.iter().for_each(|e| e.rest("30"));
+    let stream = async || caller(&node).call(Method::POST, "/tell/x", "prompt").await.unwrap();
+    let through = |engine: &Engine| {
+        let seen = [a.seen(), d.seen()].concat();
+        seen.iter().filter(|s| s.path().unwrap().contains(&engine.address.to_string())).count()
+    };
+    for _ in 0..12 {
+        // The engine that responded is paused as well as the one at fault, so that no path may be
+        // left.
+        let reply = stream().await;
+        assert!(reply.status == 200 || reply.status == 503, "{}", reply.status);
+    }
+    assert!(through(&b) <= 1, "{} through it, {} through the other", through(&b), through(&c));
+    assert!(through(&c) + through(&b) > 0);
+}
+
+/// A running stream is not cut off; new ones go to another engine.
+#[tokio::test(flavor = "multi_thread")]
+async fn running_streams_continue_at_an_engine_that_requests_a_pause_or_drains() {
+    let world = World::new();
+    let (a, b) = (world.engine("a", "one"), world.engine("b", "one"));
+    [&a, &b].iter().for_each(|e| e.play(Play::Stream(40, Duration::from_millis(20))));
+    let node = world.node().await;
+    let long = async || caller(&node).call(Method::POST, "/whole/x", "long").await.unwrap();
+    let signal = async {
+        wait("one stream runs", async || a.seen().len() + b.seen().len() == 1).await;
+        let used = if a.seen().is_empty() { &b } else { &a };
+        request_pause(used, "5");
+        used.leave(true);
+        tokio::time::sleep(Duration::from_millis(50)).await;
+        let replies = futures::future::join_all((0..4).map(|_| long())).await;
+        assert!(replies.iter().all(|r| r.status == 200 && r.whole));
+        used.seen().len()
+    };
+    let (running, received) = tokio::join!(long(), signal);
+    assert!(running.whole && running.events() == (1..=40).collect::<Vec<_>>());
+    assert!(received <= 3, "only streams in flight may arrive: {received}");
+}
+
+/// The engine has the least load of all, as it responds immediately.
+#[tokio::test(flavor = "multi_thread")]
+async fn an_engine_that_rejects_calls_without_a_retry_time_is_avoided_for_a_short_time() {
+    let world = World::new();
+    let (rejecting, _other) = (world.engine("a", "api"), world.engine("b", "api"));
+    rejecting.play(Play::Refuse);
+    let node = world.node().await;
+    let start = Instant::now();
+    while start.elapsed() < Duration::from_millis(1_000) {
+        assert_eq!(get(&node).await.status, 200);
+        tokio::time::sleep(Duration::from_millis(5)).await;
+    }
+    let received = rejecting.seen().len();
+    assert!((1..=3).contains(&received), "once in 0.6 s: {received}");
+}
