--- a/crates/heathpitchd/src/gateway/wishes.rs
+++ b/crates/heathpitchd/src/gateway/backpressure.rs
@@ -6,12 +6,12 @@
 use rand::Rng;
 
 use super::event::GatewayEvent;
+use super::quarantine_snapshot::incarnation_of;
 use super::shared::{Notice, Shared};
-use super::suspicion::life;
 
 /// An engine's answer, as the log names it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Said<'a> {
+pub(crate) struct ResponseInfo<'a> {
     /// The engine.
     pub(crate) engine: &'a EngineEntry,
     /// Call that it answers, or what this node asked of its own.
@@ -28,13 +28,13 @@
     ///
     /// From here on it binds all that goes to the engine from this node, before any other node or controller
     /// has heard of it.
-    pub(crate) fn heed(
+    pub(crate) fn record_backpressure(
         &self,
-        said: Said<'_>,
+        said: ResponseInfo<'_>,
         asked: BackpressureSignal,
         wish: &Backpressure,
     ) -> bool {
-        let Said { engine, of, status, sent } = said;
+        let ResponseInfo { engine, of, status, sent } = said;
         let now = self.now();
         let limited = match asked.limit {
             AdvertisedLimit::Unknown => false,
@@ -53,7 +53,7 @@
             self.metrics.wishes.with_label_values(&["leave"]).inc();
         }
         if leaves || limited || asked.pause.is_some() {
-            GatewayEvent::EngineWished {
+            GatewayEvent::EngineBackpressure {
                 engine: engine.id.clone(),
                 answer: of.to_owned(),
                 status,
@@ -64,7 +64,7 @@
             .log();
         }
         if limited {
-            self.tell(Notice::Limited(life(engine)));
+            self.notify(Notice::Limited(incarnation_of(engine)));
         }
         leaves
     }
--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -11,8 +11,8 @@
 
 use super::Traffic;
 use super::refused::{Refused, RefusedKind};
+use crate::gateway::quarantine_snapshot::HeldBack;
 use crate::gateway::shared::{Notice, Shared};
-use crate::gateway::suspicion::HeldBack;
 
 /// Age of a proof beyond which the configuration in force is not believed to be the newest, so
 /// that a call it does not know is put off rather than denied, milliseconds.
@@ -73,7 +73,7 @@
         let detail = "no configuration is known yet";
         return Err(Refused::unsent(RefusedKind::Unconfigured, &id, detail));
     };
-    let current = shared.fresh.load().covers(received, DENIAL_AGE);
+    let current = shared.config_freshness.load().covers(received, DENIAL_AGE);
     let deny = |kind, detail: String| match current {
         true => Refused::unsent(kind, &id, detail),
         false => Refused::unsent(RefusedKind::Unconfigured, &id, detail),
@@ -87,7 +87,7 @@
         .map_err(|e| deny(RefusedKind::BadKey, e.to_string()))?
         .cloned();
     let revoke = shared.settings.load().bounds.revoke_ms.saturating_sub(REVOKE_MARGIN);
-    if holder.is_some() && !shared.fresh.load().covers(received, revoke) {
+    if holder.is_some() && !shared.config_freshness.load().covers(received, revoke) {
         let detail = "whether the key still holds is not known";
         return Err(Refused::unsent(RefusedKind::StaleKeys, &id, detail));
     }
@@ -99,7 +99,7 @@
     let body = CallBody { method: parts.method, target, headers: parts.headers, content };
     let print = OnceLock::new();
     let call = Call { head, body, catalog, route, service, holder, received, until, print };
-    match shared.suspicion.load().held(|| call.print()) {
+    match shared.quarantine.load().held_back(|| call.print()) {
         Some(held) => Err(hold_back(shared, &call, held)),
         None => Ok(call),
     }
@@ -112,7 +112,7 @@
 fn hold_back(shared: &Shared, call: &Call, held: &HeldBack) -> Refused {
     let left = held.until.saturating_sub(shared.now());
     if Quarantine::is_renewal_due(left) {
-        shared.tell(Notice::HeldBack(call.print()));
+        shared.notify(Notice::HeldBack(call.print()));
     }
     let detail = held.to_string();
     Refused::unsent(RefusedKind::HeldBack, &call.head.id, detail).until(left)
--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -19,7 +19,7 @@
 use crate::gateway::engine_table::EngineView;
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::live::LiveStream;
-use crate::gateway::shared::{LostSend, Notice};
+use crate::gateway::shared::{LostAttempt, Notice};
 
 /// Paths tried whose first engine cannot even be connected to.
 const UNSENT_MOST: u32 = 4;
@@ -110,13 +110,15 @@
             // One that has begun is worth more than the room it takes.
             if self.sends == 0 && self.call.head.after.is_none() {
                 self.admit(&choice).map_err(Ended::Shed)?;
-                self.traffic.returns.admit(&self.call.service.name, self.traffic.shared.now());
+                self.traffic
+                    .retry_schedules
+                    .admit(&self.call.service.name, self.traffic.shared.now());
             }
             let Choice { view, path, .. } = choice;
-            if self.sends > 0 && !self.allows_again() {
+            if self.sends > 0 && !self.allows_retry() {
                 return Err(Ended::Refused(kind));
             }
-            if self.sends > 0 && !self.traffic.budgets.spend(&self.call.service.name) {
+            if self.sends > 0 && !self.traffic.retry_budgets.spend(&self.call.service.name) {
                 return Err(Ended::Refused(kind));
             }
             match self.once(&view, path.as_ref()).await {
@@ -196,7 +198,7 @@
             return Err(full.to_string());
         }
         let target = self.call.route.latency_target_ms as f64;
-        let wait = choice.view.tally.wait_ms(self.traffic.shared.now());
+        let wait = choice.view.stats.wait_ms(self.traffic.shared.now());
         let share = (wait / target - SHED_FROM) / SHED_SPAN;
         match share > 0.0 && rand::rng().random_bool(share.min(SHED_MOST)) {
             true => Err(format!("its first event would come late, after {wait:.0} ms or so")),
@@ -215,9 +217,9 @@
     }
 
     /// Whether what the last attempt met speaks for a further one.
-    fn allows_again(&self) -> bool {
-        let suspicion = self.traffic.shared.suspicion.load();
-        self.lost.is_none_or(|events| suspicion.allows_again(events, || self.call.print()))
+    fn allows_retry(&self) -> bool {
+        let quarantine = self.traffic.shared.quarantine.load();
+        self.lost.is_none_or(|events| quarantine.allows_retry(events, || self.call.print()))
     }
 
     /// Tells the control thread that the attempt's connection was lost, because its engine may have ended.
@@ -225,8 +227,8 @@
         let Some((engine, before)) = self.begun.take() else { return };
         let events = self.events.count().saturating_sub(before).min(u32::MAX.into()) as u32;
         self.lost = Some(events);
-        let lost = LostSend { engine, print: self.call.print(), events };
-        self.traffic.shared.tell(Notice::Lost(lost));
+        let lost = LostAttempt { engine, print: self.call.print(), events };
+        self.traffic.shared.notify(Notice::ConnectionLost(lost));
     }
 
     /// A path for the next send; a stream that has begun and lost its engine waits for one.
@@ -250,7 +252,7 @@
         match &self.call.service.model {
             Some(_) => {
                 let Chosen { path, full } = pick::path(&table, &self.call, &home, avoid)?;
-                let view = table.view(path.head().engine.as_str())?.clone();
+                let view = table.by_id(path.head().engine.as_str())?.clone();
                 Some(Choice { view, path: Some(path), full })
             }
             None => {
@@ -265,7 +267,7 @@
         let now = traffic.shared.now();
         self.sending(&view.entry.id, self.sends + 1).routed(path, self.events.last());
         let table = traffic.shared.table.load_full();
-        let behind = path.map_or_else(Vec::new, |p| table.behind(p));
+        let behind = path.map_or_else(Vec::new, |p| table.downstream_of(p));
         self.hold(view, &behind);
         self.begun = Some((view.entry.clone(), self.events.count()));
         self.head = Some(view.entry.id.clone());
@@ -275,18 +277,18 @@
             LiveStream::new(request, self.call.service.name.clone(), p.clone(), need, pause, now)
         });
         self.seen.sent();
-        let _waiting = Waiting::new(view.tally.clone());
+        let _waiting = Waiting::new(view.stats.clone());
         let after = self.events.last();
         let target = Target { view, behind: &behind, path, after };
         let sent = send(&traffic, &self.call, &target);
         let Some(live) = self.live.clone() else { return sent.await };
-        traffic.shared.tell(Notice::Stream(live.clone()));
+        traffic.shared.notify(Notice::Stream(live.clone()));
         tokio::select! {
             biased;
             answer = sent => {
                 let done = traffic.shared.now();
-                live.hear(0, done);
-                view.tally.record_latency(done.saturating_sub(now), done);
+                live.record_events(0, done);
+                view.stats.record_latency(done.saturating_sub(now), done);
                 answer
             }
             () = live.abandonment() => {
@@ -297,7 +299,7 @@
 
     fn hold(&mut self, view: &EngineView, behind: &[&EngineView]) {
         let engines = std::iter::once(view).chain(behind.iter().copied());
-        let tallies = engines.map(|s| s.tally.clone()).collect();
+        let tallies = engines.map(|s| s.stats.clone()).collect();
         self.held =
             Some(Held::new(self.traffic.shared.clone(), tallies, pick::need(&self.call) as u64));
     }
@@ -313,7 +315,7 @@
             Failure::Unsent(_) => {
                 self.unsent += 1;
                 self.seen.unsent();
-                view.tally.gauge().record_failure(now);
+                view.stats.gauge().record_failure(now);
                 self.traffic.pool.close_idle(view.entry.address);
                 self.avoid.push(view.entry.id.clone());
                 RefusedKind::NoEngine
@@ -352,17 +354,17 @@
     fn blame(&self, at: SocketAddr, status: StatusCode, now: Millis) -> Option<Name> {
         let shared = &self.traffic.shared;
         let table = shared.table.load();
-        let found = table.at(at)?;
-        found.tally.deprioritize(now + pick::REJECTION_COOLDOWN_MS);
-        GatewayEvent::EngineDoubted {
+        let found = table.by_address(at)?;
+        found.stats.deprioritize(now + pick::REJECTION_COOLDOWN_MS);
+        GatewayEvent::EngineSuspected {
             engine: found.entry.id.clone(),
             why: "refused its part of a path",
             for_ms: pick::REJECTION_COOLDOWN_MS,
         }
         .log();
         let id = found.entry.id.clone();
-        shared.tell(match status {
-            StatusCode::MISDIRECTED_REQUEST => Notice::Misplaced(id.clone()),
+        shared.notify(match status {
+            StatusCode::MISDIRECTED_REQUEST => Notice::LayerMismatch(id.clone()),
             _ => Notice::Refused(id.clone()),
         });
         Some(id)
--- a/crates/heathpitchd/src/gateway/call/mod.rs
+++ b/crates/heathpitchd/src/gateway/call/mod.rs
@@ -8,14 +8,14 @@
 //! filter ends a call with a `Refused`.
 
 mod admit;
-mod budget;
 mod flow;
 mod open;
 mod pick;
 mod record;
 mod refused;
 mod relay;
-mod returns;
+mod retry_budgets;
+mod retry_schedules;
 mod rights;
 mod send;
 mod single;
@@ -28,8 +28,8 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 
-pub(crate) use budget::Budgets;
-pub(crate) use returns::ReturnTimes;
+pub(crate) use retry_budgets::RetryBudgets;
+pub(crate) use retry_schedules::RetrySchedules;
 
 use super::shared::{Edges, Shared};
 use open::OpenCall;
@@ -39,8 +39,8 @@
     pub(crate) shared: Arc<Shared>,
     pub(crate) edges: Edges,
     pub(crate) pool: Pool,
-    pub(crate) budgets: Budgets,
-    pub(crate) returns: ReturnTimes,
+    pub(crate) retry_budgets: RetryBudgets,
+    pub(crate) retry_schedules: RetrySchedules,
 }
 
 /// Answers one call.
@@ -51,7 +51,7 @@
         Ok(call) => Arc::new(call),
         Err(refused) => return refused.respond(&traffic.shared),
     };
-    traffic.budgets.earn(&call.service.name);
+    traffic.retry_budgets.earn(&call.service.name);
     let answer = match call.route.kind.streams() {
         true => stream::run(traffic.clone(), call, open).await,
         false => single::run(&traffic, &call).await,
--- a/crates/heathpitchd/src/gateway/call/open.rs
+++ b/crates/heathpitchd/src/gateway/call/open.rs
@@ -12,7 +12,7 @@
 
 impl OpenCall {
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
-        shared.open.fetch_add(1, Relaxed);
+        shared.open_calls.fetch_add(1, Relaxed);
         shared.metrics.open.inc();
         Self(shared)
     }
@@ -20,7 +20,7 @@
 
 impl Drop for OpenCall {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Relaxed);
+        self.0.open_calls.fetch_sub(1, Relaxed);
         self.0.metrics.open.dec();
     }
 }
@@ -29,9 +29,9 @@
 pub(crate) struct Waiting(Arc<EngineStats>);
 
 impl Waiting {
-    pub(crate) fn new(tally: Arc<EngineStats>) -> Self {
-        tally.wait_began();
-        Self(tally)
+    pub(crate) fn new(stats: Arc<EngineStats>) -> Self {
+        stats.wait_began();
+        Self(stats)
     }
 }
 
--- a/crates/heathpitchd/src/gateway/call/pick.rs
+++ b/crates/heathpitchd/src/gateway/call/pick.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use super::admit::Call;
-use crate::gateway::engine_table::{EngineTable, EngineView, Wanted};
+use crate::gateway::engine_table::{EngineTable, EngineView, PathQuery};
 
 /// What a failure domain further off costs, in requests waiting at an engine.
 const AWAY: f64 = 1.5;
@@ -30,7 +30,7 @@
 
 impl Avoid<'_> {
     fn allows(&self, view: &EngineView) -> bool {
-        view.open(self.now) && !self.engines.contains(&view.entry.id)
+        view.is_available(self.now) && !self.engines.contains(&view.entry.id)
     }
 }
 
@@ -43,12 +43,12 @@
 ) -> Option<EngineView> {
     let load = |s: &EngineView| {
         let slots = f64::from(s.entry.slots.max(1));
-        let waiting = f64::from(s.tally.load(avoid.now)) / slots;
+        let waiting = f64::from(s.stats.load(avoid.now)) / slots;
         let away = if &s.entry.domain == home { 0.0 } else { AWAY / slots };
-        let crowded = if s.tally.is_deprioritized(avoid.now) { TURNED_AWAY } else { 0.0 };
+        let crowded = if s.stats.is_deprioritized(avoid.now) { TURNED_AWAY } else { 0.0 };
         waiting + away + crowded + rand::rng().random_range(0.0..0.05)
     };
-    let open = table.of(service).iter().filter(|s| avoid.allows(s));
+    let open = table.engines_of(service).iter().filter(|s| avoid.allows(s));
     let views = open.map(|s| (load(s), s));
     views.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, s)| s.clone())
 }
@@ -94,7 +94,7 @@
     let fullest =
         links.iter().filter(on_path).max_by(|a, b| a.utilization.total_cmp(&b.utilization));
     let full = fullest.map(|l| {
-        let age = table.view(l.entry.id.as_str()).and_then(|v| v.tally.occupancy().age(now));
+        let age = table.by_id(l.entry.id.as_str()).and_then(|v| v.stats.occupancy().age(now));
         Full { engine: l.entry.id.clone(), share: l.utilization, age }
     });
     Some(Chosen { path, full })
@@ -110,7 +110,8 @@
 ) -> Option<(Path, Vec<ChainEngine>)> {
     let model = call.service.model.as_ref()?;
     let (service, tokens) = (&call.service.name, need(call));
-    let links = table.links(&Wanted { service, model, tokens, now, current: None }, usable);
+    let links =
+        table.chain_engines(&PathQuery { service, model, tokens, now, current: None }, usable);
     let search = ChainQuery { model, name: service, home, current: None };
     let (path, _) = find_local_chain(&search, &links)?;
     Some((path, links))
@@ -120,17 +121,18 @@
 /// limits that are used up; none if something else is missing too.
 pub(crate) fn rest(table: &EngineTable, call: &Call, home: &Name, now: Millis) -> Option<Millis> {
     let left = |s: &EngineView| {
-        let wish = s.tally.backpressure();
+        let wish = s.stats.backpressure();
         wish.pause_left(now).max(wish.limit().wait_left(now)).unwrap_or(TAKING_UP)
     };
     if call.service.model.is_none() {
-        let working = || table.of(&call.service.name).iter().filter(|s| s.works(now));
-        let rests = working().all(|s| !s.open(now));
+        let working =
+            || table.engines_of(&call.service.name).iter().filter(|s| s.is_in_service(now));
+        let rests = working().all(|s| !s.is_available(now));
         return working().map(left).min().filter(|_| rests);
     }
-    let (path, _) = chain(table, call, home, now, |s| s.works(now))?;
-    let resting = path.stages().iter().filter_map(|stage| table.view(stage.engine.as_str()));
-    resting.filter(|s| !s.open(now)).map(left).max()
+    let (path, _) = chain(table, call, home, now, |s| s.is_in_service(now))?;
+    let resting = path.stages().iter().filter_map(|stage| table.by_id(stage.engine.as_str()));
+    resting.filter(|s| !s.is_available(now)).map(left).max()
 }
 
 /// Tokens that a call is likely to hold.
--- a/crates/heathpitchd/src/gateway/call/record.rs
+++ b/crates/heathpitchd/src/gateway/call/record.rs
@@ -37,7 +37,7 @@
             after,
             left_ms: self.call.left(now),
             config: self.call.catalog.version,
-            list_ms: self.traffic.shared.listed.load().age(now),
+            list_ms: self.traffic.shared.list_freshness.load().age(now),
         }
         .log();
     }
@@ -61,8 +61,8 @@
 
 /// An engine answered a call whole, so that no engine ended by it.
 pub(crate) fn answered(traffic: &Traffic, call: &Call) {
-    if traffic.shared.suspicion.load().names(|| call.print()) {
-        traffic.shared.tell(Notice::Answered(call.print()));
+    if traffic.shared.quarantine.load().is_suspect(|| call.print()) {
+        traffic.shared.notify(Notice::Answered(call.print()));
     }
 }
 
--- a/crates/heathpitchd/src/gateway/call/refused.rs
+++ b/crates/heathpitchd/src/gateway/call/refused.rs
@@ -139,7 +139,7 @@
             detail: self.detail.clone(),
             back_ms,
             config: shared.catalog.load().as_ref().map_or(0, |c| c.version),
-            proof_ms: shared.fresh.load().age(shared.now()),
+            proof_ms: shared.config_freshness.load().age(shared.now()),
         }
         .log();
         let error = json!({ "error": {
--- a/crates/heathpitchd/src/gateway/call/relay.rs
+++ b/crates/heathpitchd/src/gateway/call/relay.rs
@@ -98,7 +98,7 @@
             biased;
             frame = source.body.frame() => frame,
             () = abandoned => return Piece::Abandoned,
-            () = shared.reached(until) => return Piece::Expired,
+            () = shared.sleep_until(until) => return Piece::Expired,
         };
         match frame {
             Some(Ok(frame)) => match frame.into_data() {
@@ -131,7 +131,7 @@
         self.last = now;
         self.flow.traffic.shared.metrics.events.inc_by(count);
         if let Some(live) = &self.flow.live {
-            live.hear(count, now);
+            live.record_events(count, now);
         }
     }
 
@@ -142,14 +142,14 @@
         let repeatable = self.flow.call.route.kind.retryable();
         let (shared, until) = (self.flow.traffic.shared.clone(), self.flow.call.until);
         let replaced = match repeatable {
-            true => shared.before(until, self.flow.replace(why)).await.flatten(),
+            true => shared.run_until(until, self.flow.replace(why)).await.flatten(),
             false => None,
         };
         match replaced {
             Some(answer) => self.source = Some(answer),
             None => {
                 if let Some(live) = live {
-                    live.keep();
+                    live.cancel_abandon();
                 }
             }
         }
@@ -161,7 +161,7 @@
             return false;
         }
         let (shared, until) = (self.flow.traffic.shared.clone(), self.flow.call.until);
-        match shared.before(until, self.flow.dispatch()).await {
+        match shared.run_until(until, self.flow.dispatch()).await {
             Some(Ok(answer)) => {
                 self.source = Some(answer);
                 true
--- a/crates/heathpitchd/src/gateway/call/budget.rs
+++ b/crates/heathpitchd/src/gateway/call/retry_budgets.rs
@@ -10,15 +10,15 @@
 use crate::gateway::shared::Shared;
 
 /// Second sends of one node, by service.
-pub(crate) struct Budgets {
+pub(crate) struct RetryBudgets {
     shared: Arc<Shared>,
     services: Mutex<HashMap<Name, RetryWindow>>,
     /// By which this node rounds its share.
     seed: f64,
 }
 
-impl Budgets {
-    /// Budgets of which nothing is spent.
+impl RetryBudgets {
+    /// RetryBudgets of which nothing is spent.
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self { shared, services: Mutex::default(), seed: rand::random() }
     }
@@ -44,6 +44,6 @@
             slack: bounds.retry_slack,
             window: (bounds.retry_window_s * 1e3) as Millis,
         };
-        agreed.of_node(self.shared.table.load().nodes, self.seed, now)
+        agreed.of_node(self.shared.table.load().fleet_size, self.seed, now)
     }
 }
--- a/crates/heathpitchd/src/gateway/call/returns.rs
+++ b/crates/heathpitchd/src/gateway/call/retry_schedules.rs
@@ -31,7 +31,7 @@
     let shared = &traffic.shared;
     let (table, now) = (shared.table.load(), shared.now());
     let least = pick::rest(&table, call, &shared.settings.load().domain, now)?;
-    let back = traffic.returns.refuse_for(&call.service.name, least, call.left(now), now);
+    let back = traffic.retry_schedules.refuse_for(&call.service.name, least, call.left(now), now);
     let (kind, detail) = match rights::limited(&table, &call.service.name, now) {
         Some(limited) => (RefusedKind::Limited, limited.to_string()),
         None => (RefusedKind::Resting, RESTING.to_owned()),
@@ -41,11 +41,11 @@
 
 /// Times told to callers of one node, by service.
 #[derive(Debug, Default)]
-pub(crate) struct ReturnTimes {
+pub(crate) struct RetrySchedules {
     services: Mutex<HashMap<Name, RetrySchedule>>,
 }
 
-impl ReturnTimes {
+impl RetrySchedules {
     /// Counts a stream that is let in.
     pub(crate) fn admit(&self, service: &Name, now: Millis) {
         self.services.lock().entry(service.clone()).or_default().admit(now);
--- a/crates/heathpitchd/src/gateway/call/rights.rs
+++ b/crates/heathpitchd/src/gateway/call/rights.rs
@@ -11,7 +11,7 @@
 
 use super::Traffic;
 use crate::gateway::engine_table::{EngineTable, EngineView};
-use crate::gateway::shared::{Granted, Notice, RightsWanted};
+use crate::gateway::shared::{Notice, RightsGrant, RightsWanted};
 
 /// Time for which a call waits for a right: a question on a new connection, and a stall of the control thread.
 const LIMIT: Duration = Duration::from_millis(250);
@@ -35,7 +35,7 @@
 impl NoRight {
     /// What keeps a call from an engine that names this limit, until `back` milliseconds from `now`.
     fn of(view: &EngineView, limit: Rate, nodes: Option<u32>, back: Millis, now: Millis) -> Self {
-        let (engine, age) = (view.entry.id.clone(), view.tally.backpressure().limit().age(now));
+        let (engine, age) = (view.entry.id.clone(), view.stats.backpressure().limit().age(now));
         Self { engine, limit, age, nodes, handed: true, back }
     }
 }
@@ -91,17 +91,17 @@
     let mut rights = SendRights { first: right(traffic, view).await?, behind: Vec::new() };
     for &view in behind {
         let right = right(traffic, view).await?;
-        rights.behind.push((view.tally.backpressure().clone(), right));
+        rights.behind.push((view.stats.backpressure().clone(), right));
     }
     Ok(rights)
 }
 
 /// A right to send a request to an engine; none if it names no limit.
 async fn right(traffic: &Traffic, view: &EngineView) -> Result<Option<Right>, NoRight> {
-    let (shared, wish) = (&traffic.shared, view.tally.backpressure());
+    let (shared, wish) = (&traffic.shared, view.stats.backpressure());
     let limit = wish.limit();
     let Some(rate) = limit.rate() else { return Ok(None) };
-    let none = |back| NoRight::of(view, rate, shared.table.load().nodes, back, shared.now());
+    let none = |back| NoRight::of(view, rate, shared.table.load().fleet_size, back, shared.now());
     let now = shared.now();
     if let Some(right) = EngineLimit::take(wish, now) {
         return Ok(Some(right));
@@ -112,15 +112,15 @@
     let granted = ask(traffic, view, limit.wanted(now)).await;
     let now = shared.now();
     match granted {
-        Granted::Given(count, sent) => {
+        RightsGrant::Issued(count, sent) => {
             EngineLimit::receive(wish, count, sent, now).map(Some).ok_or_else(|| none(0))
         }
-        Granted::Wait(back) => {
+        RightsGrant::RetryAfter(back) => {
             limit.pause_until(now + back);
             Err(none(back))
         }
-        Granted::Nobody => {
-            let nodes = shared.table.load().nodes;
+        RightsGrant::NoIssuer => {
+            let nodes = shared.table.load().fleet_size;
             match limit.self_issue(nodes, rand::rng().random_range(0.0..1.0), now) {
                 true => Ok(Some(Right::self_issued(wish, now))),
                 false => {
@@ -132,23 +132,23 @@
     }
 }
 
-async fn ask(traffic: &Traffic, view: &EngineView, count: u16) -> Granted {
+async fn ask(traffic: &Traffic, view: &EngineView, count: u16) -> RightsGrant {
     let (reply, granted) = oneshot::channel();
     let wanted = RightsWanted { engine: view.entry.clone(), count, reply };
-    if !traffic.shared.tell(Notice::Rights(wanted)) {
-        return Granted::Nobody;
+    if !traffic.shared.notify(Notice::RightsWanted(wanted)) {
+        return RightsGrant::NoIssuer;
     }
     match tokio::time::timeout(LIMIT, granted).await {
         Ok(Ok(granted)) => granted,
-        Ok(Err(_)) | Err(_) => Granted::Nobody,
+        Ok(Err(_)) | Err(_) => RightsGrant::NoIssuer,
     }
 }
 
 /// The engine that names the limit for which callers have to come back, and what it says; none if none does.
 pub(crate) fn limited(table: &EngineTable, service: &Name, now: Millis) -> Option<NoRight> {
-    let views = table.of(service).iter().filter(|s| s.works(now));
-    let waits = views.filter_map(|s| Some((s.tally.backpressure().limit().wait_left(now)?, s)));
+    let views = table.engines_of(service).iter().filter(|s| s.is_in_service(now));
+    let waits = views.filter_map(|s| Some((s.stats.backpressure().limit().wait_left(now)?, s)));
     let (back, view) = waits.min_by_key(|(back, _)| *back)?;
-    let rate = view.tally.backpressure().limit().rate()?;
-    Some(NoRight::of(view, rate, table.nodes, back, now))
+    let rate = view.stats.backpressure().limit().rate()?;
+    Some(NoRight::of(view, rate, table.fleet_size, back, now))
 }
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -16,10 +16,10 @@
 use super::Traffic;
 use super::admit::Call;
 use super::rights::{self, NoRight, SendRights};
+use crate::gateway::backpressure::ResponseInfo;
 use crate::gateway::engine_table::EngineView;
+use crate::gateway::quarantine_snapshot::incarnation_of;
 use crate::gateway::shared::{Notice, Shared};
-use crate::gateway::suspicion::life;
-use crate::gateway::wishes::Said;
 
 /// Head of an engine's answer, its body not read yet.
 pub(crate) struct Answer {
@@ -98,7 +98,7 @@
     target: &Target<'_>,
 ) -> Result<Answer, Failure> {
     let &Target { view, behind, .. } = target;
-    let ended = traffic.shared.suspicion.load().has_ended(&view.entry);
+    let ended = traffic.shared.quarantine.load().has_ended(&view.entry);
     let mut rights = rights::seek(traffic, view, behind).await.map_err(Failure::NoRight)?;
     let reuse = if call.route.kind.retryable() { Reuse::Idle } else { Reuse::Never };
     let mut answer = once(traffic, call, target, &mut rights, reuse).await;
@@ -108,7 +108,7 @@
     }
     let answer = judge(answer?)?;
     if ended {
-        traffic.shared.tell(Notice::Incarnations(life(&view.entry)));
+        traffic.shared.notify(Notice::EngineAlive(incarnation_of(&view.entry)));
     }
     Ok(answer)
 }
@@ -121,7 +121,7 @@
     reuse: Reuse,
 ) -> Result<Answer, Failure> {
     let &Target { view, path, after, .. } = target;
-    let wish = view.tally.backpressure();
+    let wish = view.stats.backpressure();
     if wish.is_draining() || wish.pause_left(traffic.shared.now()).is_some() {
         return Err(Failure::Unwanted);
     }
@@ -161,31 +161,31 @@
     let head = traffic.edges.dialect.answer(&call.head.id, &parts);
     drop(entered);
     let status = parts.status.as_u16();
-    let said = Said { engine: &view.entry, of: &call.head.id, status, sent };
+    let said = ResponseInfo { engine: &view.entry, of: &call.head.id, status, sent };
     heed(&traffic.shared, said, wish, &head);
     if !head.not_run {
         wish.record_success(traffic.shared.now());
     }
     if let Some(load) = head.load {
-        view.tally.record_load(load.running + load.waiting, traffic.shared.now());
+        view.stats.record_load(load.running + load.waiting, traffic.shared.now());
     }
     Ok(Answer { connection, parts, head, body })
 }
 
 /// Takes note of what an engine asks for in its answer to a call; of rest also where another engine of the path
 /// is at fault, which turned the call away.
-fn heed(shared: &Shared, said: Said<'_>, wish: &Backpressure, head: &ResponseHead) {
+fn heed(shared: &Shared, said: ResponseInfo<'_>, wish: &Backpressure, head: &ResponseHead) {
     let engine = said.engine;
-    if shared.heed(said, head.backpressure, wish) {
-        shared.tell(Notice::Leaves(life(engine)));
+    if shared.record_backpressure(said, head.backpressure, wish) {
+        shared.notify(Notice::Draining(incarnation_of(engine)));
     }
     let elsewhere = |at: &SocketAddr| *at != engine.address && head.backpressure.pause.is_some();
     let Some(faulty_address) = head.faulty_address.filter(elsewhere) else { return };
-    if let Some(other) = shared.table.load().at(faulty_address) {
-        let said = Said { engine: &other.entry, ..said };
+    if let Some(other) = shared.table.load().by_address(faulty_address) {
+        let said = ResponseInfo { engine: &other.entry, ..said };
         let rest =
             BackpressureSignal { pause: head.backpressure.pause, ..BackpressureSignal::default() };
-        shared.heed(said, rest, other.tally.backpressure());
+        shared.record_backpressure(said, rest, other.stats.backpressure());
     }
 }
 
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -12,10 +12,10 @@
 use super::pick::{self, Avoid};
 use super::record::{Sending, pass_on};
 use super::refused::{Refused, RefusedKind};
-use super::returns::unwanted;
+use super::retry_schedules::unwanted;
 use super::send::{Failure, Target, send};
 use crate::gateway::engine_table::EngineView;
-use crate::gateway::shared::{LostSend, Notice};
+use crate::gateway::shared::{LostAttempt, Notice};
 
 /// Largest answer held, bytes.
 const ANSWER_MOST: usize = 16 << 20;
@@ -40,7 +40,7 @@
 /// Runs the call until its final answer or the end of its time.
 pub(crate) async fn run(traffic: &Traffic, call: &Call) -> Result<Response<Body>, Refused> {
     let mut trace = Trace::default();
-    let work = traffic.shared.before(call.until, attempts(traffic, call, &mut trace)).await;
+    let work = traffic.shared.run_until(call.until, attempts(traffic, call, &mut trace)).await;
     let id = &call.head.id;
     let refused = match work {
         Some(Ok((parts, content))) => {
@@ -82,23 +82,23 @@
         let Some(view) = pick::engine(&table, &call.service.name, &home, avoid) else {
             return Err(kind);
         };
-        if trace.lost && !traffic.shared.suspicion.load().allows_again(0, || call.print()) {
+        if trace.lost && !traffic.shared.quarantine.load().allows_retry(0, || call.print()) {
             return Err(kind);
         }
-        if again && !traffic.budgets.spend(&call.service.name) {
+        if again && !traffic.retry_budgets.spend(&call.service.name) {
             return Err(kind);
         }
         let engine = &view.entry.id;
         let sending = Sending { traffic, call, engine, attempt: trace.sends + 1 };
         sending.routed(None, None);
-        let _held = Held::new(traffic.shared.clone(), vec![view.tally.clone()], 0);
+        let _held = Held::new(traffic.shared.clone(), vec![view.stats.clone()], 0);
         trace.seen.sent();
         match whole(traffic, call, &view).await {
             Ok(answer) if !answer.0.status.is_server_error() => {
                 trace.sends += 1;
                 trace.seen.started();
                 let done = traffic.shared.now();
-                view.tally.record_latency(done.saturating_sub(now), done);
+                view.stats.record_latency(done.saturating_sub(now), done);
                 return Ok(answer);
             }
             Ok(failed) => {
@@ -133,7 +133,7 @@
         Failure::Unsent(_) => {
             trace.unsent += 1;
             trace.seen.unsent();
-            view.tally.gauge().record_failure(traffic.shared.now());
+            view.stats.gauge().record_failure(traffic.shared.now());
             traffic.pool.close_idle(view.entry.address);
             RefusedKind::NoEngine
         }
@@ -150,9 +150,9 @@
         Failure::Refused { status, .. } => {
             trace.sends += 1;
             trace.seen.refused();
-            view.tally.deprioritize(traffic.shared.now() + pick::REJECTION_COOLDOWN_MS);
+            view.stats.deprioritize(traffic.shared.now() + pick::REJECTION_COOLDOWN_MS);
             if *status == StatusCode::MISDIRECTED_REQUEST {
-                traffic.shared.tell(Notice::Replaced(view.entry.id.clone()));
+                traffic.shared.notify(Notice::Replaced(view.entry.id.clone()));
             }
             RefusedKind::EnginesRefused
         }
@@ -161,7 +161,7 @@
             trace.seen.lost();
             trace.lost = true;
             let (engine, print) = (view.entry.clone(), call.print());
-            traffic.shared.tell(Notice::Lost(LostSend { engine, print, events: 0 }));
+            traffic.shared.notify(Notice::ConnectionLost(LostAttempt { engine, print, events: 0 }));
             RefusedKind::Broken
         }
     }
--- a/crates/heathpitchd/src/gateway/call/stream.rs
+++ b/crates/heathpitchd/src/gateway/call/stream.rs
@@ -16,7 +16,7 @@
 use super::record::pass_on;
 use super::refused::{Refused, RefusedKind};
 use super::relay::relay;
-use super::returns::unwanted;
+use super::retry_schedules::unwanted;
 
 /// Largest answer that is no stream, bytes.
 const ANSWER_MOST: usize = 1 << 20;
@@ -29,7 +29,7 @@
 ) -> Result<Response<Body>, Refused> {
     let (shared, until) = (traffic.shared.clone(), call.until);
     let mut flow = Flow::new(traffic, call, open);
-    let opened = shared.before(until, flow.dispatch()).await;
+    let opened = shared.run_until(until, flow.dispatch()).await;
     let id = flow.call.head.id.clone();
     let (kind, detail) = match opened {
         Some(Ok(answer)) => return Ok(relay(flow, answer)),
@@ -45,7 +45,7 @@
         Some(Err(Ended::Shed(why))) => {
             let (now, traffic) = (flow.traffic.shared.now(), &flow.traffic);
             let left = flow.call.left(now);
-            let back = traffic.returns.refuse(&flow.call.service.name, left, now);
+            let back = traffic.retry_schedules.refuse(&flow.call.service.name, left, now);
             return Err(Refused::unsent(RefusedKind::Overloaded, &id, why).until(back));
         }
         Some(Err(Ended::Refused(kind))) => {
--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -14,7 +14,7 @@
 use super::engine_list;
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::prove;
+use crate::gateway::shared::record_proof;
 
 /// Longest wait of a watch, milliseconds: below the store's 30 s. Only speed rests on it: the
 /// next proof brings what a dead watch does not.
@@ -64,7 +64,7 @@
     match control.call("get", control.edges.store.get(key)).await {
         Ok(GetResponse { item: Some(item), at }) => {
             if adopt(control, &item) {
-                prove(&control.shared.fresh, sent);
+                record_proof(&control.shared.config_freshness, sent);
             }
             Some(at)
         }
@@ -123,7 +123,7 @@
         Err(StoreError::Restored) => return read(control).await.is_some(),
         Err(_) => return false,
     }
-    prove(&control.shared.fresh, sent);
+    record_proof(&control.shared.config_freshness, sent);
     true
 }
 
--- a/crates/heathpitchd/src/gateway/control/ends.rs
+++ b/crates/heathpitchd/src/gateway/control/ends.rs
@@ -16,7 +16,7 @@
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::LostSend;
+use crate::gateway::shared::LostAttempt;
 
 /// Time over which the calls lost with an engine are gathered: all connections of a process end together,
 /// and its listener with them, but not in one instant.
@@ -33,13 +33,13 @@
 #[derive(Debug, Default)]
 pub(super) struct Ends {
     /// Calls lost, until it is known whether their engine ended.
-    lost: HashMap<Name, Vec<LostSend>>,
+    lost: HashMap<Name, Vec<LostAttempt>>,
     /// Engines found to have ended, and when.
     ended: HashMap<Name, Millis>,
 }
 
 /// Takes a call whose connection was lost.
-pub(super) fn take(control: &Rc<Control>, lost: LostSend) {
+pub(super) fn take(control: &Rc<Control>, lost: LostAttempt) {
     let (engine, address, now) = (lost.engine.id.clone(), lost.engine.address, control.now());
     let (known, first) = {
         let mut ends = control.ends.borrow_mut();
@@ -64,8 +64,8 @@
 }
 
 /// Takes note that the engine of these calls has ended.
-fn note(control: &Control, lost: &[LostSend]) {
-    let Some(LostSend { engine, .. }) = lost.first() else { return };
+fn note(control: &Control, lost: &[LostAttempt]) {
+    let Some(LostAttempt { engine, .. }) = lost.first() else { return };
     control.ends.borrow_mut().ended.entry(engine.id.clone()).or_insert(control.now());
     let mut youngest: Vec<_> = lost.iter().map(|l| (l.print, l.events)).collect();
     youngest.sort_by_key(|(_, events)| *events);
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -19,7 +19,7 @@
 use super::engines::{id, put_all, remove};
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::prove;
+use crate::gateway::shared::record_proof;
 
 /// Longest wait of a watch that nothing else proves, milliseconds. Keeps the age of the list below 1.4 s and two
 /// answers' time, and a dead watch from hiding for longer than this and the limit of a call that an engine leaves.
@@ -82,14 +82,14 @@
 pub(super) fn prove_at(control: &Control, at: Revision, sent: Millis) {
     control.store_at.set(at);
     match at == control.engines_at.get() {
-        true => prove(&control.shared.listed, sent),
+        true => record_proof(&control.shared.list_freshness, sent),
         false => control.engines_behind.notify_waiters(),
     }
 }
 
 /// Whether proofs of the configuration prove the list.
 fn is_proven(control: &Control) -> bool {
-    let age = control.shared.listed.load().age(control.now());
+    let age = control.shared.list_freshness.load().age(control.now());
     let told = control.store_at.get() == control.engines_at.get();
     control.plans() && told && age.is_some_and(|age| age < LIST_UNPROVEN)
 }
@@ -97,7 +97,7 @@
 /// Waits until the list grows old, or the store holds what its watch has not told.
 async fn watch_doubted(control: &Control) {
     loop {
-        let age = control.shared.listed.load().age(control.now()).unwrap_or(LIST_UNPROVEN);
+        let age = control.shared.list_freshness.load().age(control.now()).unwrap_or(LIST_UNPROVEN);
         if age >= LIST_UNPROVEN {
             return;
         }
@@ -166,10 +166,10 @@
 /// Takes note of an answer of the store about engines to a call sent at `sent`, which shows what was
 /// listed at `proven` or later.
 fn heard(control: &Control, by: &'static str, sent: Millis, proven: Millis, entries: usize) {
-    prove(&control.shared.listed, proven);
+    record_proof(&control.shared.list_freshness, proven);
     if entries > 0 {
         let asked_ms = control.now().saturating_sub(sent);
-        GatewayEvent::EnginesHeard { by, asked_ms, entries }.log();
+        GatewayEvent::EnginesReceived { by, asked_ms, entries }.log();
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -12,7 +12,7 @@
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::suspicion::life;
+use crate::gateway::quarantine_snapshot::incarnation_of;
 
 /// Entries that are logged one by one if they change together; more are logged in one line. A node that
 /// begins hears all.
@@ -78,7 +78,7 @@
     control.wishes.borrow_mut().remove(engine);
     control.leaving.borrow_mut().remove(engine);
     control.lapsed.borrow_mut().remove(engine);
-    GatewayEvent::EngineReborn { engine: engine.clone(), born, by }.log();
+    GatewayEvent::EngineRestarted { engine: engine.clone(), born, by }.log();
 }
 
 /// Corrects an entry by the engine's own word.
@@ -139,7 +139,7 @@
     let old = control.entries.borrow().get(&id).cloned();
     // What an engine once said, here or in an answer, binds it for as long as it lives.
     let left = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
-    let said = left || control.leavers.borrow().is_draining(&life(&entry));
+    let said = left || control.leavers.borrow().is_draining(&incarnation_of(&entry));
     let state = if said { EntryState::Leaving } else { entry.state };
     let entry = EngineEntry { state, ..entry };
     control.mirror.borrow_mut().put(item.key.clone(), item.revision.0, item.clone());
@@ -155,7 +155,7 @@
     match entry.state {
         EntryState::Leaving if !left => {
             control.leaving.borrow_mut().insert(id.clone(), control.now());
-            control.leavers.borrow_mut().learn(life(&entry), 0, control.now());
+            control.leavers.borrow_mut().learn(incarnation_of(&entry), 0, control.now());
         }
         EntryState::Leaving => {}
         // It was off the list, and is back: streams stay on it.
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -21,7 +21,7 @@
 
 use super::state::{Control, Fleet};
 use super::{config, engines, nodes, reports};
-use crate::gateway::shared::prove;
+use crate::gateway::shared::record_proof;
 
 /// Time between two questions: a small part of the time for which a leaving engine may still be
 /// sent work, and 175 questions a second for a planner with 70 followers.
@@ -181,7 +181,7 @@
     take_nodes(control, source, &told);
     control.hear_news(&told.notices, sent, &source.node);
     let proven = sent.saturating_sub(told.entries_age_ms);
-    let own = control.shared.listed.load().at();
+    let own = control.shared.list_freshness.load().at();
     // One who is asked for everything and tells no change has the same.
     let same = told.engines == FeedEngines::default();
     // A newer one was acknowledged, whatever the store says of it now.
@@ -200,10 +200,10 @@
     }
     followed.known = told.cursor;
     reports::hear(control, &told.reports, sent);
-    prove(&control.shared.listed, proven);
+    record_proof(&control.shared.list_freshness, proven);
     followed.until = proven + LIST_OLD;
     if control.revision() >= told.revision {
-        prove(&control.shared.fresh, sent.saturating_sub(told.config_age_ms));
+        record_proof(&control.shared.config_freshness, sent.saturating_sub(told.config_age_ms));
     }
     PollOutcome::Fresh
 }
--- a/crates/heathpitchd/src/gateway/control/looks.rs
+++ b/crates/heathpitchd/src/gateway/control/looks.rs
@@ -88,7 +88,7 @@
         let engines = path.stages().iter().map(|s| s.engine.clone());
         match is_silent(&live, now) {
             true => silent.extend(engines),
-            false if live.silent(now) < FLOWING => flowing.extend(engines),
+            false if live.silence(now) < FLOWING => flowing.extend(engines),
             false => {}
         }
     }
@@ -204,7 +204,7 @@
 /// Leaves an engine that streams wait for.
 fn suspect(control: &Control, address: SocketAddr) {
     let table = control.shared.table.load();
-    let Some(view) = table.at(address) else { return };
+    let Some(view) = table.by_address(address) else { return };
     let now = control.now();
     if !lose(control, &view.entry.id, now) {
         return;
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -116,15 +116,15 @@
         match notice {
             Notice::Stream(live) => recovery::take(&control, &live),
             Notice::Replaced(engine) => engines::mark_replaced(&control, &engine),
-            Notice::Misplaced(engine) => engines::reread(&control, &engine),
+            Notice::LayerMismatch(engine) => engines::reread(&control, &engine),
             Notice::Refused(engine) => looks::question(&control, &engine),
-            Notice::Lost(lost) => ends::take(&control, lost),
+            Notice::ConnectionLost(lost) => ends::take(&control, lost),
             Notice::Answered(print) => control.answered(print),
-            Notice::Incarnations(life) => control.engine_lives(&life),
-            Notice::Leaves(life) => control.engine_leaves(&life),
+            Notice::EngineAlive(life) => control.engine_lives(&life),
+            Notice::Draining(life) => control.engine_leaves(&life),
             Notice::HeldBack(print) => control.came_again(print),
             Notice::Limited(life) => control.engine_limited(&life),
-            Notice::Rights(wanted) => rights::seek(&control, wanted),
+            Notice::RightsWanted(wanted) => rights::seek(&control, wanted),
         }
     }
 }
@@ -165,7 +165,9 @@
 fn inspect<B>(shared: &Shared, request: &Request<B>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/metrics") => metrics(shared),
-        (&Method::GET, "/held") => Response::new(json(&shared.suspicion.load().rows(shared.now()))),
+        (&Method::GET, "/held") => {
+            Response::new(json(&shared.quarantine.load().held_rows(shared.now())))
+        }
         _ => {
             let mut response = Response::new(full(""));
             *response.status_mut() = StatusCode::NOT_FOUND;
@@ -175,7 +177,7 @@
 }
 
 fn metrics(shared: &Shared) -> Response<Body> {
-    if let Some(age) = shared.listed.load().age(shared.now()) {
+    if let Some(age) = shared.list_freshness.load().age(shared.now()) {
         shared.metrics.list_age.set(age as f64 / 1e3);
     }
     let mut response = Response::new(full(shared.metrics.text()));
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -130,7 +130,7 @@
     layers: LayerRange,
     reason: LayoutReason,
 ) -> Sent {
-    let main = control.shared.table.load().view(engine.id.as_str()).is_some_and(|s| s.main);
+    let main = control.shared.table.load().by_id(engine.id.as_str()).is_some_and(|s| s.is_primary);
     let release = release(reason, main);
     let mut orders = control.orders.borrow().get(&engine.id).copied().unwrap_or(0);
     for second in [false, true] {
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -61,14 +61,14 @@
             let tally = tallies.entry(entry.id.clone());
             let tally = tally.or_insert_with(|| Arc::new(EngineStats::of(wish.clone()))).clone();
             let main = primaries.contains(&entry.id);
-            let view = EngineView { entry: entry.clone(), card, tally, main };
+            let view = EngineView { entry: entry.clone(), card, stats: tally, is_primary: main };
             services.entry(entry.service.clone()).or_default().push(view);
         }
         self.shared.metrics.engines.set(entries.len() as i64);
         let nodes = self.fleet.get().map(|f| f.nodes);
         self.shared.metrics.nodes.set(i64::from(nodes.unwrap_or(0)));
         let beside = self.fleet.get().map_or(1, |f| f.beside.max(1));
-        let table = EngineTable { services, beside, nodes };
+        let table = EngineTable { services, domain_size: beside, fleet_size: nodes };
         self.shared.table.store(Arc::new(table));
     }
 }
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -20,8 +20,8 @@
 use super::looks;
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::LostSend;
-use crate::gateway::suspicion::{HeldBack, Suspicion, life};
+use crate::gateway::quarantine_snapshot::{HeldBack, QuarantineSnapshot, incarnation_of};
+use crate::gateway::shared::LostAttempt;
 
 /// Prefix of entries of requests that are held back.
 pub(super) const PREFIX: &str = "heathpitch/quarantine/";
@@ -68,10 +68,10 @@
     ///
     /// Told are those that it had just begun to run, or else the youngest, which counts for nothing: the others
     /// hear by it that the engine has ended, three seconds before its entry lapses.
-    pub(super) fn engine_ended(&self, engine: &EngineEntry, lost: &[LostSend]) {
-        let (now, life) = (self.now(), life(engine));
+    pub(super) fn engine_ended(&self, engine: &EngineEntry, lost: &[LostAttempt]) {
+        let (now, life) = (self.now(), incarnation_of(engine));
         let youngest = lost.iter().map(|call| call.events).min().unwrap_or(0);
-        let told = |call: &&LostSend| call.events == youngest || just_started(call.events);
+        let told = |call: &&LostAttempt| call.events == youngest || just_started(call.events);
         let mut new = false;
         for call in lost.iter().filter(told) {
             let mut quarantine = self.quarantine.borrow_mut();
@@ -153,7 +153,7 @@
             }
         }
         if new > 0 {
-            GatewayEvent::EndsHeard { by: by.clone(), ends: new }.log();
+            GatewayEvent::ExitsReceived { by: by.clone(), ends: new }.log();
             self.decide("another node told");
         }
     }
@@ -184,7 +184,7 @@
         let held: HashMap<_, _> = quarantine.held().map(held).collect();
         self.shared.metrics.held.set(held.len() as i64);
         let (counts, ended) = (quarantine.counts(), quarantine.ended_engines());
-        self.shared.suspicion.store(Arc::new(Suspicion { counts, held, ended }));
+        self.shared.quarantine.store(Arc::new(QuarantineSnapshot { counts, held, ended }));
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -18,7 +18,7 @@
 
 use super::looks;
 use super::state::Control;
-use crate::gateway::engine_table::{EngineView, Wanted};
+use crate::gateway::engine_table::{EngineView, PathQuery};
 use crate::gateway::event::{GatewayEvent, parts};
 use crate::gateway::live::LiveStream;
 
@@ -99,8 +99,8 @@
 /// Whether a stream has been silent for longer than its engines need.
 pub(super) fn is_silent(live: &LiveStream, now: Millis) -> bool {
     let begun = live.events.load(std::sync::atomic::Ordering::Relaxed) > 0;
-    let most = if begun { live.silent_most } else { SILENT_FIRST };
-    live.silent(now) >= most
+    let most = if begun { live.max_silence } else { SILENT_FIRST };
+    live.silence(now) >= most
 }
 
 /// Moves every stream that runs through an engine that is lost or leaves.
@@ -129,7 +129,7 @@
                 watched.next.set(now + MOVE_AGAIN);
                 reroute(control, &live, &path, None, watched);
             }
-            None if live.silent(now) >= ASK && control.may_question(&path.head().engine) => {
+            None if live.silence(now) >= ASK && control.may_question(&path.head().engine) => {
                 looks::ask(control, &path);
             }
             None => {}
@@ -178,7 +178,7 @@
     let (next, refused) = (watched.next.clone(), watched.refused.clone());
     spawn_local(async move {
         let sent = control.now();
-        let silent_ms = live.silent(sent);
+        let silent_ms = live.silence(sent);
         let answer = control.edges.orders.reroute(head, &engine, &live.request, &new).await;
         let entry = control.entries.borrow().get(&engine).cloned();
         let result = answer.map(|answer| match entry {
@@ -218,8 +218,8 @@
 /// Keeps moved streams from an engine that has no room for more, for a moment.
 fn crowd(control: &Control, address: SocketAddr) {
     let now = control.now();
-    if let Some(view) = control.shared.table.load().at(address) {
-        view.tally.deprioritize(now + MOVE_COOLDOWN_MS);
+    if let Some(view) = control.shared.table.load().by_address(address) {
+        view.stats.deprioritize(now + MOVE_COOLDOWN_MS);
     }
 }
 
@@ -231,19 +231,20 @@
     let now = control.now();
     let head = &path.head().engine;
     let usable = |s: &EngineView| {
-        let (id, wish) = (&s.entry.id, s.tally.backpressure());
+        let (id, wish) = (&s.entry.id, s.stats.backpressure());
         // What runs there takes nothing of a limit anew; a right for a stream that is moved there is not sought.
         let taken = match path.stages().iter().any(|stage| &stage.engine == id) {
-            true => s.works(now) && wish.pause_left(now).is_none(),
-            false => s.open(now) && wish.limit().rate().is_none(),
+            true => s.is_in_service(now) && wish.pause_left(now).is_none(),
+            false => s.is_available(now) && wish.limit().rate().is_none(),
         };
         // One that has started again lost its tokens, and the same path would not be ordered.
         id == head || (taken && !control.is_lost(id) && !is_reborn(control, live, id))
     };
     let (service, tokens) = (&live.service, live.tokens);
-    let links = table.links(&Wanted { service, model, tokens, now, current: Some(path) }, usable);
+    let links = table
+        .chain_engines(&PathQuery { service, model, tokens, now, current: Some(path) }, usable);
     // The first engine stays, so its domain is where the others are best.
-    let home = table.view(head.as_str())?.entry.domain.clone();
+    let home = table.by_id(head.as_str())?.entry.domain.clone();
     let search = ChainQuery { model, name: &live.service, home: &home, current: Some(path) };
     find_local_chain(&search, &links).map(|(path, _)| path)
 }
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -112,11 +112,11 @@
 fn filling(control: &Control) -> Vec<Arc<EngineEntry>> {
     let (table, now) = (control.shared.table.load(), control.now());
     let share = |e: &Arc<EngineEntry>| {
-        let view = table.view(e.id.as_str())?;
+        let view = table.by_id(e.id.as_str())?;
         let service = control.service(&e.service)?;
         let room =
             service.model.as_ref()?.token_capacity(view.card.as_ref()?, e.layers.count()).max(1.0);
-        Some(view.tally.occupancy().held(table.beside, now) / room)
+        Some(view.stats.occupancy().held(table.domain_size, now) / room)
     };
     let shares = used(control).into_iter().filter_map(|e| Some((share(&e)?, e)));
     let mut filling: Vec<_> = shares.filter(|(s, _)| *s > FILLING).collect();
@@ -132,7 +132,7 @@
     let used = views.filter(|v| {
         v.entry.domain == domain
             && v.entry.layers.count() > 0
-            && (v.main || v.tally.gauge().count() > 0)
+            && (v.is_primary || v.stats.gauge().count() > 0)
             && !control.is_lost(&v.entry.id)
     });
     used.map(|v| v.entry.clone()).collect()
@@ -166,7 +166,7 @@
     };
     let changed = (report.pace - control.slowness(engine)).abs() > CHANGE;
     if changed {
-        GatewayEvent::EnginePaced { engine: engine.clone(), pace: report.pace }.log();
+        GatewayEvent::EngineSlowdown { engine: engine.clone(), pace: report.pace }.log();
     }
     control.reports.borrow_mut().insert(engine.clone(), report);
     if let Some(tally) = control.tallies.borrow().get(engine) {
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -18,8 +18,8 @@
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::{Granted, RightsWanted};
-use crate::gateway::suspicion::life;
+use crate::gateway::quarantine_snapshot::incarnation_of;
+use crate::gateway::shared::{RightsGrant, RightsWanted};
 
 /// Limits told in one message, some forty bytes each.
 const TOLD_MOST: usize = 256;
@@ -141,7 +141,7 @@
 
     /// Whether an engine takes less than is asked for.
     pub(super) fn binds(&self, engine: &EngineEntry) -> bool {
-        let life = life(engine);
+        let life = incarnation_of(engine);
         self.limits.borrow().of(&life).is_some() && self.rights.borrow().binds(&life)
     }
 
@@ -171,7 +171,7 @@
     spawn_local(async move {
         let granted = ask(&control, &wanted.engine, wanted.count).await;
         // One that waits no longer finds what was handed out the next time.
-        if let Err(Granted::Given(count, sent)) = wanted.reply.send(granted) {
+        if let Err(RightsGrant::Issued(count, sent)) = wanted.reply.send(granted) {
             let now = control.now();
             control.wish_of(&wanted.engine).limit().add_rights(count, sent, now);
         }
@@ -186,7 +186,7 @@
 pub(super) async fn right(
     control: &Control,
     engine: &EngineEntry,
-) -> Result<Option<Right>, Granted> {
+) -> Result<Option<Right>, RightsGrant> {
     let wish = control.wish_of(engine);
     if wish.limit().rate().is_none() {
         return Ok(None);
@@ -195,7 +195,7 @@
         return Ok(Some(right));
     }
     match ask(control, engine, 1).await {
-        granted @ Granted::Given(count, sent) => {
+        granted @ RightsGrant::Issued(count, sent) => {
             EngineLimit::receive(&wish, count, sent, control.now()).map(Some).ok_or(granted)
         }
         granted => Err(granted),
@@ -203,7 +203,7 @@
 }
 
 /// Asks the node that hands out rights for an engine.
-async fn ask(control: &Control, engine: &EngineEntry, count: u16) -> Granted {
+async fn ask(control: &Control, engine: &EngineEntry, count: u16) -> RightsGrant {
     let sent = control.now();
     let wish = control.wish_of(engine);
     let (rate, age_ms) = (wish.limit().rate(), wish.limit().age(sent));
@@ -217,14 +217,14 @@
         false => ask_planner(control, &engine.domain, &ask).await,
     };
     let granted = match told {
-        Ok(RightsResponse { active: false, .. }) | Err(_) => Granted::Nobody,
-        Ok(RightsResponse { issued: 0, wait_ms, .. }) => Granted::Wait(wait_ms),
-        Ok(RightsResponse { issued: given, .. }) => Granted::Given(given, sent),
+        Ok(RightsResponse { active: false, .. }) | Err(_) => RightsGrant::NoIssuer,
+        Ok(RightsResponse { issued: 0, wait_ms, .. }) => RightsGrant::RetryAfter(wait_ms),
+        Ok(RightsResponse { issued: given, .. }) => RightsGrant::Issued(given, sent),
     };
     let label = match granted {
-        Granted::Given(..) => "given",
-        Granted::Wait(_) => "none",
-        Granted::Nobody => "nobody",
+        RightsGrant::Issued(..) => "given",
+        RightsGrant::RetryAfter(_) => "none",
+        RightsGrant::NoIssuer => "nobody",
     };
     control.shared.metrics.rights.with_label_values(&[label]).inc();
     granted
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -278,7 +278,7 @@
         if let Some(tally) = self.tallies.borrow().get(engine) {
             tally.gauge().suspect_until(self.now() + for_ms);
         }
-        GatewayEvent::EngineDoubted { engine: engine.clone(), why, for_ms }.log();
+        GatewayEvent::EngineSuspected { engine: engine.clone(), why, for_ms }.log();
     }
 
     /// Lifts the doubt.
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -108,7 +108,7 @@
         self.limit_record.borrow_mut().forget();
         self.shared.metrics.era.set(era as i64);
         let revision = self.revision();
-        GatewayEvent::StoreCameBack { from, era, revision, gone }.log();
+        GatewayEvent::StoreRestored { from, era, revision, gone }.log();
         self.turned.notify_waiters();
     }
 
--- a/crates/heathpitchd/src/gateway/control/suspended.rs
+++ b/crates/heathpitchd/src/gateway/control/suspended.rs
@@ -22,7 +22,8 @@
         tokio::time::sleep(LOOK).await;
         let Some(ms) = detector.poll(shared.clock.clocks()) else { continue };
         let now = control.now();
-        let (proof_ms, list_ms) = (shared.fresh.load().age(now), shared.listed.load().age(now));
+        let (proof_ms, list_ms) =
+            (shared.config_freshness.load().age(now), shared.list_freshness.load().age(now));
         GatewayEvent::VmSuspended { ms, proof_ms, list_ms }.log();
         shared.pool.close_all_idle();
         shared.resume();
--- a/crates/heathpitchd/src/gateway/control/tell.rs
+++ b/crates/heathpitchd/src/gateway/control/tell.rs
@@ -121,7 +121,7 @@
         true => config(control)?,
         false => None,
     };
-    let ages = (shared.fresh.load().age(now), shared.listed.load().age(now));
+    let ages = (shared.config_freshness.load().age(now), shared.list_freshness.load().age(now));
     let (proof_ms, list_ms) = match ages {
         (Some(proof), Some(list)) if proof < PROOF_OLD && list < LIST_OLD => (proof, list),
         // Whether there is a newer one still is not known, but this one is newer than theirs.
--- a/crates/heathpitchd/src/gateway/control/wishes.rs
+++ b/crates/heathpitchd/src/gateway/control/wishes.rs
@@ -14,9 +14,9 @@
 
 use super::state::Control;
 use super::{engines, rights};
+use crate::gateway::backpressure::ResponseInfo;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::suspicion::life;
-use crate::gateway::wishes::Said;
+use crate::gateway::quarantine_snapshot::incarnation_of;
 
 /// Engines told in one message, some forty bytes each.
 const TOLD_MOST: usize = 256;
@@ -44,9 +44,9 @@
             wish.limit().set_in_probes();
         }
         let asked = BackpressureSignal { limit, ..asked };
-        let heard = Said { engine, of, status, sent };
-        if self.shared.heed(heard, asked, &wish) {
-            self.engine_leaves(&life(engine));
+        let heard = ResponseInfo { engine, of, status, sent };
+        if self.shared.record_backpressure(heard, asked, &wish) {
+            self.engine_leaves(&incarnation_of(engine));
         }
         value
     }
@@ -60,7 +60,7 @@
     /// What an engine that this node has not asked yet said to others.
     pub(super) fn new_wish(&self, engine: &EngineEntry) -> Arc<Backpressure> {
         let wish = Backpressure::default();
-        let (life, limits) = (life(engine), self.limits.borrow());
+        let (life, limits) = (incarnation_of(engine), self.limits.borrow());
         if let Some((rate, at)) = limits.of(&life) {
             wish.limit().learn(Some(rate), at);
         }
@@ -99,7 +99,7 @@
         if !self.leavers.borrow_mut().learn(life.clone(), age, self.now()) {
             return false;
         }
-        GatewayEvent::EngineLeaves { engine: life.engine.clone(), age_ms: age, by }.log();
+        GatewayEvent::EngineDraining { engine: life.engine.clone(), age_ms: age, by }.log();
         let listed = self.entries.borrow().get(&life.engine).cloned();
         let Some(entry) = listed.filter(|e| e.born == life.born) else { return false };
         if entry.state == EntryState::Leaving {
@@ -170,6 +170,6 @@
     let ready = EngineEntry { state: EntryState::Ready, ..(*entry).clone() };
     control.entries.borrow_mut().insert(entry.id.clone(), Arc::new(ready));
     control.leaving.borrow_mut().remove(&entry.id);
-    GatewayEvent::EngineStays { engine: entry.id.clone() }.log();
+    GatewayEvent::EngineDrainCancelled { engine: entry.id.clone() }.log();
     control.publish();
 }
--- a/crates/heathpitchd/src/gateway/engine_table.rs
+++ b/crates/heathpitchd/src/gateway/engine_table.rs
@@ -32,28 +32,28 @@
 pub(crate) struct EngineView {
     pub(crate) entry: Arc<EngineEntry>,
     pub(crate) card: Option<Card>,
-    pub(crate) tally: Arc<EngineStats>,
+    pub(crate) stats: Arc<EngineStats>,
     /// Whether requests run through it by rule.
-    pub(crate) main: bool,
+    pub(crate) is_primary: bool,
 }
 
 impl EngineView {
     /// Whether it may be sent new work.
-    pub(crate) fn open(&self, now: Millis) -> bool {
-        self.works(now) && self.tally.backpressure().admits(now)
+    pub(crate) fn is_available(&self, now: Millis) -> bool {
+        self.is_in_service(now) && self.stats.backpressure().admits(now)
     }
 
     /// Whether nothing but a rest keeps it from new work.
-    pub(crate) fn works(&self, now: Millis) -> bool {
+    pub(crate) fn is_in_service(&self, now: Millis) -> bool {
         let leaves =
-            self.entry.state == EntryState::Leaving || self.tally.backpressure().is_draining();
-        !leaves && !self.tally.gauge().is_suspect(now)
+            self.entry.state == EntryState::Leaving || self.stats.backpressure().is_draining();
+        !leaves && !self.stats.gauge().is_suspect(now)
     }
 }
 
 /// What a path is looked for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct PathQuery<'a> {
     pub(crate) service: &'a Name,
     pub(crate) model: &'a LayeredModel,
     /// Tokens that the request is likely to hold.
@@ -63,7 +63,7 @@
     pub(crate) current: Option<&'a Path>,
 }
 
-impl Wanted<'_> {
+impl PathQuery<'_> {
     fn keeps(&self, engine: &Name) -> bool {
         self.current.is_some_and(|path| path.stages().iter().any(|s| &s.engine == engine))
     }
@@ -74,41 +74,41 @@
 pub(crate) struct EngineTable {
     pub(crate) services: HashMap<Name, Vec<EngineView>>,
     /// Nodes of this failure domain, at least 1.
-    pub(crate) beside: u32,
+    pub(crate) domain_size: u32,
     /// Nodes of the fleet, if they are known.
-    pub(crate) nodes: Option<u32>,
+    pub(crate) fleet_size: Option<u32>,
 }
 
 impl EngineTable {
     /// Engines of a service.
-    pub(crate) fn of(&self, service: &Name) -> &[EngineView] {
+    pub(crate) fn engines_of(&self, service: &Name) -> &[EngineView] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Engines that a path may run through for a request.
-    pub(crate) fn links(
+    pub(crate) fn chain_engines(
         &self,
-        wanted: &Wanted<'_>,
+        wanted: &PathQuery<'_>,
         usable: impl Fn(&EngineView) -> bool,
     ) -> Vec<ChainEngine> {
-        let &Wanted { service, model, now, .. } = wanted;
+        let &PathQuery { service, model, now, .. } = wanted;
         let link = |s: &EngineView| {
             let card = s.card.clone()?;
             let kept = wanted.keeps(&s.entry.id);
             let need = if kept { 0.0 } else { wanted.tokens };
             let room = model.token_capacity(&card, s.entry.layers.count()).max(1.0);
-            let held = s.tally.occupancy().held(self.beside, now);
+            let held = s.stats.occupancy().held(self.domain_size, now);
             let share = (held + need) / room;
-            let card = Card { step_factor: card.step_factor * s.tally.slowdown(now), ..card };
+            let card = Card { step_factor: card.step_factor * s.stats.slowdown(now), ..card };
             // One that is all but empty takes a request that fits it at all.
             let taken = held > room * (1.0 - ROOM_SHARE) || need > room;
             let full = !kept && taken && share > ROOM_SHARE;
-            let crowded = !kept && s.tally.is_deprioritized(now);
+            let crowded = !kept && s.stats.is_deprioritized(now);
             let jitter = rand::rng().random_range(0.0..JITTER);
-            let stand_in = if s.main { 0.0 } else { REPLICA_PENALTY };
+            let stand_in = if s.is_primary { 0.0 } else { REPLICA_PENALTY };
             let none = if full || crowded { FULL } else { 0.0 };
             let penalty = LOADED * share * share + none + stand_in + jitter;
-            let wait = s.tally.wait_ms(now) - WAIT_USUAL;
+            let wait = s.stats.wait_ms(now) - WAIT_USUAL;
             let start = wait.max(0.0) / WAIT_SPREAD;
             Some(ChainEngine {
                 entry: s.entry.clone(),
@@ -120,22 +120,22 @@
                 deprioritized: crowded,
             })
         };
-        let views = self.of(service).iter();
+        let views = self.engines_of(service).iter();
         views.filter(|s| s.entry.layers.count() > 0 && usable(s)).filter_map(link).collect()
     }
 
     /// The engine at this address.
-    pub(crate) fn at(&self, address: SocketAddr) -> Option<&EngineView> {
+    pub(crate) fn by_address(&self, address: SocketAddr) -> Option<&EngineView> {
         self.services.values().flatten().find(|s| s.entry.address == address)
     }
 
     /// The engines behind the first of a path, as far as they are listed.
-    pub(crate) fn behind(&self, path: &Path) -> Vec<&EngineView> {
-        path.stages().iter().skip(1).filter_map(|s| self.view(s.engine.as_str())).collect()
+    pub(crate) fn downstream_of(&self, path: &Path) -> Vec<&EngineView> {
+        path.stages().iter().skip(1).filter_map(|s| self.by_id(s.engine.as_str())).collect()
     }
 
     /// The engine of this id.
-    pub(crate) fn view(&self, engine: &str) -> Option<&EngineView> {
+    pub(crate) fn by_id(&self, engine: &str) -> Option<&EngineView> {
         self.services.values().flatten().find(|s| s.entry.id.as_str() == engine)
     }
 }
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -153,7 +153,8 @@
         error: String,
     },
     /// The store told of engines.
-    EnginesHeard {
+    #[serde(rename = "engines_heard")]
+    EnginesReceived {
         /// Call that it answered.
         by: &'static str,
         /// How long ago that call was sent.
@@ -189,7 +190,8 @@
         why: &'static str,
     },
     /// An engine has started again under its id: what was known of its last life is forgotten.
-    EngineReborn {
+    #[serde(rename = "engine_reborn")]
+    EngineRestarted {
         /// Engine.
         engine: Name,
         /// Unix time of its start, milliseconds.
@@ -207,7 +209,8 @@
         youngest: Vec<(RequestFingerprint, u32)>,
     },
     /// Another node told of engines that ended under requests.
-    EndsHeard {
+    #[serde(rename = "ends_heard")]
+    ExitsReceived {
         /// Node.
         by: Name,
         /// Ends that are new to this node, or void since.
@@ -230,7 +233,8 @@
         why: &'static str,
     },
     /// An engine is kept from new work.
-    EngineDoubted {
+    #[serde(rename = "engine_doubted")]
+    EngineSuspected {
         /// Engine.
         engine: Name,
         /// What it did.
@@ -239,7 +243,8 @@
         for_ms: Millis,
     },
     /// An engine asked this node for rest, said that it leaves, or named another limit than before, or none any more.
-    EngineWished {
+    #[serde(rename = "engine_wished")]
+    EngineBackpressure {
         /// Engine.
         engine: Name,
         /// What it answered: a call, by its id, or a question of this node's own.
@@ -254,7 +259,8 @@
         limit: Option<Rate>,
     },
     /// An engine leaves by its own word, whatever its entry says.
-    EngineLeaves {
+    #[serde(rename = "engine_leaves")]
+    EngineDraining {
         /// Engine.
         engine: Name,
         /// How long ago it said so.
@@ -292,12 +298,14 @@
         why: String,
     },
     /// An engine that said that it leaves is still there long after, and does not say so any more.
-    EngineStays {
+    #[serde(rename = "engine_stays")]
+    EngineDrainCancelled {
         /// Engine.
         engine: Name,
     },
     /// An engine is slower than its card by another factor than before.
-    EnginePaced {
+    #[serde(rename = "engine_paced")]
+    EngineSlowdown {
         /// Engine.
         engine: Name,
         /// The factor, 1 if it is as it should be.
@@ -362,7 +370,8 @@
         error: Option<String>,
     },
     /// The store has come back from an older copy of itself: what was written there since may be gone.
-    StoreCameBack {
+    #[serde(rename = "store_came_back")]
+    StoreRestored {
         /// Era before.
         from: u64,
         /// Era now.
--- a/crates/heathpitchd/src/gateway/event_log.rs
+++ b/crates/heathpitchd/src/gateway/event_log.rs
@@ -56,7 +56,7 @@
             | Self::CallEnded { whole: false, .. }
             | Self::ConfigRejected { .. }
             | Self::WatchLost { .. }
-            | Self::StoreCameBack { .. }
+            | Self::StoreRestored { .. }
             | Self::ConfigBehind { .. }
             | Self::StoreReachable { reachable: false, .. } => log::Level::Warn,
             _ => log::Level::Info,
--- a/crates/heathpitchd/src/gateway/live.rs
+++ b/crates/heathpitchd/src/gateway/live.rs
@@ -22,7 +22,7 @@
 /// 150, and each look asks all engines of a path. At 110 for all, a fleet of 59 nodes made 31 000
 /// connections a day only to look at engines that worked; at 150 for all, streams whose callers
 /// take 200 ms well were moved too late (0.72 to 0.66 of a day's worth).
-fn silent_most(pause_ms: Option<Millis>) -> Millis {
+fn max_silence(pause_ms: Option<Millis>) -> Millis {
     let most = pause_ms.map_or(SILENT_LEAST, |p| p.saturating_sub(MOVE));
     most.clamp(SILENT_LEAST, SILENT_MOST)
 }
@@ -36,7 +36,7 @@
     /// Tokens it is likely to hold.
     pub(crate) tokens: f64,
     /// Silence, once it has begun, from which its engines are looked at.
-    pub(crate) silent_most: Millis,
+    pub(crate) max_silence: Millis,
     /// When it was given its path.
     pub(crate) routed: AtomicU64,
     /// When something was last heard of it.
@@ -62,7 +62,7 @@
             service,
             path: ArcSwap::from_pointee(path),
             tokens,
-            silent_most: silent_most(pause_ms),
+            max_silence: max_silence(pause_ms),
             routed: AtomicU64::new(now),
             heard: AtomicU64::new(now),
             events: AtomicU64::new(0),
@@ -78,13 +78,13 @@
     }
 
     /// Takes note of events.
-    pub(crate) fn hear(&self, events: u64, now: Millis) {
+    pub(crate) fn record_events(&self, events: u64, now: Millis) {
         self.events.fetch_add(events, Relaxed);
         self.heard.store(now, Relaxed);
     }
 
     /// Time since something was heard.
-    pub(crate) fn silent(&self, now: Millis) -> Millis {
+    pub(crate) fn silence(&self, now: Millis) -> Millis {
         now.saturating_sub(self.heard.load(Relaxed))
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Takes it back: nothing better than the first engine was found.
-    pub(crate) fn keep(&self) {
+    pub(crate) fn cancel_abandon(&self) {
         self.abandoned.store(false, Relaxed);
     }
 
--- a/crates/heathpitchd/src/gateway/mod.rs
+++ b/crates/heathpitchd/src/gateway/mod.rs
@@ -4,6 +4,7 @@
 //! snapshots; the traffic thread runs every call through a chain of filters. The platform is
 //! reached only through the traits of [`Edges`].
 
+mod backpressure;
 mod call;
 mod control;
 mod engine_table;
@@ -11,9 +12,8 @@
 mod event_log;
 mod live;
 mod metrics;
+mod quarantine_snapshot;
 mod shared;
-mod suspicion;
-mod wishes;
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 use tokio::sync::watch;
 
 use crate::StartError;
-use call::{Budgets, ReturnTimes, Traffic};
+use call::{RetryBudgets, RetrySchedules, Traffic};
 use control::Listeners;
 pub use event::GatewayEvent;
 pub use metrics::GATEWAY_METRICS;
@@ -111,8 +111,8 @@
         let control =
             control::spawn(shared.clone(), edges.clone(), listeners, inbox, control_stopped)?;
         let traffic = Arc::new(Traffic {
-            budgets: Budgets::new(shared.clone()),
-            returns: ReturnTimes::default(),
+            retry_budgets: RetryBudgets::new(shared.clone()),
+            retry_schedules: RetrySchedules::default(),
             pool: shared.pool.clone(),
             shared: shared.clone(),
             edges,
@@ -152,13 +152,13 @@
     pub fn stop(self) -> usize {
         let shared = self.shared.clone();
         shared.stopping.store(true, Relaxed);
-        GatewayEvent::GatewayStopping { open: shared.open.load(Relaxed) }.log();
+        GatewayEvent::GatewayStopping { open: shared.open_calls.load(Relaxed) }.log();
         let grace = Duration::from_secs_f64(shared.settings.load().bounds.grace_s);
         let cut = self.runtime.block_on(async {
             tokio::time::sleep(NOTICE).await;
             self.stop_traffic.send_replace(true);
             let idle = async {
-                while shared.open.load(Relaxed) > 0 {
+                while shared.open_calls.load(Relaxed) > 0 {
                     tokio::time::sleep(LOOK).await;
                 }
             };
@@ -168,7 +168,7 @@
                 // Connections that stay open after this hold no call.
                 let _ = tokio::time::timeout(CLOSE, self.served).await;
             }
-            shared.open.load(Relaxed)
+            shared.open_calls.load(Relaxed)
         });
         self.stop_control.send_replace(true);
         match self.control.join() {
--- a/crates/heathpitchd/src/gateway/suspicion.rs
+++ b/crates/heathpitchd/src/gateway/quarantine_snapshot.rs
@@ -9,7 +9,7 @@
 
 /// What is known of requests under which engines ended; empty nearly always.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Suspicion {
+pub(crate) struct QuarantineSnapshot {
     /// How many engines ended under each request.
     pub(crate) counts: HashMap<RequestFingerprint, u32>,
     /// Those that are sent nowhere.
@@ -18,9 +18,12 @@
     pub(crate) ended: HashSet<EngineIncarnation>,
 }
 
-impl Suspicion {
+impl QuarantineSnapshot {
     /// Why a request is sent nowhere; its print is worked out only if any is.
-    pub(crate) fn held(&self, print: impl FnOnce() -> RequestFingerprint) -> Option<&HeldBack> {
+    pub(crate) fn held_back(
+        &self,
+        print: impl FnOnce() -> RequestFingerprint,
+    ) -> Option<&HeldBack> {
         if self.held.is_empty() {
             return None;
         }
@@ -32,21 +35,21 @@
     /// Not if it had just begun, and another engine ended so before: a third one would end in the
     /// call that ended the second, with some fifty streams, where all that a proper request needs is
     /// that its caller comes back.
-    pub(crate) fn allows_again(
+    pub(crate) fn allows_retry(
         &self,
         events: u32,
         print: impl FnOnce() -> RequestFingerprint,
     ) -> bool {
-        !just_started(events) || !self.names(print)
+        !just_started(events) || !self.is_suspect(print)
     }
 
     /// Whether engines ended under a request; its print is worked out only if any did under one.
-    pub(crate) fn names(&self, print: impl FnOnce() -> RequestFingerprint) -> bool {
+    pub(crate) fn is_suspect(&self, print: impl FnOnce() -> RequestFingerprint) -> bool {
         !self.counts.is_empty() && self.counts.contains_key(&print())
     }
 
     /// The requests that are sent nowhere.
-    pub(crate) fn rows(&self, now: Millis) -> Vec<HeldRow<'_>> {
+    pub(crate) fn held_rows(&self, now: Millis) -> Vec<HeldRow<'_>> {
         let row = |(print, held): (&RequestFingerprint, &'_ HeldBack)| {
             (*print, held.until.saturating_sub(now))
         };
@@ -59,7 +62,7 @@
 
     /// Whether an engine is known to have ended.
     pub(crate) fn has_ended(&self, engine: &EngineEntry) -> bool {
-        !self.ended.is_empty() && self.ended.contains(&life(engine))
+        !self.ended.is_empty() && self.ended.contains(&incarnation_of(engine))
     }
 }
 
@@ -72,7 +75,7 @@
 }
 
 /// The life of an engine that its entry tells of.
-pub(crate) fn life(engine: &EngineEntry) -> EngineIncarnation {
+pub(crate) fn incarnation_of(engine: &EngineEntry) -> EngineIncarnation {
     EngineIncarnation { engine: engine.id.clone(), born: engine.born }
 }
 
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -13,7 +13,7 @@
 use super::engine_table::EngineTable;
 use super::live::LiveStream;
 use super::metrics::GatewayMetrics;
-use super::suspicion::Suspicion;
+use super::quarantine_snapshot::QuarantineSnapshot;
 use crate::clock::Clock;
 
 /// Messages that wait for the control thread.
@@ -27,23 +27,23 @@
     /// A request found another engine at an engine's address.
     Replaced(Name),
     /// An engine does not hold its part of a path, or another one answers at its address.
-    Misplaced(Name),
+    LayerMismatch(Name),
     /// An engine refused its part of a path.
     Refused(Name),
     /// A call's connection to an engine was lost.
-    Lost(LostSend),
+    ConnectionLost(LostAttempt),
     /// A request under which engines ended was answered whole.
     Answered(RequestFingerprint),
     /// An engine that is said to have ended answered a call sent after that.
-    Incarnations(EngineIncarnation),
+    EngineAlive(EngineIncarnation),
     /// An engine says that it leaves.
-    Leaves(EngineIncarnation),
+    Draining(EngineIncarnation),
     /// A request that is held back came again.
     HeldBack(RequestFingerprint),
     /// An engine named another limit than before, or none any more.
     Limited(EngineIncarnation),
     /// A call wants to be sent to an engine that names a limit.
-    Rights(RightsWanted),
+    RightsWanted(RightsWanted),
 }
 
 /// Rights that are wanted to send requests to an engine.
@@ -52,23 +52,23 @@
     pub(crate) engine: Arc<EngineEntry>,
     pub(crate) count: u16,
     /// Nobody waits for it any more if the time to answer is over.
-    pub(crate) reply: oneshot::Sender<Granted>,
+    pub(crate) reply: oneshot::Sender<RightsGrant>,
 }
 
 /// What became of a question for rights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Granted {
+pub(crate) enum RightsGrant {
     /// So many were handed out to a question sent then.
-    Given(u16, Millis),
+    Issued(u16, Millis),
     /// None before so many milliseconds.
-    Wait(Millis),
+    RetryAfter(Millis),
     /// Nobody hands out rights who can be reached.
-    Nobody,
+    NoIssuer,
 }
 
 /// A send whose connection was lost while its engine may have been at work on it.
 #[derive(Clone, Debug)]
-pub(crate) struct LostSend {
+pub(crate) struct LostAttempt {
     pub(crate) engine: Arc<EngineEntry>,
     pub(crate) print: RequestFingerprint,
     /// Events that this send brought.
@@ -93,7 +93,7 @@
 }
 
 /// Takes a proof by a call sent at `sent`.
-pub(crate) fn prove(proof: &ArcSwap<Freshness>, sent: Millis) {
+pub(crate) fn record_proof(proof: &ArcSwap<Freshness>, sent: Millis) {
     let mut newest = **proof.load();
     newest.prove(sent);
     proof.store(Arc::new(newest));
@@ -112,13 +112,13 @@
     pub(crate) catalog: ArcSwapOption<Catalog>,
     pub(crate) table: ArcSwap<EngineTable>,
     /// Proof that the configuration in force is the newest.
-    pub(crate) fresh: ArcSwap<Freshness>,
+    pub(crate) config_freshness: ArcSwap<Freshness>,
     /// Proof that the engines known are those that the store lists.
-    pub(crate) listed: ArcSwap<Freshness>,
+    pub(crate) list_freshness: ArcSwap<Freshness>,
     /// Requests under which engines ended.
-    pub(crate) suspicion: ArcSwap<Suspicion>,
+    pub(crate) quarantine: ArcSwap<QuarantineSnapshot>,
     pub(crate) stopping: AtomicBool,
-    pub(crate) open: AtomicUsize,
+    pub(crate) open_calls: AtomicUsize,
     /// How often the VM has gone on after it was suspended.
     resumed: watch::Sender<u64>,
     notices: mpsc::Sender<Notice>,
@@ -140,11 +140,11 @@
             pool: Pool::new(),
             catalog: ArcSwapOption::empty(),
             table: ArcSwap::default(),
-            fresh: ArcSwap::default(),
-            listed: ArcSwap::default(),
-            suspicion: ArcSwap::default(),
+            config_freshness: ArcSwap::default(),
+            list_freshness: ArcSwap::default(),
+            quarantine: ArcSwap::default(),
             stopping: AtomicBool::new(false),
-            open: AtomicUsize::new(0),
+            open_calls: AtomicUsize::new(0),
             resumed: watch::Sender::new(0),
             notices,
         };
@@ -158,7 +158,7 @@
 
     /// Waits until a time of the node's clock, which timers alone would miss by as much as the VM is
     /// suspended meanwhile.
-    pub(crate) async fn reached(&self, at: Millis) {
+    pub(crate) async fn sleep_until(&self, at: Millis) {
         let mut resumed = self.resumed.subscribe();
         while self.now() < at {
             tokio::select! {
@@ -169,11 +169,15 @@
     }
 
     /// What work comes to, if it does before a time of the node's clock.
-    pub(crate) async fn before<T>(&self, at: Millis, work: impl Future<Output = T>) -> Option<T> {
+    pub(crate) async fn run_until<T>(
+        &self,
+        at: Millis,
+        work: impl Future<Output = T>,
+    ) -> Option<T> {
         tokio::select! {
             biased;
             done = work => Some(done),
-            () = self.reached(at) => None,
+            () = self.sleep_until(at) => None,
         }
     }
 
@@ -188,11 +192,11 @@
         !self.stopping.load(Relaxed)
             && self.catalog.load().is_some()
             && !self.table.load().services.is_empty()
-            && self.fresh.load().covers(self.now(), revoke)
+            && self.config_freshness.load().covers(self.now(), revoke)
     }
 
     /// Sends a notice to the control thread; false if it has no room.
-    pub(crate) fn tell(&self, notice: Notice) -> bool {
+    pub(crate) fn notify(&self, notice: Notice) -> bool {
         let told = self.notices.try_send(notice).is_ok();
         if !told {
             self.metrics.dropped.inc();
