--- a/crates/heathpitchd/src/gateway/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/backpressure.rs
@@ -1,4 +1,4 @@
-//! What engines ask for in their answers, taken note of the same way whoever reads them.
+//! Backpressure signals in engines' responses, recorded the same way for every kind of request.
 
 use heathpitch_core::{EngineEntry, Millis};
 use heathpitch_net::{AdvertisedLimit, BackpressureSignal};
@@ -9,63 +9,62 @@
 use super::quarantine_snapshot::incarnation_of;
 use super::shared::{Notice, Shared};
 
-/// An engine's answer, as the log names it.
+/// An engine's response, as the log identifies it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseInfo<'a> {
-    /// The engine.
     pub(crate) engine: &'a EngineEntry,
-    /// Call that it answers, or what this node asked of its own.
+    /// Id of the call that it answers, or the kind of a request of this node's own.
     pub(crate) of: &'a str,
-    /// Its status.
     pub(crate) status: u16,
-    /// When the call, or the question, was sent.
+    /// When the request was sent.
     pub(crate) sent: Millis,
 }
 
-/// # Wishes
+/// # Backpressure
 impl Shared {
-    /// Takes note of what an engine asks for in an answer; gives whether it says for the first time that it leaves.
+    /// Records the backpressure signal of a response; returns whether the engine announces for the
+    /// first time that it drains.
     ///
-    /// From here on it binds all that goes to the engine from this node, before any other node or controller
-    /// has heard of it.
+    /// It applies at once to everything that this node sends to the engine, before other nodes or
+    /// controllers have learned of it.
     pub(crate) fn record_backpressure(
         &self,
-        said: ResponseInfo<'_>,
-        asked: BackpressureSignal,
-        wish: &Backpressure,
+        response: ResponseInfo<'_>,
+        signal: BackpressureSignal,
+        backpressure: &Backpressure,
     ) -> bool {
-        let ResponseInfo { engine, of, status, sent } = said;
+        let ResponseInfo { engine, of, status, sent } = response;
         let now = self.now();
-        let limited = match asked.limit {
+        let limit_changed = match signal.limit {
             AdvertisedLimit::Unknown => false,
-            AdvertisedLimit::Unlimited => wish.limit().observe_none(sent, now),
+            AdvertisedLimit::Unlimited => backpressure.limit().observe_none(sent, now),
             AdvertisedLimit::Limited(rate) => {
-                self.metrics.wishes.with_label_values(&["limit"]).inc();
-                wish.limit().observe(rate, sent, now)
+                self.metrics.backpressure.with_label_values(&["limit"]).inc();
+                backpressure.limit().observe(rate, sent, now)
             }
         };
-        if let Some(time) = asked.pause {
-            wish.pause(time, rand::rng().random_range(0.0..1.0), now);
-            self.metrics.wishes.with_label_values(&["rest"]).inc();
+        if let Some(time) = signal.pause {
+            backpressure.pause(time, rand::rng().random_range(0.0..1.0), now);
+            self.metrics.backpressure.with_label_values(&["rest"]).inc();
         }
-        let leaves = asked.draining && wish.start_drain();
-        if asked.draining {
-            self.metrics.wishes.with_label_values(&["leave"]).inc();
+        let drain_started = signal.draining && backpressure.start_drain();
+        if signal.draining {
+            self.metrics.backpressure.with_label_values(&["leave"]).inc();
         }
-        if leaves || limited || asked.pause.is_some() {
+        if drain_started || limit_changed || signal.pause.is_some() {
             GatewayEvent::EngineBackpressure {
                 engine: engine.id.clone(),
                 answer: of.to_owned(),
                 status,
-                rest_ms: asked.pause,
-                leaves: asked.draining,
-                limit: wish.limit().rate(),
+                rest_ms: signal.pause,
+                leaves: signal.draining,
+                limit: backpressure.limit().rate(),
             }
             .log();
         }
-        if limited {
+        if limit_changed {
             self.notify(Notice::Limited(incarnation_of(engine)));
         }
-        leaves
+        drain_started
     }
 }
--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -291,7 +291,7 @@
                 view.stats.record_latency(done.saturating_sub(now), done);
                 answer
             }
-            () = live.abandonment() => {
+            () = live.abandoned() => {
                 Err(Failure::Lost("the first engine of the path does not answer".to_owned()))
             }
         }
--- a/crates/heathpitchd/src/gateway/call/relay.rs
+++ b/crates/heathpitchd/src/gateway/call/relay.rs
@@ -90,7 +90,7 @@
         let live = self.flow.live.clone();
         let abandoned = async {
             match &live {
-                Some(live) => live.abandonment().await,
+                Some(live) => live.abandoned().await,
                 None => std::future::pending().await,
             }
         };
--- a/crates/heathpitchd/src/gateway/engine_table.rs
+++ b/crates/heathpitchd/src/gateway/engine_table.rs
@@ -1,4 +1,4 @@
-//! Engines as traffic threads see them: an immutable snapshot.
+//! Snapshot of the listed engines that the traffic thread routes by.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,24 +8,26 @@
 use heathpitch_policy::{ChainEngine, EngineStats};
 use rand::Rng;
 
-/// Share of an engine's room beyond which it takes no new requests: beside it requests make each other be read anew.
-const ROOM_SHARE: f64 = 0.95;
-/// Cost of an engine without room, milliseconds a token: more than a path through another domain.
-const FULL: f64 = 16.0;
-/// Cost of an engine whose room is all taken, milliseconds a token: about two hops.
-const LOADED: f64 = 0.4;
-/// Wait for a first event that is no reason to start elsewhere, milliseconds: that of a domain with
-/// its usual load.
-const WAIT_USUAL: f64 = 90.0;
-/// Tokens over which a wait is shared out: a path through another domain is worth about a third of
-/// the time in which first events are wanted.
-const WAIT_SPREAD: f64 = 50.0;
-/// Cost of an engine that stands in for others, milliseconds a token: more than any detour inside a
-/// domain, so that it is free to take other layers.
-const REPLICA_PENALTY: f64 = 0.6;
-/// Spread of costs between engines that are alike, milliseconds a token: nodes do not all choose
-/// the same one.
-const JITTER: f64 = 0.02;
+/// Share of an engine's token capacity above which it gets no new requests: beyond it, requests
+/// evict each other's tokens and have to be prefilled again.
+const MAX_UTILIZATION: f64 = 0.95;
+/// Cost of an engine without capacity, milliseconds per token: more than a path through another
+/// failure domain.
+const FULL_PENALTY_MS: f64 = 16.0;
+/// Cost of an engine at full utilization, milliseconds per token: about two hops.
+const UTILIZATION_PENALTY_MS: f64 = 0.4;
+/// Time to the first event that is no reason to start at another engine, milliseconds: that of a
+/// failure domain under normal load.
+const NORMAL_WAIT_MS: f64 = 90.0;
+/// Tokens over which a wait is spread: a path through another failure domain costs about as much
+/// as a third of the latency target.
+const WAIT_SPREAD_TOKENS: f64 = 50.0;
+/// Cost of an engine that holds an extra copy of layers, milliseconds per token: more than any
+/// detour within a failure domain, so that the engine stays free to load other layers.
+const REPLICA_PENALTY_MS: f64 = 0.6;
+/// Random cost between equal engines, milliseconds per token, so that nodes do not all choose the
+/// same one.
+const JITTER_MS: f64 = 0.02;
 
 /// An engine and what this node knows of it.
 #[derive(Clone, Debug)]
@@ -33,49 +35,49 @@
     pub(crate) entry: Arc<EngineEntry>,
     pub(crate) card: Option<Card>,
     pub(crate) stats: Arc<EngineStats>,
-    /// Whether requests run through it by rule.
+    /// Whether it belongs to the primary chain, rather than holding an extra copy.
     pub(crate) is_primary: bool,
 }
 
 impl EngineView {
-    /// Whether it may be sent new work.
+    /// Whether it may be sent new requests.
     pub(crate) fn is_available(&self, now: Millis) -> bool {
         self.is_in_service(now) && self.stats.backpressure().admits(now)
     }
 
-    /// Whether nothing but a rest keeps it from new work.
+    /// Whether at most backpressure keeps it from new requests: it is neither draining nor suspect.
     pub(crate) fn is_in_service(&self, now: Millis) -> bool {
-        let leaves =
+        let draining =
             self.entry.state == EntryState::Leaving || self.stats.backpressure().is_draining();
-        !leaves && !self.stats.gauge().is_suspect(now)
+        !draining && !self.stats.gauge().is_suspect(now)
     }
 }
 
-/// What a path is looked for.
+/// What a path has to serve.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PathQuery<'a> {
     pub(crate) service: &'a Name,
     pub(crate) model: &'a LayeredModel,
-    /// Tokens that the request is likely to hold.
+    /// Tokens that the request is expected to hold.
     pub(crate) tokens: f64,
     pub(crate) now: Millis,
-    /// Path of a running request, whose engines hold its tokens already.
+    /// Path of a running request, whose engines already hold its tokens.
     pub(crate) current: Option<&'a Path>,
 }
 
 impl PathQuery<'_> {
-    fn keeps(&self, engine: &Name) -> bool {
+    fn is_on_current(&self, engine: &Name) -> bool {
         self.current.is_some_and(|path| path.stages().iter().any(|s| &s.engine == engine))
     }
 }
 
-/// All engines listed, by service.
+/// All listed engines, by service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EngineTable {
     pub(crate) services: HashMap<Name, Vec<EngineView>>,
     /// Nodes of this failure domain, at least 1.
     pub(crate) domain_size: u32,
-    /// Nodes of the fleet, if they are known.
+    /// Nodes of the fleet, if known.
     pub(crate) fleet_size: Option<u32>,
 }
 
@@ -85,43 +87,44 @@
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Engines that a path may run through for a request.
+    /// Usable engines that a path may run through, with their costs for this request.
     pub(crate) fn chain_engines(
         &self,
-        wanted: &PathQuery<'_>,
+        query: &PathQuery<'_>,
         usable: impl Fn(&EngineView) -> bool,
     ) -> Vec<ChainEngine> {
-        let &PathQuery { service, model, now, .. } = wanted;
-        let link = |s: &EngineView| {
+        let &PathQuery { service, model, now, .. } = query;
+        let chain_engine = |s: &EngineView| {
             let card = s.card.clone()?;
-            let kept = wanted.keeps(&s.entry.id);
-            let need = if kept { 0.0 } else { wanted.tokens };
-            let room = model.token_capacity(&card, s.entry.layers.count()).max(1.0);
+            let on_current = query.is_on_current(&s.entry.id);
+            let need = if on_current { 0.0 } else { query.tokens };
+            let capacity = model.token_capacity(&card, s.entry.layers.count()).max(1.0);
             let held = s.stats.occupancy().held(self.domain_size, now);
-            let share = (held + need) / room;
+            let utilization = (held + need) / capacity;
             let card = Card { step_factor: card.step_factor * s.stats.slowdown(now), ..card };
-            // One that is all but empty takes a request that fits it at all.
-            let taken = held > room * (1.0 - ROOM_SHARE) || need > room;
-            let full = !kept && taken && share > ROOM_SHARE;
-            let crowded = !kept && s.stats.is_deprioritized(now);
-            let jitter = rand::rng().random_range(0.0..JITTER);
-            let stand_in = if s.is_primary { 0.0 } else { REPLICA_PENALTY };
-            let none = if full || crowded { FULL } else { 0.0 };
-            let penalty = LOADED * share * share + none + stand_in + jitter;
-            let wait = s.stats.wait_ms(now) - WAIT_USUAL;
-            let start = wait.max(0.0) / WAIT_SPREAD;
+            // An engine that is almost empty takes any request that fits it at all.
+            let occupied = held > capacity * (1.0 - MAX_UTILIZATION) || need > capacity;
+            let full = !on_current && occupied && utilization > MAX_UTILIZATION;
+            let deprioritized = !on_current && s.stats.is_deprioritized(now);
+            let jitter = rand::rng().random_range(0.0..JITTER_MS);
+            let replica = if s.is_primary { 0.0 } else { REPLICA_PENALTY_MS };
+            let unavailable = if full || deprioritized { FULL_PENALTY_MS } else { 0.0 };
+            let penalty =
+                UTILIZATION_PENALTY_MS * utilization * utilization + unavailable + replica + jitter;
+            let wait = s.stats.wait_ms(now) - NORMAL_WAIT_MS;
+            let start_cost = wait.max(0.0) / WAIT_SPREAD_TOKENS;
             Some(ChainEngine {
                 entry: s.entry.clone(),
                 card,
                 penalty,
-                start_cost: start,
-                utilization: share,
+                start_cost,
+                utilization,
                 full,
-                deprioritized: crowded,
+                deprioritized,
             })
         };
         let views = self.engines_of(service).iter();
-        views.filter(|s| s.entry.layers.count() > 0 && usable(s)).filter_map(link).collect()
+        views.filter(|s| s.entry.layers.count() > 0 && usable(s)).filter_map(chain_engine).collect()
     }
 
     /// The engine at this address.
@@ -129,12 +132,12 @@
         self.services.values().flatten().find(|s| s.entry.address == address)
     }
 
-    /// The engines behind the first of a path, as far as they are listed.
+    /// The listed engines after the first one of a path.
     pub(crate) fn downstream_of(&self, path: &Path) -> Vec<&EngineView> {
         path.stages().iter().skip(1).filter_map(|s| self.by_id(s.engine.as_str())).collect()
     }
 
-    /// The engine of this id.
+    /// The engine with this id.
     pub(crate) fn by_id(&self, engine: &str) -> Option<&EngineView> {
         self.services.values().flatten().find(|s| s.entry.id.as_str() == engine)
     }
--- a/crates/heathpitchd/src/gateway/event_log.rs
+++ b/crates/heathpitchd/src/gateway/event_log.rs
@@ -1,9 +1,9 @@
-//! Stable names of a gateway's events, and how they are written.
+//! Names of a gateway's events, and how they are written to the log.
 
 use super::event::GatewayEvent;
 
 impl GatewayEvent {
-    /// Stable names of all events.
+    /// Names of all events; they do not change between versions.
     pub const NAMES: [&'static str; 39] = [
         "gateway_started",
         "gateway_reloaded",
@@ -63,7 +63,7 @@
         };
         match serde_json::to_string(self) {
             Ok(line) => log::log!(target: "heathpitch", level, "{line}"),
-            Err(e) => log::error!("an event could not be written: {e}"),
+            Err(e) => log::error!("cannot serialize an event: {e}"),
         }
     }
 }
--- a/crates/heathpitchd/src/gateway/live.rs
+++ b/crates/heathpitchd/src/gateway/live.rs
@@ -1,4 +1,4 @@
-//! Streams that run, as the control thread watches them.
+//! Running streams, shared between the traffic and the control thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -7,54 +7,55 @@
 use heathpitch_core::{Millis, Name, Path};
 use tokio::sync::Notify;
 
-/// Time that a look at a stream's engines and an order to move it take, milliseconds.
-const MOVE: Millis = 90;
-/// Least silence of a stream that has begun which is looked into, milliseconds: several passes of a
-/// loaded path.
-const SILENT_LEAST: Millis = 110;
-/// Most such silence, milliseconds: one stream in thirty pauses for longer while its engines work.
-const SILENT_MOST: Millis = 160;
+/// Time to probe the engines of a stream and to move it to another path.
+const REROUTE_MS: Millis = 90;
+/// Lower bound of the silence after which the engines of a started stream are probed: several decode steps
+/// of a loaded path.
+const MIN_SILENCE_MS: Millis = 110;
+/// Upper bound of that silence: one stream in thirty pauses for longer on healthy engines.
+const MAX_SILENCE_MS: Millis = 160;
 
-/// Silence from which a stream's engines are looked at, if callers take pauses up to `pause_ms` well:
-/// as long as leaves time to move it.
+/// Silence after which a stream's engines are probed, if callers tolerate pauses of up to
+/// `max_pause_ms`: as long as possible while it leaves time to move the stream.
 ///
-/// Streams pause while prompts are read: at the usual load one in six for 110 ms, one in thirty for
-/// 150, and each look asks all engines of a path. At 110 for all, a fleet of 59 nodes made 31 000
-/// connections a day only to look at engines that worked; at 150 for all, streams whose callers
-/// take 200 ms well were moved too late (0.72 to 0.66 of a day's worth).
-fn max_silence(pause_ms: Option<Millis>) -> Millis {
-    let most = pause_ms.map_or(SILENT_LEAST, |p| p.saturating_sub(MOVE));
-    most.clamp(SILENT_LEAST, SILENT_MOST)
+/// Streams pause during prefills: under normal load one in six for 110 ms and one in thirty for
+/// 150 ms, and each probe contacts all engines of a path. With 110 ms for all streams, a fleet of
+/// 59 nodes opened 31 000 connections a day only to probe healthy engines. With 150 ms for all,
+/// streams whose callers tolerate 200 ms were moved too late: a day's traffic yielded 0.66 of its
+/// value instead of 0.72.
+fn max_silence(max_pause_ms: Option<Millis>) -> Millis {
+    let silence = max_pause_ms.map_or(MIN_SILENCE_MS, |p| p.saturating_sub(REROUTE_MS));
+    silence.clamp(MIN_SILENCE_MS, MAX_SILENCE_MS)
 }
 
-/// One attempt of a stream; ends when traffic drops it.
+/// One attempt of a stream, until the traffic thread drops it.
 #[derive(Debug)]
 pub(crate) struct LiveStream {
     pub(crate) request: Arc<str>,
     pub(crate) service: Name,
     pub(crate) path: ArcSwap<Path>,
-    /// Tokens it is likely to hold.
+    /// Tokens that it is expected to hold.
     pub(crate) tokens: f64,
-    /// Silence, once it has begun, from which its engines are looked at.
+    /// Silence after which its engines are probed, once it has started.
     pub(crate) max_silence: Millis,
-    /// When it was given its path.
+    /// When it got its current path.
     pub(crate) routed: AtomicU64,
-    /// When something was last heard of it.
+    /// When its last event or its head was received.
     pub(crate) heard: AtomicU64,
-    /// Events passed on by this attempt.
+    /// Events relayed by this attempt.
     pub(crate) events: AtomicU64,
     abandoned: AtomicBool,
     notify: Notify,
 }
 
 impl LiveStream {
-    /// An attempt sent at `now`.
+    /// An attempt that is sent at `now`.
     pub(crate) fn new(
         request: Arc<str>,
         service: Name,
         path: Path,
         tokens: f64,
-        pause_ms: Option<Millis>,
+        max_pause_ms: Option<Millis>,
         now: Millis,
     ) -> Arc<Self> {
         Arc::new(Self {
@@ -62,7 +63,7 @@
             service,
             path: ArcSwap::from_pointee(path),
             tokens,
-            max_silence: max_silence(pause_ms),
+            max_silence: max_silence(max_pause_ms),
             routed: AtomicU64::new(now),
             heard: AtomicU64::new(now),
             events: AtomicU64::new(0),
@@ -71,37 +72,37 @@
         })
     }
 
-    /// Takes a new path at `now`.
+    /// Records that the stream was moved to another path.
     pub(crate) fn route(&self, path: Path, now: Millis) {
         self.path.store(Arc::new(path));
         self.routed.store(now, Relaxed);
     }
 
-    /// Takes note of events.
+    /// Records events received, or only a sign of life if there are none.
     pub(crate) fn record_events(&self, events: u64, now: Millis) {
         self.events.fetch_add(events, Relaxed);
         self.heard.store(now, Relaxed);
     }
 
-    /// Time since something was heard.
+    /// Time since anything was received.
     pub(crate) fn silence(&self, now: Millis) -> Millis {
         now.saturating_sub(self.heard.load(Relaxed))
     }
 
-    /// Tells traffic that the first engine is lost.
+    /// Tells the traffic thread that the first engine of the path is lost.
     pub(crate) fn abandon(&self) {
         self.abandoned.store(true, Relaxed);
         self.notify.notify_waiters();
         self.notify.notify_one();
     }
 
-    /// Takes it back: nothing better than the first engine was found.
+    /// Clears the abandoned state: no other engine took the stream, so it stays with the first one.
     pub(crate) fn cancel_abandon(&self) {
         self.abandoned.store(false, Relaxed);
     }
 
-    /// Waits until the first engine is known to be lost.
-    pub(crate) async fn abandonment(&self) {
+    /// Waits until the first engine of the path is reported lost.
+    pub(crate) async fn abandoned(&self) {
         while !self.abandoned.load(Relaxed) {
             self.notify.notified().await;
         }
--- a/crates/heathpitchd/src/gateway/metrics.rs
+++ b/crates/heathpitchd/src/gateway/metrics.rs
@@ -6,7 +6,7 @@
     TextEncoder,
 };
 
-/// Every metric of a gateway: name, help.
+/// Name and help of every metric of a gateway.
 pub const GATEWAY_METRICS: [(&str, &str); 20] = [
     ("heathpitch_calls_total", "Calls answered, by status"),
     ("heathpitch_call_refusals_total", "Calls refused or given up, by kind"),
@@ -33,12 +33,12 @@
     ("heathpitch_rights_total", "Questions for rights to ask engines that name a limit, by answer"),
 ];
 
-/// Bounds of the histogram of first answers, seconds.
-const FIRST: [f64; 10] = [0.01, 0.03, 0.06, 0.1, 0.2, 0.3, 0.5, 1.0, 3.0, 10.0];
-/// Bounds of the histogram of pauses, seconds.
-const PAUSE: [f64; 8] = [0.03, 0.06, 0.1, 0.15, 0.2, 0.5, 1.0, 2.0];
+/// Bucket bounds for the time to the head of an answer, seconds.
+const FIRST_BUCKETS_S: [f64; 10] = [0.01, 0.03, 0.06, 0.1, 0.2, 0.3, 0.5, 1.0, 3.0, 10.0];
+/// Bucket bounds for pauses between events, seconds.
+const PAUSE_BUCKETS_S: [f64; 8] = [0.03, 0.06, 0.1, 0.15, 0.2, 0.5, 1.0, 2.0];
 
-/// Every metric of a gateway.
+/// The metrics of a gateway.
 #[derive(Debug)]
 pub(crate) struct GatewayMetrics {
     registry: Registry,
@@ -60,7 +60,7 @@
     pub(crate) list_age: Gauge,
     pub(crate) held: IntGauge,
     pub(crate) era: IntGauge,
-    pub(crate) wishes: IntCounterVec,
+    pub(crate) backpressure: IntCounterVec,
     pub(crate) rights: IntCounterVec,
 }
 
@@ -69,11 +69,11 @@
     ///
     /// # Errors
     ///
-    /// What the library says of a name that it cannot take; none of these.
+    /// An error of the library for a name that it does not accept; these are all valid.
     pub(crate) fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let opts = |i: usize| Opts::new(GATEWAY_METRICS[i].0, GATEWAY_METRICS[i].1);
-        let bounded = |i: usize, bounds: &[f64]| {
+        let histogram = |i: usize, bounds: &[f64]| {
             let (name, help) = GATEWAY_METRICS[i];
             HistogramOpts::new(name, help).buckets(bounds.to_vec())
         };
@@ -83,8 +83,8 @@
             attempts: IntCounterVec::new(opts(2), &["result"])?,
             events: IntCounter::with_opts(opts(3))?,
             open: IntGauge::with_opts(opts(4))?,
-            first: Histogram::with_opts(bounded(5, &FIRST))?,
-            pause: Histogram::with_opts(bounded(6, &PAUSE))?,
+            first: Histogram::with_opts(histogram(5, &FIRST_BUCKETS_S))?,
+            pause: Histogram::with_opts(histogram(6, &PAUSE_BUCKETS_S))?,
             connections: IntCounter::with_opts(opts(7))?,
             store: IntCounterVec::new(opts(8), &["call", "result"])?,
             orders: IntCounterVec::new(opts(9), &["order", "result"])?,
@@ -96,7 +96,7 @@
             list_age: Gauge::with_opts(opts(15))?,
             held: IntGauge::with_opts(opts(16))?,
             era: IntGauge::with_opts(opts(17))?,
-            wishes: IntCounterVec::new(opts(18), &["wish"])?,
+            backpressure: IntCounterVec::new(opts(18), &["wish"])?,
             rights: IntCounterVec::new(opts(19), &["answer"])?,
             registry,
         };
@@ -126,16 +126,16 @@
             Box::new(self.list_age.clone()),
             Box::new(self.held.clone()),
             Box::new(self.era.clone()),
-            Box::new(self.wishes.clone()),
+            Box::new(self.backpressure.clone()),
             Box::new(self.rights.clone()),
         ]
     }
 
-    /// All metrics in the text format.
+    /// All metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::error!("metrics could not be written: {e}");
+            log::error!("cannot encode metrics: {e}");
         }
         text
     }
--- a/crates/heathpitchd/src/gateway/mod.rs
+++ b/crates/heathpitchd/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! A node that serves pass-through calls beside a platform's store.
+//! A gateway node: forwards calls to the engines of a platform.
 //!
-//! The control thread owns what is known of configuration, engines and nodes and publishes
+//! The control thread owns the state of configuration, engines and nodes and publishes it as
 //! snapshots; the traffic thread runs every call through a chain of filters. The platform is
-//! reached only through the traits of [`Edges`].
+//! reached only through the traits in [`Edges`].
 
 mod backpressure;
 mod call;
@@ -38,24 +38,24 @@
 pub use shared::Edges;
 use shared::Shared;
 
-/// Caller connections at once: below the descriptors of the smallest VM served.
-const CONNECTIONS: usize = 3_000;
-/// Bytes of a request's head; above any limit that a configuration may set for callers.
-const HEAD: usize = 32 << 10;
-/// Time for which a connection may rest before the next head: above any idle time that a
-/// configuration may promise to callers.
-const HEAD_TIME: Duration = Duration::from_secs(60);
-/// Time for which a stopping node goes on accepting: the balancer asks every second and takes a
-/// node out after two misses.
-const NOTICE: Duration = Duration::from_millis(2_600);
-/// Part of the time to stop that is left unused, so that the end is this process's own.
-const SPARE: Duration = Duration::from_millis(500);
-/// Time between two looks at whether calls are still open.
-const LOOK: Duration = Duration::from_millis(50);
+/// Concurrent caller connections: below the limit of file descriptors on the smallest supported VM.
+const MAX_CONNECTIONS: usize = 3_000;
+/// Size of a request's head; above any limit that a configuration may set for callers.
+const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Time for which a connection may be idle before the next head: above any idle timeout that a
+/// configuration may set for callers.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time for which a stopping node still accepts connections: the load balancer checks every second
+/// and removes a node after two failed checks.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2_600);
+/// Part of the grace period that is left unused, so that the process exits before it is killed.
+const GRACE_MARGIN: Duration = Duration::from_millis(500);
+/// Interval of checks whether calls are still open.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for connections to close once no call is open.
-const CLOSE: Duration = Duration::from_millis(300);
-/// Time between two looks at the settings file, which may change without a signal.
-const RELOAD: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval of checks of the settings file, which may change without a signal.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A running gateway node.
 #[derive(Debug)]
@@ -69,9 +69,9 @@
     listen: SocketAddr,
 }
 
-/// # Life
+/// # Lifecycle
 impl Gateway {
-    /// Binds every listener and starts all threads.
+    /// Binds all listeners and starts all threads.
     ///
     /// # Errors
     ///
@@ -79,16 +79,16 @@
     pub fn spawn(settings: GatewaySettings, edges: Edges) -> Result<Self, StartError> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let bind = |listener: &'static str, address: SocketAddr| {
-            let _inside = runtime.enter();
+            let _guard = runtime.enter();
             Listener::bind(address).map_err(|source| StartError::Bind { listener, address, source })
         };
-        let callers = bind("listen", settings.listen)?;
+        let listener = bind("listen", settings.listen)?;
         let ready = bind("ready", settings.ready)?;
         let metrics = bind("metrics", settings.metrics)?;
         let peers = settings.peer.map(|address| bind("peer", address)).transpose()?;
         let peer = peers.as_ref().map(Listener::address);
-        let listen = callers.address();
-        let counted = GatewayMetrics::new().map_err(io::Error::other)?;
+        let listen = listener.address();
+        let collectors = GatewayMetrics::new().map_err(io::Error::other)?;
         GatewayEvent::GatewayStarted {
             node: settings.node.clone(),
             domain: settings.domain.clone(),
@@ -100,7 +100,7 @@
         .log();
         let (ready, metrics) = (ready.into_std()?, metrics.into_std()?);
         let peers = peers.map(Listener::into_std).transpose()?;
-        let (shared, inbox) = Shared::new(settings, peer, counted);
+        let (shared, inbox) = Shared::new(settings, peer, collectors);
         let (stop_control, control_stopped) = watch::channel(false);
         let (stop_traffic, traffic_stopped) = watch::channel(false);
         let listeners = move || {
@@ -117,18 +117,19 @@
             shared: shared.clone(),
             edges,
         });
-        let bounds = Bounds { connections: CONNECTIONS, head: HEAD, head_time: HEAD_TIME };
-        let served = runtime.spawn(serve(callers, bounds, traffic_stopped, move |request| {
+        let bounds =
+            Bounds { connections: MAX_CONNECTIONS, head: MAX_HEAD_BYTES, head_time: HEAD_TIMEOUT };
+        let served = runtime.spawn(serve(listener, bounds, traffic_stopped, move |request| {
             call::handle(traffic.clone(), request)
         }));
         Ok(Self { shared, runtime, control, stop_traffic, stop_control, served, listen })
     }
 
-    /// Serves until SIGTERM or SIGINT; reads `settings` again when it changes or on SIGHUP.
+    /// Serves until SIGTERM or SIGINT; reloads `settings` when the file changes or on SIGHUP.
     ///
     /// # Errors
     ///
-    /// [`StartError`] if signals cannot be listened to.
+    /// [`StartError`] if a signal handler cannot be installed.
     pub fn serve(&self, settings: &Path) -> Result<(), StartError> {
         let path = settings.to_owned();
         self.runtime.block_on(async {
@@ -147,34 +148,35 @@
         })
     }
 
-    /// Stops: says at once that it is not ready, accepts while the balancer takes notice, then
-    /// lets calls end within the time to stop. Gives the number of calls cut off.
+    /// Shuts down: reports at once that it is not ready, accepts connections until the load balancer
+    /// has removed the node, then lets calls finish within the grace period. Returns the number of
+    /// calls cut off.
     pub fn stop(self) -> usize {
         let shared = self.shared.clone();
         shared.stopping.store(true, Relaxed);
         GatewayEvent::GatewayStopping { open: shared.open_calls.load(Relaxed) }.log();
         let grace = Duration::from_secs_f64(shared.settings.load().bounds.grace_s);
         let cut = self.runtime.block_on(async {
-            tokio::time::sleep(NOTICE).await;
+            tokio::time::sleep(DEREGISTRATION_DELAY).await;
             self.stop_traffic.send_replace(true);
             let idle = async {
                 while shared.open_calls.load(Relaxed) > 0 {
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
                 }
             };
-            let left = grace.saturating_sub(NOTICE + SPARE);
+            let left = grace.saturating_sub(DEREGISTRATION_DELAY + GRACE_MARGIN);
             let ended = tokio::time::timeout(left, idle).await.is_ok();
             if ended {
-                // Connections that stay open after this hold no call.
-                let _ = tokio::time::timeout(CLOSE, self.served).await;
+                // Connections that are still open after this carry no call.
+                let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.served).await;
             }
             shared.open_calls.load(Relaxed)
         });
         self.stop_control.send_replace(true);
         match self.control.join() {
             Ok(Ok(())) => {}
-            Ok(Err(e)) => log::error!("the control thread ended: {e}"),
-            Err(_) => log::error!("the control thread ended in a panic"),
+            Ok(Err(e)) => log::error!("control thread failed: {e}"),
+            Err(_) => log::error!("control thread panicked"),
         }
         self.runtime.shutdown_background();
         GatewayEvent::GatewayStopped { cut }.log();
@@ -182,24 +184,24 @@
     }
 }
 
-/// # Reading
+/// # Accessors
 impl Gateway {
-    /// Address for callers.
+    /// Address that callers connect to.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
 }
 
-/// Reads the settings again on SIGHUP, and when their file has another time.
+/// Reloads the settings on SIGHUP, and when the modification time of their file changes.
 async fn reload(shared: Arc<Shared>, path: PathBuf, mut hup: Signal) {
-    let mut seen = changed(&path);
+    let mut seen = modified(&path);
     loop {
-        let asked = tokio::select! {
+        let signalled = tokio::select! {
             _ = hup.recv() => true,
-            () = tokio::time::sleep(RELOAD) => false,
+            () = tokio::time::sleep(RELOAD_INTERVAL) => false,
         };
-        let now = changed(&path);
-        if !asked && now == seen {
+        let now = modified(&path);
+        if !signalled && now == seen {
             continue;
         }
         seen = now;
@@ -216,7 +218,7 @@
     }
 }
 
-/// Has the VM seem suspended at each SIGUSR2.
+/// Simulates a suspension of the VM on each SIGUSR2.
 #[cfg(feature = "seams")]
 async fn suspend(mut usr: Signal) {
     while usr.recv().await.is_some() {
@@ -224,6 +226,6 @@
     }
 }
 
-fn changed(path: &Path) -> Option<SystemTime> {
+fn modified(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -1,4 +1,5 @@
-//! What a gateway's threads share: snapshots, counters and one bounded channel.
+//! State shared by the threads of a gateway: snapshots, counters and a bounded channel to the
+//! control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,73 +17,73 @@
 use super::quarantine_snapshot::QuarantineSnapshot;
 use crate::clock::Clock;
 
-/// Messages that wait for the control thread.
-const CONTROL_ROOM: usize = 4_096;
+/// Capacity of the channel to the control thread, messages.
+const CONTROL_CAPACITY: usize = 4_096;
 
-/// A message of the traffic thread to the control thread.
+/// A message from the traffic thread to the control thread.
 #[derive(Debug)]
 pub(crate) enum Notice {
     /// A stream was sent.
     Stream(Arc<LiveStream>),
-    /// A request found another engine at an engine's address.
+    /// Another engine answered at an engine's address.
     Replaced(Name),
-    /// An engine does not hold its part of a path, or another one answers at its address.
+    /// An engine does not hold its layers of a path, or another one answers at its address.
     LayerMismatch(Name),
-    /// An engine refused its part of a path.
+    /// An engine refused its stage of a path.
     Refused(Name),
-    /// A call's connection to an engine was lost.
+    /// The connection of a call to an engine was lost.
     ConnectionLost(LostAttempt),
-    /// A request under which engines ended was answered whole.
+    /// An engine answered a request completely that engines had exited on before.
     Answered(RequestFingerprint),
-    /// An engine that is said to have ended answered a call sent after that.
+    /// An engine that was reported as exited answered a call sent after the report.
     EngineAlive(EngineIncarnation),
-    /// An engine says that it leaves.
+    /// An engine announced that it drains.
     Draining(EngineIncarnation),
-    /// A request that is held back came again.
+    /// A request that is held back was sent again by a caller.
     HeldBack(RequestFingerprint),
-    /// An engine named another limit than before, or none any more.
+    /// An engine changed or removed its rate limit.
     Limited(EngineIncarnation),
-    /// A call wants to be sent to an engine that names a limit.
+    /// A call needs a right for an engine with a rate limit.
     RightsWanted(RightsWanted),
 }
 
-/// Rights that are wanted to send requests to an engine.
+/// A request for rights to send requests to an engine with a rate limit.
 #[derive(Debug)]
 pub(crate) struct RightsWanted {
     pub(crate) engine: Arc<EngineEntry>,
     pub(crate) count: u16,
-    /// Nobody waits for it any more if the time to answer is over.
+    /// Closed once the caller has stopped waiting.
     pub(crate) reply: oneshot::Sender<RightsGrant>,
 }
 
-/// What became of a question for rights.
+/// Outcome of a request for rights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RightsGrant {
-    /// So many were handed out to a question sent then.
+    /// Number of rights issued, and when the request for them was sent.
     Issued(u16, Millis),
-    /// None before so many milliseconds.
+    /// No right for so many milliseconds.
     RetryAfter(Millis),
-    /// Nobody hands out rights who can be reached.
+    /// No node that issues rights can be reached.
     NoIssuer,
 }
 
-/// A send whose connection was lost while its engine may have been at work on it.
+/// An attempt whose connection was lost while its engine may have been running it.
 #[derive(Clone, Debug)]
 pub(crate) struct LostAttempt {
     pub(crate) engine: Arc<EngineEntry>,
     pub(crate) print: RequestFingerprint,
-    /// Events that this send brought.
+    /// Events received in this attempt.
     pub(crate) events: u32,
 }
 
-/// The platform, as an adapter speaks it.
+/// Adapters to the platform that the gateway runs on.
 #[derive(Clone)]
 pub struct Edges {
-    /// Its store.
+    /// The key-value store.
     pub store: Arc<dyn Store>,
-    /// Its documents and heads.
+    /// Formats of documents and request headers.
     pub dialect: Arc<dyn Dialect>,
-    /// Orders to engines.
+    /// Control requests to engines.
     pub orders: Arc<dyn EngineControl>,
 }
 
@@ -92,18 +93,18 @@
     }
 }
 
-/// Takes a proof by a call sent at `sent`.
-pub(crate) fn record_proof(proof: &ArcSwap<Freshness>, sent: Millis) {
-    let mut newest = **proof.load();
+/// Records that data was confirmed as current by a call sent at `sent`.
+pub(crate) fn record_proof(freshness: &ArcSwap<Freshness>, sent: Millis) {
+    let mut newest = **freshness.load();
     newest.prove(sent);
-    proof.store(Arc::new(newest));
+    freshness.store(Arc::new(newest));
 }
 
-/// Shared by all threads of a gateway.
+/// State shared by all threads of a gateway.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: ArcSwap<GatewaySettings>,
-    /// Where other nodes ask this one, if they may.
+    /// Address at which other nodes reach this one, if it listens to them.
     pub(crate) peer: Option<SocketAddr>,
     pub(crate) clock: Clock,
     pub(crate) metrics: GatewayMetrics,
@@ -111,27 +112,28 @@
     pub(crate) pool: Pool,
     pub(crate) catalog: ArcSwapOption<Catalog>,
     pub(crate) table: ArcSwap<EngineTable>,
-    /// Proof that the configuration in force is the newest.
+    /// When the configuration in force was last confirmed as the newest.
     pub(crate) config_freshness: ArcSwap<Freshness>,
-    /// Proof that the engines known are those that the store lists.
+    /// When the known engines were last confirmed to match the store.
     pub(crate) list_freshness: ArcSwap<Freshness>,
-    /// Requests under which engines ended.
+    /// Requests that engines exited on.
     pub(crate) quarantine: ArcSwap<QuarantineSnapshot>,
     pub(crate) stopping: AtomicBool,
     pub(crate) open_calls: AtomicUsize,
-    /// How often the VM has gone on after it was suspended.
+    /// How often the VM was resumed after a suspension.
     resumed: watch::Sender<u64>,
     notices: mpsc::Sender<Notice>,
 }
 
 impl Shared {
-    /// Shared state of a gateway that knows nothing yet.
+    /// State of a gateway that has no configuration and no engines yet, and the receiving end of its
+    /// notices.
     pub(crate) fn new(
         settings: GatewaySettings,
         peer: Option<SocketAddr>,
         metrics: GatewayMetrics,
     ) -> (Arc<Self>, mpsc::Receiver<Notice>) {
-        let (notices, inbox) = mpsc::channel(CONTROL_ROOM);
+        let (notices, inbox) = mpsc::channel(CONTROL_CAPACITY);
         let shared = Self {
             settings: ArcSwap::from_pointee(settings),
             peer,
@@ -151,13 +153,13 @@
         (Arc::new(shared), inbox)
     }
 
-    /// Now, on the node's clock.
+    /// Current time of the node's clock.
     pub(crate) fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Waits until a time of the node's clock, which timers alone would miss by as much as the VM is
-    /// suspended meanwhile.
+    /// Sleeps until a time of the node's clock. A timer alone would fire too late by the time for
+    /// which the VM is suspended meanwhile.
     pub(crate) async fn sleep_until(&self, at: Millis) {
         let mut resumed = self.resumed.subscribe();
         while self.now() < at {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// What work comes to, if it does before a time of the node's clock.
+    /// Runs a future until a time of the node's clock; none if it has not finished by then.
     pub(crate) async fn run_until<T>(
         &self,
         at: Millis,
@@ -181,26 +183,26 @@
         }
     }
 
-    /// The VM goes on after it was suspended: all that waits for a time looks again.
+    /// Makes all sleepers check the clock again, after the VM was suspended.
     pub(crate) fn resume(&self) {
-        self.resumed.send_modify(|times| *times += 1);
+        self.resumed.send_modify(|count| *count += 1);
     }
 
-    /// Whether the balancer should send new connections here.
+    /// Whether the load balancer should send new connections here.
     pub(crate) fn ready(&self) -> bool {
-        let revoke = self.settings.load().bounds.revoke_ms;
+        let revoke_ms = self.settings.load().bounds.revoke_ms;
         !self.stopping.load(Relaxed)
             && self.catalog.load().is_some()
             && !self.table.load().services.is_empty()
-            && self.config_freshness.load().covers(self.now(), revoke)
+            && self.config_freshness.load().covers(self.now(), revoke_ms)
     }
 
-    /// Sends a notice to the control thread; false if it has no room.
+    /// Sends a notice to the control thread; false if its channel is full.
     pub(crate) fn notify(&self, notice: Notice) -> bool {
-        let told = self.notices.try_send(notice).is_ok();
-        if !told {
+        let sent = self.notices.try_send(notice).is_ok();
+        if !sent {
             self.metrics.dropped.inc();
         }
-        told
+        sent
     }
 }
