--- a/crates/heathpitchd/src/gateway/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/backpressure.rs
@@ -56,8 +56,8 @@
                 engine: engine.id.clone(),
                 answer: of.to_owned(),
                 status,
-                rest_ms: signal.pause,
-                leaves: signal.draining,
+                pause_ms: signal.pause,
+                draining: signal.draining,
                 limit: backpressure.limit().rate(),
             }
             .log();
--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -1,4 +1,4 @@
-//! Filter: reads a call, finds its route and client account, and lets it in.
+//! Filter: reads a call, finds its route and client account, and admits or refuses it.
 
 use std::sync::{Arc, OnceLock};
 
@@ -14,14 +14,14 @@
 use crate::gateway::quarantine_snapshot::HeldBack;
 use crate::gateway::shared::{Notice, Shared};
 
-/// Age of a proof beyond which the configuration in force is not believed to be the newest, so
-/// that a call it does not know is put off rather than denied, milliseconds.
-const DENIAL_AGE: Millis = 1_900;
-/// Part of the time agreed for removed keys that is not used: the store may have answered before
-/// the moment counted from.
-const REVOKE_MARGIN: Millis = 300;
+/// Time since the configuration was last confirmed after which it may be outdated, so that a call
+/// that it does not allow gets a 503 rather than a denial.
+const MAX_DENIAL_AGE_MS: Millis = 1_900;
+/// Part of the agreed time for revoking keys that is not used: the store may have answered before
+/// the moment from which the time is counted.
+const REVOKE_MARGIN_MS: Millis = 300;
 
-/// A call that was let in.
+/// An admitted call.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) head: CallHead,
@@ -31,26 +31,26 @@
     pub(crate) service: Arc<ServiceSpec>,
     pub(crate) holder: Option<KeyHolder>,
     pub(crate) received: Millis,
-    pub(crate) until: Millis,
-    print: OnceLock<RequestFingerprint>,
+    pub(crate) deadline: Millis,
+    fingerprint: OnceLock<RequestFingerprint>,
 }
 
 impl Call {
-    /// Time left at `now`.
+    /// Time left until the deadline.
     pub(crate) fn left(&self, now: Millis) -> Millis {
-        self.until.saturating_sub(now)
+        self.deadline.saturating_sub(now)
     }
 
-    /// Its print; worked out when it is first asked for, which most calls never are.
-    pub(crate) fn print(&self) -> RequestFingerprint {
-        *self.print.get_or_init(|| {
+    /// Its fingerprint; computed on first use, as most calls never need it.
+    pub(crate) fn fingerprint(&self) -> RequestFingerprint {
+        *self.fingerprint.get_or_init(|| {
             let account = self.holder.as_ref().map(|h| h.account.as_str());
             let body = &self.body;
             RequestFingerprint::new(body.method.as_str(), &body.target, account, &body.content)
         })
     }
 
-    /// Its rank, 0 first.
+    /// Its priority rank; 0 is the highest.
     pub(crate) fn rank(&self) -> u8 {
         self.holder.as_ref().and_then(|h| h.rank).unwrap_or(self.route.rank)
     }
@@ -70,10 +70,10 @@
     let id = head.id.clone();
     let shared = &traffic.shared;
     let Some(catalog) = shared.catalog.load_full() else {
-        let detail = "no configuration is known yet";
+        let detail = "no configuration has been loaded yet";
         return Err(Refused::unsent(RefusedKind::Unconfigured, &id, detail));
     };
-    let current = shared.config_freshness.load().covers(received, DENIAL_AGE);
+    let current = shared.config_freshness.load().covers(received, MAX_DENIAL_AGE_MS);
     let deny = |kind, detail: String| match current {
         true => Refused::unsent(kind, &id, detail),
         false => Refused::unsent(RefusedKind::Unconfigured, &id, detail),
@@ -86,64 +86,69 @@
         .authenticate(&route, head.key.as_deref())
         .map_err(|e| deny(RefusedKind::BadKey, e.to_string()))?
         .cloned();
-    let revoke = shared.settings.load().bounds.revoke_ms.saturating_sub(REVOKE_MARGIN);
-    if holder.is_some() && !shared.config_freshness.load().covers(received, revoke) {
-        let detail = "whether the key still holds is not known";
+    let revoke_ms = shared.settings.load().bounds.revoke_ms.saturating_sub(REVOKE_MARGIN_MS);
+    if holder.is_some() && !shared.config_freshness.load().covers(received, revoke_ms) {
+        let detail = "the known keys are too old to tell whether this one is still valid";
         return Err(Refused::unsent(RefusedKind::StaleKeys, &id, detail));
     }
-    let service = service(&catalog, &route, &id)?;
+    let service = pick_service(&catalog, &route, &id)?;
     let limit = head.deadline.unwrap_or(route.timeout_ms).min(route.timeout_ms);
-    let until = received + limit;
-    let content = content(body, &catalog, &id).await?;
+    let deadline = received + limit;
+    let content = read_body(body, &catalog, &id).await?;
     let target = parts.uri.path_and_query().map_or("/", |p| p.as_str()).to_owned();
     let body = CallBody { method: parts.method, target, headers: parts.headers, content };
-    let print = OnceLock::new();
-    let call = Call { head, body, catalog, route, service, holder, received, until, print };
-    match shared.quarantine.load().held_back(|| call.print()) {
+    let fingerprint = OnceLock::new();
+    let call =
+        Call { head, body, catalog, route, service, holder, received, deadline, fingerprint };
+    match shared.quarantine.load().held_back(|| call.fingerprint()) {
         Some(held) => Err(hold_back(shared, &call, held)),
         None => Ok(call),
     }
 }
 
-/// Refuses a call under which engines end, until its request is let through again.
+/// Refuses a call whose request engines exited on, until that request is let through again.
 ///
-/// With a status that says that it did not run, which is true of this call, and with the time after which
-/// it may: one that denies it for good would be wrong once the engines are mended.
+/// The status says that this call did not run, and `Retry-After` when it may: a permanent denial
+/// would be wrong once the engines are fixed.
 fn hold_back(shared: &Shared, call: &Call, held: &HeldBack) -> Refused {
     let left = held.until.saturating_sub(shared.now());
     if Quarantine::is_renewal_due(left) {
-        shared.notify(Notice::HeldBack(call.print()));
+        shared.notify(Notice::HeldBack(call.fingerprint()));
     }
     let detail = held.to_string();
-    Refused::unsent(RefusedKind::HeldBack, &call.head.id, detail).until(left)
+    Refused::unsent(RefusedKind::HeldBack, &call.head.id, detail).with_retry_after(left)
 }
 
-fn service(catalog: &Catalog, route: &CallRoute, id: &str) -> Result<Arc<ServiceSpec>, Refused> {
+fn pick_service(
+    catalog: &Catalog,
+    route: &CallRoute,
+    id: &str,
+) -> Result<Arc<ServiceSpec>, Refused> {
     let name = route.target(rand::rng().random_range(0.0..1.0));
     catalog.services.get(name).cloned().ok_or_else(|| {
-        let detail = format!("service {name} of the route is not declared");
+        let detail = format!("service {name} of the route is not in the configuration");
         Refused::unsent(RefusedKind::NoEngine, id, detail)
     })
 }
 
-/// The whole body, so that it can be sent again.
-async fn content(body: Incoming, catalog: &Catalog, id: &str) -> Result<bytes::Bytes, Refused> {
+/// Reads the whole body, so that it can be sent again.
+async fn read_body(body: Incoming, catalog: &Catalog, id: &str) -> Result<bytes::Bytes, Refused> {
     if body.is_end_stream() {
         return Ok(bytes::Bytes::new());
     }
     let limits = catalog.limits;
-    let time = std::time::Duration::from_millis(limits.idle_timeout_ms);
-    match tokio::time::timeout(time, read(body, limits.max_body_bytes)).await {
+    let timeout = std::time::Duration::from_millis(limits.idle_timeout_ms);
+    match tokio::time::timeout(timeout, read(body, limits.max_body_bytes)).await {
         Ok(Ok(content)) => Ok(content),
         Ok(Err(BodyError::TooLarge)) => {
-            let detail = format!("the body has more than {} bytes", limits.max_body_bytes);
+            let detail = format!("the body is larger than {} bytes", limits.max_body_bytes);
             Err(Refused::unsent(RefusedKind::TooLarge, id, detail))
         }
         Ok(Err(e @ BodyError::Truncated)) => {
             Err(Refused::unsent(RefusedKind::CutBody, id, e.to_string()))
         }
         Err(_) => {
-            let detail = "the body did not come in time";
+            let detail = "timed out reading the body";
             Err(Refused::unsent(RefusedKind::CutBody, id, detail))
         }
     }
--- a/crates/heathpitchd/src/gateway/call/mod.rs
+++ b/crates/heathpitchd/src/gateway/call/mod.rs
@@ -1,11 +1,10 @@
-//! Pass-through calls: a chain of filters from a caller's request to its final answer.
+//! Calls: a chain of filters from a caller's request to its final answer.
 //!
-//! `admit` reads the head, finds route and account and checks that what is known of keys is new
-//! enough; `single` and `stream` run the call; `flow` is a stream over all its sends; `send` is one
-//! dispatch to one engine, `record` what is logged of it; `rights` are what a send needs to an engine that
-//! names a limit; `budget` bounds second sends, `returns` tells
-//! refused callers when to come back; `pick` chooses engines; `relay` passes a stream's events on. A
-//! filter ends a call with a `Refused`.
+//! `admit` reads the head, finds route and account and checks that the known keys are recent enough.
+//! `single` and `stream` run the call; `flow` is a stream over all its attempts, `send` one attempt
+//! at one engine, `record` its log lines. `rights` are needed to send to a rate-limited engine.
+//! `retry_budgets` bounds retries, `retry_schedules` sets `Retry-After` times, `pick` chooses
+//! engines, `relay` forwards a stream's events. A filter ends a call with a `Refused`.
 
 mod admit;
 mod flow;
@@ -34,7 +33,7 @@
 use super::shared::{Edges, Shared};
 use open::OpenCall;
 
-/// What the traffic thread works with.
+/// State of the traffic thread.
 pub(crate) struct Traffic {
     pub(crate) shared: Arc<Shared>,
     pub(crate) edges: Edges,
@@ -43,7 +42,7 @@
     pub(crate) retry_schedules: RetrySchedules,
 }
 
-/// Answers one call.
+/// Handles one call.
 pub(crate) async fn handle(traffic: Arc<Traffic>, request: Request<Incoming>) -> Response<Body> {
     let received = traffic.shared.now();
     let open = OpenCall::new(traffic.shared.clone());
@@ -51,7 +50,7 @@
         Ok(call) => Arc::new(call),
         Err(refused) => return refused.respond(&traffic.shared),
     };
-    traffic.retry_budgets.earn(&call.service.name);
+    traffic.retry_budgets.record_call(&call.service.name);
     let answer = match call.route.kind.streams() {
         true => stream::run(traffic.clone(), call, open).await,
         false => single::run(&traffic, &call).await,
--- a/crates/heathpitchd/src/gateway/call/open.rs
+++ b/crates/heathpitchd/src/gateway/call/open.rs
@@ -1,4 +1,4 @@
-//! Counts of open calls and of what they hold at engines.
+//! Guards that count open calls, waiting requests and held tokens.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -7,7 +7,7 @@
 
 use crate::gateway::shared::Shared;
 
-/// Counts a call until it is dropped.
+/// Counts an open call until dropped.
 pub(crate) struct OpenCall(Arc<Shared>);
 
 impl OpenCall {
@@ -25,40 +25,40 @@
     }
 }
 
-/// Counts a request that waits for its first answer until it is dropped.
-pub(crate) struct Waiting(Arc<EngineStats>);
+/// Counts a request that waits for its first response until dropped.
+pub(crate) struct WaitingRequest(Arc<EngineStats>);
 
-impl Waiting {
+impl WaitingRequest {
     pub(crate) fn new(stats: Arc<EngineStats>) -> Self {
         stats.wait_began();
         Self(stats)
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingRequest {
     fn drop(&mut self) {
         self.0.wait_ended();
     }
 }
 
-/// Counts a call's tokens at engines until it is dropped.
-pub(crate) struct Held {
+/// Counts a call's tokens on its engines until dropped.
+pub(crate) struct HeldTokens {
     shared: Arc<Shared>,
-    tallies: Vec<Arc<EngineStats>>,
+    stats: Vec<Arc<EngineStats>>,
     tokens: u64,
 }
 
-impl Held {
-    pub(crate) fn new(shared: Arc<Shared>, tallies: Vec<Arc<EngineStats>>, tokens: u64) -> Self {
+impl HeldTokens {
+    pub(crate) fn new(shared: Arc<Shared>, stats: Vec<Arc<EngineStats>>, tokens: u64) -> Self {
         let now = shared.now();
-        tallies.iter().for_each(|t| t.open(tokens, now));
-        Self { shared, tallies, tokens }
+        stats.iter().for_each(|t| t.open(tokens, now));
+        Self { shared, stats, tokens }
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldTokens {
     fn drop(&mut self) {
         let now = self.shared.now();
-        self.tallies.iter().for_each(|t| t.close(self.tokens, now));
+        self.stats.iter().for_each(|t| t.close(self.tokens, now));
     }
 }
--- a/crates/heathpitchd/src/gateway/call/record.rs
+++ b/crates/heathpitchd/src/gateway/call/record.rs
@@ -1,4 +1,4 @@
-//! Log lines and counts that calls with one whole answer and streams share.
+//! Log lines and counts that single calls and streams share.
 
 use bytes::Bytes;
 use heathpitch_core::{Name, Path};
@@ -12,19 +12,19 @@
 use crate::gateway::event::{GatewayEvent, parts};
 use crate::gateway::shared::Notice;
 
-/// One send of a call.
+/// One attempt of a call.
 #[derive(Clone, Copy)]
-pub(crate) struct Sending<'a> {
+pub(crate) struct Attempt<'a> {
     pub(crate) traffic: &'a Traffic,
     pub(crate) call: &'a Call,
-    /// Engine asked.
+    /// Engine that it is sent to.
     pub(crate) engine: &'a Name,
-    /// Number of the send, from 1.
+    /// Number of the attempt, from 1.
     pub(crate) attempt: u32,
 }
 
-impl Sending<'_> {
-    /// The call is sent.
+impl Attempt<'_> {
+    /// Records that the call is sent.
     pub(crate) fn routed(self, path: Option<&Path>, after: Option<u64>) {
         let now = self.traffic.shared.now();
         GatewayEvent::CallRouted {
@@ -42,7 +42,7 @@
         .log();
     }
 
-    /// The send failed after `events` events were passed on.
+    /// Records that the attempt failed after `events` events were relayed.
     pub(crate) fn failed(self, failure: &Failure, events: u64) {
         let lost = matches!(failure, Failure::Lost(_));
         self.traffic.shared.metrics.attempts.with_label_values(&["failed"]).inc();
@@ -53,28 +53,28 @@
             error: failure.to_string(),
             not_run: !lost,
             events,
-            print: lost.then(|| self.call.print()),
+            fingerprint: lost.then(|| self.call.fingerprint()),
         }
         .log();
     }
 }
 
-/// An engine answered a call whole, so that no engine ended by it.
-pub(crate) fn answered(traffic: &Traffic, call: &Call) {
-    if traffic.shared.quarantine.load().is_suspect(|| call.print()) {
-        traffic.shared.notify(Notice::Answered(call.print()));
+/// Records that an engine answered a call completely, so that the call did not crash it.
+pub(crate) fn record_answered(traffic: &Traffic, call: &Call) {
+    if traffic.shared.quarantine.load().is_suspect(|| call.fingerprint()) {
+        traffic.shared.notify(Notice::Answered(call.fingerprint()));
     }
 }
 
-/// The answer to a caller that gets an engine's whole answer after so many sends.
-pub(crate) fn pass_on(
+/// Turns an engine's complete answer into the answer to the caller, after so many attempts.
+pub(crate) fn final_answer(
     traffic: &Traffic,
     call: &Call,
     sends: u32,
     mut parts: Parts,
     content: Bytes,
 ) -> Response<Body> {
-    answered(traffic, call);
+    record_answered(traffic, call);
     let ms = traffic.shared.now().saturating_sub(call.received);
     traffic.shared.metrics.first.observe(ms as f64 / 1e3);
     GatewayEvent::CallEnded {
--- a/crates/heathpitchd/src/gateway/call/refused.rs
+++ b/crates/heathpitchd/src/gateway/call/refused.rs
@@ -1,4 +1,4 @@
-//! Calls that end without an engine's answer.
+//! Calls that end without an answer from an engine.
 
 use heathpitch_core::{Evidence, Millis, Outcome};
 use heathpitch_net::{Body, json};
@@ -12,40 +12,40 @@
 /// Why a call was refused or given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RefusedKind {
-    /// No configuration is known yet, or none that is new enough to say no.
+    /// There is no configuration yet, or it is too old to deny a call.
     Unconfigured,
-    /// The configuration has no such route.
+    /// No route matches.
     NoRoute,
-    /// The key is not known.
+    /// The API key is unknown.
     BadKey,
-    /// What is known of keys is too old.
+    /// The known keys are too old.
     StaleKeys,
-    /// The head cannot be read.
+    /// The head is invalid.
     BadHead,
-    /// The body is larger than allowed.
+    /// The body exceeds the limit.
     TooLarge,
-    /// The body did not come whole.
+    /// The body was truncated.
     CutBody,
-    /// No engine, or no whole path of engines, can take it.
+    /// No engine, or no complete path of engines, is available.
     NoEngine,
-    /// Its first event would come late, and more than it wait already.
+    /// Engines are overloaded: its first event would come late, as others are waiting already.
     Overloaded,
-    /// Every engine that could take it wants rest.
-    Resting,
+    /// Every engine that could take it asked for a pause.
+    Paused,
     /// Every engine that could take it wants rest, or names a limit that is used up.
     Limited,
-    /// Engines end when they begin to run it.
+    /// Engines exit when they start to run it.
     HeldBack,
-    /// Every engine asked refused it.
+    /// Every engine that it was sent to refused it.
     EnginesRefused,
-    /// The connection to an engine was lost, or its answer cannot be used.
+    /// The connection to an engine was lost, or its answer is unusable.
     Broken,
-    /// The time is over.
+    /// The deadline has passed.
     Expired,
 }
 
 impl RefusedKind {
-    /// Stable word.
+    /// Name in answers, logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Unconfigured => "unconfigured",
@@ -57,7 +57,7 @@
             Self::CutBody => "cut_body",
             Self::NoEngine => "no_engine",
             Self::Overloaded => "overloaded",
-            Self::Resting => "resting",
+            Self::Paused => "resting",
             Self::Limited => "limited",
             Self::HeldBack => "held_back",
             Self::EnginesRefused => "engines_refused",
@@ -66,9 +66,9 @@
         }
     }
 
-    /// Time after which asking again is worth it, milliseconds: about that of a poll of the store,
-    /// of a load of a lost engine's layers, of an engine's queue.
-    fn back(self) -> Option<Millis> {
+    /// Time after which a retry may succeed: about that of a poll of the store, of loading a lost
+    /// engine's layers, or of an engine's queue.
+    fn retry_after(self) -> Option<Millis> {
         match self {
             Self::Unconfigured | Self::StaleKeys => Some(1_000),
             Self::NoEngine | Self::Overloaded => Some(1_500),
@@ -87,7 +87,7 @@
     outcome: Outcome,
     detail: String,
     request: String,
-    back: Option<Millis>,
+    retry_after: Option<Millis>,
 }
 
 impl Refused {
@@ -101,10 +101,17 @@
             _ => StatusCode::SERVICE_UNAVAILABLE,
         };
         let (detail, request) = (detail.into(), request.to_owned());
-        Self { kind, status, outcome: Outcome::NotRun, detail, request, back: kind.back() }
+        Self {
+            kind,
+            status,
+            outcome: Outcome::NotRun,
+            detail,
+            request,
+            retry_after: kind.retry_after(),
+        }
     }
 
-    /// A call given up after sends; only proof makes it a refusal.
+    /// A call given up after some attempts; it counts as not run only if every attempt proved that.
     pub(crate) fn given_up(
         kind: RefusedKind,
         seen: &Evidence,
@@ -117,18 +124,25 @@
             (None, _) => StatusCode::BAD_GATEWAY,
         };
         let (detail, request) = (detail.into(), request.to_owned());
-        Self { kind, status, outcome: seen.outcome(), detail, request, back: kind.back() }
+        Self {
+            kind,
+            status,
+            outcome: seen.outcome(),
+            detail,
+            request,
+            retry_after: kind.retry_after(),
+        }
     }
 
-    /// The same, to come back after `back`.
-    pub(crate) fn until(self, back: Millis) -> Self {
-        Self { back: Some(back), ..self }
+    /// The same with another `Retry-After` time.
+    pub(crate) fn with_retry_after(self, retry_after: Millis) -> Self {
+        Self { retry_after: Some(retry_after), ..self }
     }
 
-    /// The answer to the caller, logged and counted.
+    /// Logs and counts the refusal and returns the answer to the caller.
     pub(crate) fn respond(self, shared: &Shared) -> Response<Body> {
-        let back_ms = match self.status {
-            StatusCode::SERVICE_UNAVAILABLE => self.back,
+        let retry_after_ms = match self.status {
+            StatusCode::SERVICE_UNAVAILABLE => self.retry_after,
             _ => None,
         };
         shared.metrics.refusals.with_label_values(&[self.kind.as_str()]).inc();
@@ -137,7 +151,7 @@
             status: self.status.as_u16(),
             kind: self.kind.as_str(),
             detail: self.detail.clone(),
-            back_ms,
+            retry_after_ms,
             config: shared.catalog.load().as_ref().map_or(0, |c| c.version),
             proof_ms: shared.config_freshness.load().age(shared.now()),
         }
@@ -149,8 +163,8 @@
         *response.status_mut() = self.status;
         let media = HeaderValue::from_static("application/json");
         response.headers_mut().insert(CONTENT_TYPE, media);
-        if let Some(back) = back_ms {
-            let seconds = format!("{}.{:03}", back / 1_000, back % 1_000);
+        if let Some(ms) = retry_after_ms {
+            let seconds = format!("{}.{:03}", ms / 1_000, ms % 1_000);
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
--- a/crates/heathpitchd/src/gateway/call/relay.rs
+++ b/crates/heathpitchd/src/gateway/call/relay.rs
@@ -1,4 +1,5 @@
-//! Body of a stream's answer: whole events as they come, over as many engines as it takes.
+//! Body of a stream's answer: relays complete events as they arrive, from one engine after another if
+//! attempts fail.
 
 use bytes::Bytes;
 use futures::stream;
@@ -9,19 +10,20 @@
 use hyper::body::Frame;
 
 use super::flow::Flow;
-use super::record::answered;
+use super::record::record_answered;
 use super::send::Answer;
 use crate::gateway::event::GatewayEvent;
 
-/// Turns a stream whose head has come into the answer to its caller.
+/// Turns a stream whose head was received into the answer to its caller.
 pub(crate) fn relay(flow: Flow, answer: Answer) -> Response<Body> {
     let now = flow.traffic.shared.now();
-    let first = now.saturating_sub(flow.call.received);
-    flow.traffic.shared.metrics.first.observe(first as f64 / 1e3);
+    let first_ms = now.saturating_sub(flow.call.received);
+    flow.traffic.shared.metrics.first.observe(first_ms as f64 / 1e3);
     let mut head = answer.parts.clone();
     heathpitch_net::strip_hop_by_hop(&mut head.headers);
     head.headers.remove(hyper::header::CONTENT_LENGTH);
-    let relay = Relay { flow, source: Some(answer), first, last: now, pause: 0, ended: false };
+    let relay =
+        Relay { flow, source: Some(answer), first_ms, last_event: now, max_pause: 0, ended: false };
     let events = stream::unfold(Some(relay), |relay| async {
         let mut relay = relay?;
         match relay.next().await {
@@ -33,19 +35,19 @@
     Response::from_parts(head, StreamBody::new(events).boxed_unsync())
 }
 
-/// A stream that is being passed on.
+/// A stream that is being relayed.
 struct Relay {
     flow: Flow,
-    /// The answer that is being read.
+    /// The engine's answer that is being read.
     source: Option<Answer>,
-    first: Millis,
-    last: Millis,
-    pause: Millis,
+    first_ms: Millis,
+    last_event: Millis,
+    max_pause: Millis,
     ended: bool,
 }
 
-/// What was read next.
-enum Piece {
+/// Outcome of a read.
+enum ReadOutcome {
     Events(Bytes),
     Nothing,
     End,
@@ -55,22 +57,22 @@
 }
 
 impl Relay {
-    /// Whole events as soon as there are any; none at the end.
+    /// The next complete events; none at the end.
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         loop {
             match self.read().await {
-                Piece::Events(events) => return Some(Ok(events)),
-                Piece::Nothing => {}
-                Piece::End => {
+                ReadOutcome::Events(events) => return Some(Ok(events)),
+                ReadOutcome::Nothing => {}
+                ReadOutcome::End => {
                     self.finish(true);
                     return None;
                 }
-                Piece::Expired => {
+                ReadOutcome::Expired => {
                     self.finish(false);
                     return Some(Err(BodyError::Truncated));
                 }
-                Piece::Abandoned => self.replace().await,
-                Piece::Failed(why) => {
+                ReadOutcome::Abandoned => self.replace().await,
+                ReadOutcome::Failed(why) => {
                     self.source = None;
                     self.flow.fail(&why);
                     if !self.resume().await {
@@ -82,10 +84,10 @@
         }
     }
 
-    async fn read(&mut self) -> Piece {
-        let (shared, until) = (self.flow.traffic.shared.clone(), self.flow.call.until);
+    async fn read(&mut self) -> ReadOutcome {
+        let (shared, deadline) = (self.flow.traffic.shared.clone(), self.flow.call.deadline);
         let Some(source) = &mut self.source else {
-            return Piece::Failed("there is no answer to read".to_owned());
+            return ReadOutcome::Failed("no answer to read".to_owned());
         };
         let live = self.flow.live.clone();
         let abandoned = async {
@@ -97,52 +99,52 @@
         let frame = tokio::select! {
             biased;
             frame = source.body.frame() => frame,
-            () = abandoned => return Piece::Abandoned,
-            () = shared.sleep_until(until) => return Piece::Expired,
+            () = abandoned => return ReadOutcome::Abandoned,
+            () = shared.sleep_until(deadline) => return ReadOutcome::Expired,
         };
         match frame {
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(bytes) => self.take(&bytes),
-                Err(_) => Piece::Nothing,
+                Err(_) => ReadOutcome::Nothing,
             },
-            Some(Err(e)) => Piece::Failed(e.to_string()),
+            Some(Err(e)) => ReadOutcome::Failed(e.to_string()),
             None if self.flow.events.has_partial() => {
-                Piece::Failed("the answer ended within an event".to_owned())
+                ReadOutcome::Failed("the answer ended in the middle of an event".to_owned())
             }
-            None => Piece::End,
+            None => ReadOutcome::End,
         }
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Piece {
+    fn take(&mut self, bytes: &[u8]) -> ReadOutcome {
         let before = self.flow.events.count();
         match self.flow.events.push(bytes) {
-            Ok(events) if events.is_empty() => Piece::Nothing,
+            Ok(events) if events.is_empty() => ReadOutcome::Nothing,
             Ok(events) => {
-                self.note(self.flow.events.count() - before);
-                Piece::Events(events)
+                self.record_events(self.flow.events.count() - before);
+                ReadOutcome::Events(events)
             }
-            Err(e) => Piece::Failed(e.to_string()),
+            Err(e) => ReadOutcome::Failed(e.to_string()),
         }
     }
 
-    fn note(&mut self, count: u64) {
+    fn record_events(&mut self, count: u64) {
         let now = self.flow.traffic.shared.now();
-        self.pause = self.pause.max(now.saturating_sub(self.last));
-        self.last = now;
+        self.max_pause = self.max_pause.max(now.saturating_sub(self.last_event));
+        self.last_event = now;
         self.flow.traffic.shared.metrics.events.inc_by(count);
         if let Some(live) = &self.flow.live {
             live.record_events(count, now);
         }
     }
 
-    /// Goes on at another engine if one takes the stream, else waits for the one that is silent.
+    /// Continues at another engine if one takes the stream, else waits for the silent one.
     async fn replace(&mut self) {
-        let why = "the first engine of the path does not answer";
+        let why = "the first engine of the path does not respond";
         let live = self.flow.live.clone();
-        let repeatable = self.flow.call.route.kind.retryable();
-        let (shared, until) = (self.flow.traffic.shared.clone(), self.flow.call.until);
-        let replaced = match repeatable {
-            true => shared.run_until(until, self.flow.replace(why)).await.flatten(),
+        let retryable = self.flow.call.route.kind.retryable();
+        let (shared, deadline) = (self.flow.traffic.shared.clone(), self.flow.call.deadline);
+        let replaced = match retryable {
+            true => shared.run_until(deadline, self.flow.replace(why)).await.flatten(),
             false => None,
         };
         match replaced {
@@ -155,13 +157,13 @@
         }
     }
 
-    /// Takes the stream up at another engine.
+    /// Resumes the stream at another engine.
     async fn resume(&mut self) -> bool {
         if !self.flow.call.route.kind.retryable() {
             return false;
         }
-        let (shared, until) = (self.flow.traffic.shared.clone(), self.flow.call.until);
-        match shared.run_until(until, self.flow.dispatch()).await {
+        let (shared, deadline) = (self.flow.traffic.shared.clone(), self.flow.call.deadline);
+        match shared.run_until(deadline, self.flow.dispatch()).await {
             Some(Ok(answer)) => {
                 self.source = Some(answer);
                 true
@@ -170,34 +172,34 @@
         }
     }
 
-    fn finish(&mut self, whole: bool) {
-        if let (true, Some(source)) = (whole, self.source.take()) {
-            source.give_back(&self.flow.traffic.pool);
-            answered(&self.flow.traffic, &self.flow.call);
+    fn finish(&mut self, complete: bool) {
+        if let (true, Some(source)) = (complete, self.source.take()) {
+            source.release(&self.flow.traffic.pool);
+            record_answered(&self.flow.traffic, &self.flow.call);
         }
-        self.log(whole);
+        self.log(complete);
     }
 
-    fn log(&mut self, whole: bool) {
+    fn log(&mut self, complete: bool) {
         self.ended = true;
         let shared = &self.flow.traffic.shared;
-        shared.metrics.pause.observe(self.pause as f64 / 1e3);
+        shared.metrics.pause.observe(self.max_pause as f64 / 1e3);
         GatewayEvent::CallEnded {
             request: self.flow.call.head.id.to_string(),
             status: 200,
-            whole,
-            attempts: self.flow.sends,
+            whole: complete,
+            attempts: self.flow.attempts,
             events: self.flow.events.count(),
-            first_ms: self.first,
+            first_ms: self.first_ms,
             ms: shared.now().saturating_sub(self.flow.call.received),
-            pause_ms: self.pause,
+            pause_ms: self.max_pause,
         }
         .log();
     }
 }
 
 impl Drop for Relay {
-    /// A caller that left.
+    /// Logs the end of a stream whose caller disconnected.
     fn drop(&mut self) {
         if !self.ended {
             self.log(false);
--- a/crates/heathpitchd/src/gateway/call/retry_budgets.rs
+++ b/crates/heathpitchd/src/gateway/call/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! Second sends, bounded for each service so that all nodes together stay within what is agreed.
+//! Retries, bounded per service so that all nodes together stay within the agreed ratio.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,28 +9,28 @@
 
 use crate::gateway::shared::Shared;
 
-/// Second sends of one node, by service.
+/// Retry budgets of one node, by service.
 pub(crate) struct RetryBudgets {
     shared: Arc<Shared>,
     services: Mutex<HashMap<Name, RetryWindow>>,
-    /// By which this node rounds its share.
+    /// Seed for rounding this node's share.
     seed: f64,
 }
 
 impl RetryBudgets {
-    /// RetryBudgets of which nothing is spent.
+    /// Budgets without any calls or retries.
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self { shared, services: Mutex::default(), seed: rand::random() }
     }
 
-    /// Counts a call.
-    pub(crate) fn earn(&self, service: &Name) {
+    /// Counts a call, which adds to the budget.
+    pub(crate) fn record_call(&self, service: &Name) {
         let now = self.shared.now();
         let share = self.share(now);
         self.services.lock().entry(service.clone()).or_default().call(&share, now);
     }
 
-    /// Takes a second send, if there is one.
+    /// Takes a retry from the budget; false if none is left.
     pub(crate) fn spend(&self, service: &Name) -> bool {
         let now = self.shared.now();
         let share = self.share(now);
--- a/crates/heathpitchd/src/gateway/call/retry_schedules.rs
+++ b/crates/heathpitchd/src/gateway/call/retry_schedules.rs
@@ -1,4 +1,4 @@
-//! When refused callers come back, for each service.
+//! `Retry-After` times for refused callers, per service.
 
 use std::collections::HashMap;
 
@@ -12,12 +12,12 @@
 use super::refused::{Refused, RefusedKind};
 use super::rights;
 
-/// What a caller is told whose call finds every engine resting.
-const RESTING: &str = "every engine that could take the call asked this node for rest";
+/// Detail of a refusal because every engine is paused.
+const PAUSED: &str = "every engine that could take the call asked this node to pause";
 
-/// The refusal of a call for want of an engine where only what engines ask for is in the way: they rest, or name
-/// limits that are used up.
-pub(crate) fn unwanted(
+/// The refusal of a call that found no engine only because of backpressure: engines are paused or
+/// their rate limits are exhausted.
+pub(crate) fn backpressure_refusal(
     traffic: &Traffic,
     call: &Call,
     kind: RefusedKind,
@@ -26,47 +26,48 @@
     if !matches!(kind, RefusedKind::NoEngine | RefusedKind::EnginesRefused) {
         return None;
     }
-    // One that may have run is not said to have been refused.
+    // A call that may have run is not reported as refused.
     seen.not_run()?;
     let shared = &traffic.shared;
     let (table, now) = (shared.table.load(), shared.now());
-    let least = pick::rest(&table, call, &shared.settings.load().domain, now)?;
-    let back = traffic.retry_schedules.refuse_for(&call.service.name, least, call.left(now), now);
-    let (kind, detail) = match rights::limited(&table, &call.service.name, now) {
+    let min_wait = pick::backpressure_left(&table, call, &shared.settings.load().domain, now)?;
+    let retry_after =
+        traffic.retry_schedules.refuse_for(&call.service.name, min_wait, call.left(now), now);
+    let (kind, detail) = match rights::next_available(&table, &call.service.name, now) {
         Some(limited) => (RefusedKind::Limited, limited.to_string()),
-        None => (RefusedKind::Resting, RESTING.to_owned()),
+        None => (RefusedKind::Paused, PAUSED.to_owned()),
     };
-    Some(Refused::given_up(kind, seen, &call.head.id, detail).until(back))
+    Some(Refused::given_up(kind, seen, &call.head.id, detail).with_retry_after(retry_after))
 }
 
-/// Times told to callers of one node, by service.
+/// Retry schedules of one node, by service.
 #[derive(Debug, Default)]
 pub(crate) struct RetrySchedules {
     services: Mutex<HashMap<Name, RetrySchedule>>,
 }
 
 impl RetrySchedules {
-    /// Counts a stream that is let in.
+    /// Counts an admitted stream.
     pub(crate) fn admit(&self, service: &Name, now: Millis) {
         self.services.lock().entry(service.clone()).or_default().admit(now);
     }
 
-    /// Time after which a caller that is refused and has `left` should come back.
+    /// Time after which a refused caller that has `left` until its deadline should retry.
     pub(crate) fn refuse(&self, service: &Name, left: Millis, now: Millis) -> Millis {
         let mut services = self.services.lock();
         services.entry(service.clone()).or_default().refuse(left, now, &mut rand::rng())
     }
 
-    /// The same, where no engine of the service takes anything for `least`.
+    /// The same if no engine of the service takes anything for `min_wait`.
     pub(crate) fn refuse_for(
         &self,
         service: &Name,
-        least: Millis,
+        min_wait: Millis,
         left: Millis,
         now: Millis,
     ) -> Millis {
         let mut services = self.services.lock();
-        let returns = services.entry(service.clone()).or_default();
-        returns.refuse_for(least, left, now, &mut rand::rng())
+        let schedule = services.entry(service.clone()).or_default();
+        schedule.refuse_for(min_wait, left, now, &mut rand::rng())
     }
 }
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -1,4 +1,4 @@
-//! One dispatch of a call to one engine.
+//! One attempt of a call at one engine.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 use crate::gateway::quarantine_snapshot::incarnation_of;
 use crate::gateway::shared::{Notice, Shared};
 
-/// Head of an engine's answer, its body not read yet.
+/// An engine's answer whose body is still to be read.
 pub(crate) struct Answer {
     pub(crate) connection: Connection,
     pub(crate) parts: response::Parts,
@@ -30,64 +30,64 @@
 }
 
 impl Answer {
-    /// Reads the whole answer, of at most `most` bytes, and keeps its connection.
-    pub(crate) async fn whole(
+    /// Reads the complete answer, of at most `max_bytes`, and returns its connection to the pool.
+    pub(crate) async fn read_all(
         self,
         pool: &Pool,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<(response::Parts, Bytes), Failure> {
         let Self { connection, parts, body, .. } = self;
-        let content = read(body, most).await.map_err(|e| Failure::Lost(e.to_string()))?;
-        give_back(connection, &parts, pool);
+        let content = read(body, max_bytes).await.map_err(|e| Failure::Lost(e.to_string()))?;
+        release_connection(connection, &parts, pool);
         Ok((parts, content))
     }
 
-    /// Keeps the connection for another request, now that the answer was whole.
-    pub(crate) fn give_back(self, pool: &Pool) {
-        give_back(self.connection, &self.parts, pool);
+    /// Returns the connection to the pool after the complete answer was read.
+    pub(crate) fn release(self, pool: &Pool) {
+        release_connection(self.connection, &self.parts, pool);
     }
 }
 
-fn give_back(connection: Connection, parts: &response::Parts, pool: &Pool) {
+fn release_connection(connection: Connection, parts: &response::Parts, pool: &Pool) {
     if let Some(keep) = keep_alive_timeout(&parts.headers) {
         pool.release(connection, keep);
     }
 }
 
-/// Why an engine gave no answer that can be used.
+/// Why an attempt got no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Failure {
     /// No byte left this process.
     #[error("not sent: {0}")]
     Unsent(String),
-    /// No byte left this process: the engine asked this node for rest, or says that it leaves.
-    #[error("not sent: the engine wants no requests now")]
-    Unwanted,
-    /// No byte left this process: an engine names a limit, and this node has no right to send it one more.
+    /// No byte left this process: the engine asked this node to pause, or is draining.
+    #[error("not sent: the engine accepts no requests now")]
+    Backpressure,
+    /// No byte left this process: an engine is rate-limited, and this node has no right to send to it.
     #[error("not sent: {0}")]
     NoRight(NoRight),
-    /// The engine states that it did not run the call.
+    /// The engine stated that it did not run the call.
     #[error("refused with status {status}")]
     Refused {
-        /// Its status.
+        /// Status of its response.
         status: StatusCode,
-        /// Engine further on that is at fault.
+        /// Engine further down the path that caused it.
         faulty_address: Option<SocketAddr>,
     },
-    /// It may have run.
+    /// The call may have run.
     #[error("lost: {0}")]
     Lost(String),
 }
 
 /// Where a call is sent.
 pub(crate) struct Target<'a> {
-    /// The engine asked.
+    /// The engine that gets the request.
     pub(crate) view: &'a EngineView,
-    /// Those that it passes through behind that one.
-    pub(crate) behind: &'a [&'a EngineView],
-    /// All of them.
+    /// Engines downstream of it.
+    pub(crate) downstream: &'a [&'a EngineView],
+    /// The path through all of them.
     pub(crate) path: Option<&'a Path>,
-    /// Event after which a stream goes on.
+    /// Event after which a stream resumes.
     pub(crate) after: Option<u64>,
 }
 
@@ -97,23 +97,23 @@
     call: &Call,
     target: &Target<'_>,
 ) -> Result<Answer, Failure> {
-    let &Target { view, behind, .. } = target;
-    let ended = traffic.shared.quarantine.load().has_ended(&view.entry);
-    let mut rights = rights::seek(traffic, view, behind).await.map_err(Failure::NoRight)?;
+    let &Target { view, downstream, .. } = target;
+    let reported_ended = traffic.shared.quarantine.load().has_ended(&view.entry);
+    let mut rights = rights::acquire(traffic, view, downstream).await.map_err(Failure::NoRight)?;
     let reuse = if call.route.kind.retryable() { Reuse::Idle } else { Reuse::Never };
-    let mut answer = once(traffic, call, target, &mut rights, reuse).await;
+    let mut answer = try_send(traffic, call, target, &mut rights, reuse).await;
     if matches!(answer, Err(Failure::Unsent(_))) && reuse == Reuse::Idle {
-        // The engine closed an idle connection: nothing was sent, and a new one can be made.
-        answer = once(traffic, call, target, &mut rights, Reuse::Never).await;
+        // The engine closed an idle connection: nothing was sent, so a new connection can be tried.
+        answer = try_send(traffic, call, target, &mut rights, Reuse::Never).await;
     }
-    let answer = judge(answer?)?;
-    if ended {
+    let answer = check(answer?)?;
+    if reported_ended {
         traffic.shared.notify(Notice::EngineAlive(incarnation_of(&view.entry)));
     }
     Ok(answer)
 }
 
-async fn once(
+async fn try_send(
     traffic: &Traffic,
     call: &Call,
     target: &Target<'_>,
@@ -121,12 +121,12 @@
     reuse: Reuse,
 ) -> Result<Answer, Failure> {
     let &Target { view, path, after, .. } = target;
-    let wish = view.stats.backpressure();
-    if wish.is_draining() || wish.pause_left(traffic.shared.now()).is_some() {
-        return Err(Failure::Unwanted);
+    let backpressure = view.stats.backpressure();
+    if backpressure.is_draining() || backpressure.pause_left(traffic.shared.now()).is_some() {
+        return Err(Failure::Backpressure);
     }
-    let life = view.entry.born.unwrap_or_default();
-    let connected = traffic.pool.connect(view.entry.address, life, reuse).await;
+    let incarnation = view.entry.born.unwrap_or_default();
+    let connected = traffic.pool.connect(view.entry.address, incarnation, reuse).await;
     let mut connection = connected.map_err(|e: RpcError| Failure::Unsent(e.to_string()))?;
     if connection.is_new() {
         traffic.shared.metrics.connections.inc();
@@ -147,8 +147,9 @@
         .parse()
         .map_err(|_| Failure::Unsent("the path is not valid".to_owned()))?;
     *request.headers_mut() = traffic.edges.dialect.headers(&call.body.headers, &dispatch);
-    // An engine may have asked for rest, or named a limit, while the connection was made.
-    let entered = rights.enter(wish, traffic.shared.now()).ok_or(Failure::Unwanted)?;
+    // The engine may have sent backpressure while the connection was opened.
+    let admission =
+        rights.admit(backpressure, traffic.shared.now()).ok_or(Failure::Backpressure)?;
     let sent = traffic.shared.now();
     let answer = connection.send(request).await.map_err(|e| match e {
         SendFailure::Unsent(why) => {
@@ -159,12 +160,12 @@
     })?;
     let (parts, body) = answer.into_parts();
     let head = traffic.edges.dialect.answer(&call.head.id, &parts);
-    drop(entered);
+    drop(admission);
     let status = parts.status.as_u16();
-    let said = ResponseInfo { engine: &view.entry, of: &call.head.id, status, sent };
-    heed(&traffic.shared, said, wish, &head);
+    let response = ResponseInfo { engine: &view.entry, of: &call.head.id, status, sent };
+    record_backpressure(&traffic.shared, response, backpressure, &head);
     if !head.not_run {
-        wish.record_success(traffic.shared.now());
+        backpressure.record_success(traffic.shared.now());
     }
     if let Some(load) = head.load {
         view.stats.record_load(load.running + load.waiting, traffic.shared.now());
@@ -172,34 +173,39 @@
     Ok(Answer { connection, parts, head, body })
 }
 
-/// Takes note of what an engine asks for in its answer to a call; of rest also where another engine of the path
-/// is at fault, which turned the call away.
-fn heed(shared: &Shared, said: ResponseInfo<'_>, wish: &Backpressure, head: &ResponseHead) {
-    let engine = said.engine;
-    if shared.record_backpressure(said, head.backpressure, wish) {
+/// Records the backpressure in an engine's response to a call. A pause also applies to another engine
+/// of the path if that one refused the call.
+fn record_backpressure(
+    shared: &Shared,
+    response: ResponseInfo<'_>,
+    backpressure: &Backpressure,
+    head: &ResponseHead,
+) {
+    let engine = response.engine;
+    if shared.record_backpressure(response, head.backpressure, backpressure) {
         shared.notify(Notice::Draining(incarnation_of(engine)));
     }
-    let elsewhere = |at: &SocketAddr| *at != engine.address && head.backpressure.pause.is_some();
-    let Some(faulty_address) = head.faulty_address.filter(elsewhere) else { return };
+    let other_engine = |at: &SocketAddr| *at != engine.address && head.backpressure.pause.is_some();
+    let Some(faulty_address) = head.faulty_address.filter(other_engine) else { return };
     if let Some(other) = shared.table.load().by_address(faulty_address) {
-        let said = ResponseInfo { engine: &other.entry, ..said };
-        let rest =
+        let response = ResponseInfo { engine: &other.entry, ..response };
+        let pause =
             BackpressureSignal { pause: head.backpressure.pause, ..BackpressureSignal::default() };
-        shared.record_backpressure(said, rest, other.stats.backpressure());
+        shared.record_backpressure(response, pause, other.stats.backpressure());
     }
 }
 
-/// Refuses answers that belong to another call, that nothing vouches for, or that say that the
-/// call did not run.
-fn judge(answer: Answer) -> Result<Answer, Failure> {
+/// Rejects answers that belong to another call, that have no digest, or that state that the call did
+/// not run.
+fn check(answer: Answer) -> Result<Answer, Failure> {
     let status = answer.parts.status;
     match &answer.head {
         h if !h.id_matches => {
-            Err(Failure::Lost(format!("an answer of another call, status {status}")))
+            Err(Failure::Lost(format!("the answer belongs to another call, status {status}")))
         }
         h if h.not_run => Err(Failure::Refused { status, faulty_address: h.faulty_address }),
         h if status.is_success() && !h.has_digest => {
-            Err(Failure::Lost("a success without a digest".to_owned()))
+            Err(Failure::Lost("a successful answer has no digest".to_owned()))
         }
         _ => Ok(answer),
     }
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -1,4 +1,4 @@
-//! Filter: runs a call whose answer is one whole body.
+//! Filter: runs a call whose answer is a single body.
 
 use bytes::Bytes;
 use heathpitch_core::{Evidence, Name};
@@ -8,148 +8,154 @@
 
 use super::Traffic;
 use super::admit::Call;
-use super::open::Held;
+use super::open::HeldTokens;
 use super::pick::{self, Avoid};
-use super::record::{Sending, pass_on};
+use super::record::{Attempt, final_answer};
 use super::refused::{Refused, RefusedKind};
-use super::retry_schedules::unwanted;
+use super::retry_schedules::backpressure_refusal;
 use super::send::{Failure, Target, send};
 use crate::gateway::engine_table::EngineView;
 use crate::gateway::shared::{LostAttempt, Notice};
 
-/// Largest answer held, bytes.
-const ANSWER_MOST: usize = 16 << 20;
-/// Engines tried that cannot even be connected to; nothing is sent to them.
-const UNSENT_MOST: u32 = 4;
+/// Size of the largest answer that is buffered.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Attempts in which nothing could be sent to the engine.
+const MAX_UNSENT: u32 = 4;
 
-/// A whole answer of an engine.
-type Whole = (Parts, Bytes);
+/// A complete answer of an engine.
+type CompleteAnswer = (Parts, Bytes);
 
-/// What became of the sends of a call.
+/// Outcome of a call's attempts so far.
 #[derive(Default)]
-struct Trace {
-    seen: Evidence,
-    sends: u32,
+struct Progress {
+    evidence: Evidence,
+    attempts: u32,
     unsent: u32,
     avoid: Vec<Name>,
-    last: Option<Whole>,
-    /// Whether a connection was lost while an engine may have been at work on it.
+    last: Option<CompleteAnswer>,
+    /// Whether a connection was lost while an engine may have been running the call.
     lost: bool,
 }
 
-/// Runs the call until its final answer or the end of its time.
+/// Runs the call until its final answer or its deadline.
 pub(crate) async fn run(traffic: &Traffic, call: &Call) -> Result<Response<Body>, Refused> {
-    let mut trace = Trace::default();
-    let work = traffic.shared.run_until(call.until, attempts(traffic, call, &mut trace)).await;
+    let mut progress = Progress::default();
+    let work =
+        traffic.shared.run_until(call.deadline, run_attempts(traffic, call, &mut progress)).await;
     let id = &call.head.id;
-    let refused = match work {
+    let kind = match work {
         Some(Ok((parts, content))) => {
-            return Ok(pass_on(traffic, call, trace.sends, parts, content));
+            return Ok(final_answer(traffic, call, progress.attempts, parts, content));
         }
-        // An engine's own failure goes to the caller as it is if nothing better came.
-        Some(Err(_)) | None if trace.last.is_some() => match trace.last.take() {
+        // An engine's error response is passed on unchanged if no attempt had a better outcome.
+        Some(Err(_)) | None if progress.last.is_some() => match progress.last.take() {
             Some((parts, content)) => {
-                return Ok(pass_on(traffic, call, trace.sends, parts, content));
+                return Ok(final_answer(traffic, call, progress.attempts, parts, content));
             }
             None => RefusedKind::Broken,
         },
         Some(Err(kind)) => kind,
         None => {
-            trace.seen.lost();
+            progress.evidence.lost();
             RefusedKind::Expired
         }
     };
-    if let Some(unwanted) = unwanted(traffic, call, refused, &trace.seen) {
-        return Err(unwanted);
+    if let Some(refused) = backpressure_refusal(traffic, call, kind, &progress.evidence) {
+        return Err(refused);
     }
-    let detail = match refused {
-        RefusedKind::Expired => "no answer within the call's time",
-        RefusedKind::NoEngine => "no engine of the service can take the call now",
-        RefusedKind::EnginesRefused => "the engines asked refused the call",
+    let detail = match kind {
+        RefusedKind::Expired => "no answer before the call's deadline",
+        RefusedKind::NoEngine => "no engine of the service is available",
+        RefusedKind::EnginesRefused => "every engine that was tried refused the call",
         _ => "the connection to an engine was lost",
     };
-    Err(Refused::given_up(refused, &trace.seen, id, detail))
+    Err(Refused::given_up(kind, &progress.evidence, id, detail))
 }
 
-async fn attempts(traffic: &Traffic, call: &Call, trace: &mut Trace) -> Result<Whole, RefusedKind> {
+async fn run_attempts(
+    traffic: &Traffic,
+    call: &Call,
+    progress: &mut Progress,
+) -> Result<CompleteAnswer, RefusedKind> {
     let mut kind = RefusedKind::NoEngine;
-    while trace.sends < call.route.attempts && trace.unsent < UNSENT_MOST {
-        let again = trace.sends > 0;
+    while progress.attempts < call.route.attempts && progress.unsent < MAX_UNSENT {
+        let is_retry = progress.attempts > 0;
         let table = traffic.shared.table.load();
         let now = traffic.shared.now();
-        let home = traffic.shared.settings.load().domain.clone();
-        let avoid = Avoid { engines: &trace.avoid, now };
-        let Some(view) = pick::engine(&table, &call.service.name, &home, avoid) else {
+        let domain = traffic.shared.settings.load().domain.clone();
+        let avoid = Avoid { engines: &progress.avoid, now };
+        let Some(view) = pick::engine(&table, &call.service.name, &domain, avoid) else {
             return Err(kind);
         };
-        if trace.lost && !traffic.shared.quarantine.load().allows_retry(0, || call.print()) {
+        if progress.lost && !traffic.shared.quarantine.load().allows_retry(0, || call.fingerprint())
+        {
             return Err(kind);
         }
-        if again && !traffic.retry_budgets.spend(&call.service.name) {
+        if is_retry && !traffic.retry_budgets.spend(&call.service.name) {
             return Err(kind);
         }
         let engine = &view.entry.id;
-        let sending = Sending { traffic, call, engine, attempt: trace.sends + 1 };
-        sending.routed(None, None);
-        let _held = Held::new(traffic.shared.clone(), vec![view.stats.clone()], 0);
-        trace.seen.sent();
-        match whole(traffic, call, &view).await {
+        let attempt = Attempt { traffic, call, engine, attempt: progress.attempts + 1 };
+        attempt.routed(None, None);
+        let _held = HeldTokens::new(traffic.shared.clone(), vec![view.stats.clone()], 0);
+        progress.evidence.sent();
+        match send_whole(traffic, call, &view).await {
             Ok(answer) if !answer.0.status.is_server_error() => {
-                trace.sends += 1;
-                trace.seen.started();
+                progress.attempts += 1;
+                progress.evidence.started();
                 let done = traffic.shared.now();
                 view.stats.record_latency(done.saturating_sub(now), done);
                 return Ok(answer);
             }
             Ok(failed) => {
-                trace.sends += 1;
-                trace.seen.started();
-                trace.seen.lost();
-                trace.last = Some(failed);
+                progress.attempts += 1;
+                progress.evidence.started();
+                progress.evidence.lost();
+                progress.last = Some(failed);
                 kind = RefusedKind::Broken;
             }
             Err(failure) => {
-                sending.failed(&failure, 0);
-                kind = note(traffic, call, &view, trace, &failure);
+                attempt.failed(&failure, 0);
+                kind = record_failure(traffic, call, &view, progress, &failure);
             }
         }
-        trace.avoid.push(view.entry.id.clone());
-        if !call.route.kind.retryable() && trace.seen.not_run().is_none() {
+        progress.avoid.push(view.entry.id.clone());
+        if !call.route.kind.retryable() && progress.evidence.not_run().is_none() {
             return Err(kind);
         }
     }
     Err(kind)
 }
 
-/// Takes note of a failed send.
-fn note(
+/// Records a failed attempt.
+fn record_failure(
     traffic: &Traffic,
     call: &Call,
     view: &EngineView,
-    trace: &mut Trace,
+    progress: &mut Progress,
     failure: &Failure,
 ) -> RefusedKind {
     match failure {
         Failure::Unsent(_) => {
-            trace.unsent += 1;
-            trace.seen.unsent();
+            progress.unsent += 1;
+            progress.evidence.unsent();
             view.stats.gauge().record_failure(traffic.shared.now());
             traffic.pool.close_idle(view.entry.address);
             RefusedKind::NoEngine
         }
-        Failure::Unwanted => {
-            trace.unsent += 1;
-            trace.seen.unsent();
+        Failure::Backpressure => {
+            progress.unsent += 1;
+            progress.evidence.unsent();
             RefusedKind::NoEngine
         }
-        // It is not asked again for this call, so that others are, however many name limits.
+        // It is avoided for this call, so that others are tried however many engines are limited.
         Failure::NoRight(_) => {
-            trace.seen.unsent();
+            progress.evidence.unsent();
             RefusedKind::NoEngine
         }
         Failure::Refused { status, .. } => {
-            trace.sends += 1;
-            trace.seen.refused();
+            progress.attempts += 1;
+            progress.evidence.refused();
             view.stats.deprioritize(traffic.shared.now() + pick::REJECTION_COOLDOWN_MS);
             if *status == StatusCode::MISDIRECTED_REQUEST {
                 traffic.shared.notify(Notice::Replaced(view.entry.id.clone()));
@@ -157,18 +163,22 @@
             RefusedKind::EnginesRefused
         }
         Failure::Lost(_) => {
-            trace.sends += 1;
-            trace.seen.lost();
-            trace.lost = true;
-            let (engine, print) = (view.entry.clone(), call.print());
+            progress.attempts += 1;
+            progress.evidence.lost();
+            progress.lost = true;
+            let (engine, print) = (view.entry.clone(), call.fingerprint());
             traffic.shared.notify(Notice::ConnectionLost(LostAttempt { engine, print, events: 0 }));
             RefusedKind::Broken
         }
     }
 }
 
-async fn whole(traffic: &Traffic, call: &Call, view: &EngineView) -> Result<Whole, Failure> {
-    let target = Target { view, behind: &[], path: None, after: None };
+async fn send_whole(
+    traffic: &Traffic,
+    call: &Call,
+    view: &EngineView,
+) -> Result<CompleteAnswer, Failure> {
+    let target = Target { view, downstream: &[], path: None, after: None };
     let answer = send(traffic, call, &target).await?;
-    answer.whole(&traffic.pool, ANSWER_MOST).await
+    answer.read_all(&traffic.pool, MAX_ANSWER_BYTES).await
 }
--- a/crates/heathpitchd/src/gateway/call/stream.rs
+++ b/crates/heathpitchd/src/gateway/call/stream.rs
@@ -1,8 +1,8 @@
 //! Filter: runs a call whose answer is a stream of events.
 //!
-//! A stream is sent to the first engine of a path. When that engine fails, the stream is taken up
-//! by another one after the last whole event passed on, if its route allows that; failures further
-//! on are mended by the control thread, which moves the running stream to other engines.
+//! A stream is sent to the first engine of a path. When that engine fails, the stream resumes at
+//! another one after the last complete event relayed, if its route allows retries. Failures further
+//! down the path are handled by the control thread, which moves the running stream to other engines.
 
 use std::sync::Arc;
 
@@ -11,58 +11,68 @@
 
 use super::Traffic;
 use super::admit::Call;
-use super::flow::{Ended, Flow};
+use super::flow::{DispatchError, Flow};
 use super::open::OpenCall;
-use super::record::pass_on;
+use super::record::final_answer;
 use super::refused::{Refused, RefusedKind};
 use super::relay::relay;
-use super::retry_schedules::unwanted;
+use super::retry_schedules::backpressure_refusal;
 
-/// Largest answer that is no stream, bytes.
-const ANSWER_MOST: usize = 1 << 20;
+/// Size of the largest answer that is not a stream.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// Runs the stream up to the head of its answer; its events follow as the body is read.
+/// Runs the stream until the head of its answer; its events are relayed as the caller reads the body.
 pub(crate) async fn run(
     traffic: Arc<Traffic>,
     call: Arc<Call>,
     open: OpenCall,
 ) -> Result<Response<Body>, Refused> {
-    let (shared, until) = (traffic.shared.clone(), call.until);
+    let (shared, deadline) = (traffic.shared.clone(), call.deadline);
     let mut flow = Flow::new(traffic, call, open);
-    let opened = shared.run_until(until, flow.dispatch()).await;
+    let opened = shared.run_until(deadline, flow.dispatch()).await;
     let id = flow.call.head.id.clone();
     let (kind, detail) = match opened {
         Some(Ok(answer)) => return Ok(relay(flow, answer)),
-        // An engine's own failure goes to the caller as it is.
-        Some(Err(Ended::Failed(answer))) => {
-            match answer.whole(&flow.traffic.pool, ANSWER_MOST).await {
+        // An engine's error response is passed on unchanged.
+        Some(Err(DispatchError::Failed(answer))) => {
+            match answer.read_all(&flow.traffic.pool, MAX_ANSWER_BYTES).await {
                 Ok((parts, content)) => {
-                    return Ok(pass_on(&flow.traffic, &flow.call, flow.sends, parts, content));
+                    return Ok(final_answer(
+                        &flow.traffic,
+                        &flow.call,
+                        flow.attempts,
+                        parts,
+                        content,
+                    ));
                 }
                 Err(e) => (RefusedKind::Broken, e.to_string()),
             }
         }
-        Some(Err(Ended::Shed(why))) => {
+        Some(Err(DispatchError::Shed(why))) => {
             let (now, traffic) = (flow.traffic.shared.now(), &flow.traffic);
             let left = flow.call.left(now);
-            let back = traffic.retry_schedules.refuse(&flow.call.service.name, left, now);
-            return Err(Refused::unsent(RefusedKind::Overloaded, &id, why).until(back));
+            let retry_after = traffic.retry_schedules.refuse(&flow.call.service.name, left, now);
+            return Err(
+                Refused::unsent(RefusedKind::Overloaded, &id, why).with_retry_after(retry_after)
+            );
         }
-        Some(Err(Ended::Refused(kind))) => {
-            if let Some(unwanted) = unwanted(&flow.traffic, &flow.call, kind, &flow.seen) {
-                return Err(unwanted);
+        Some(Err(DispatchError::Refused(kind))) => {
+            if let Some(refused) =
+                backpressure_refusal(&flow.traffic, &flow.call, kind, &flow.evidence)
+            {
+                return Err(refused);
             }
             let detail = match kind {
-                RefusedKind::NoEngine => "the engines that can be used do not hold every layer",
-                RefusedKind::EnginesRefused => "the engines asked refused the call",
+                RefusedKind::NoEngine => "the available engines do not hold every layer",
+                RefusedKind::EnginesRefused => "every engine that was tried refused the call",
                 _ => "the connection to an engine was lost",
             };
             (kind, detail.to_owned())
         }
         None => {
-            flow.seen.lost();
-            (RefusedKind::Expired, "no answer within the call's time".to_owned())
+            flow.evidence.lost();
+            (RefusedKind::Expired, "no answer before the call's deadline".to_owned())
         }
     };
-    Err(Refused::given_up(kind, &flow.seen, &id, detail))
+    Err(Refused::given_up(kind, &flow.evidence, &id, detail))
 }
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -171,10 +171,10 @@
                 .evidence(print, now)
                 .map(|(l, events, age)| (l.engine.clone(), events, age))
                 .collect();
-            GatewayEvent::RequestHeldBack { print, ends, why }.log();
+            GatewayEvent::RequestHeldBack { fingerprint: print, ends, why }.log();
         }
         for print in over {
-            GatewayEvent::RequestLetThrough { print, why }.log();
+            GatewayEvent::RequestLetThrough { fingerprint: print, why }.log();
         }
         let held = |print| {
             let engines = quarantine.evidence(print, now).map(|(l, ..)| l.engine.clone()).collect();
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -1,14 +1,14 @@
-//! Events of a gateway's log, each with a stable name.
+//! Structured events of a gateway's log; their names and fields do not change between versions.
 
 use heathpitch_core::{LayerRange, Millis, Name, Path, Rate, RequestFingerprint, Revision};
 use heathpitch_policy::LayoutReason;
 use serde::Serialize;
 
-/// A line of the log; neither bodies nor keys stand in any.
+/// A line of the log; no line contains bodies or keys.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum GatewayEvent {
-    /// The node listens.
+    /// The node has started to listen.
     GatewayStarted {
         /// Node.
         node: Name,
@@ -16,21 +16,21 @@
         domain: Name,
         /// Address for callers.
         listen: String,
-        /// Address of the balancer's check.
+        /// Address of the readiness check.
         ready: String,
-        /// Address of metrics.
+        /// Address of the metrics.
         metrics: String,
         /// Address for other nodes.
         peer: Option<String>,
     },
-    /// Settings were read again.
+    /// The settings were reloaded.
     GatewayReloaded {
-        /// What is wrong with them, if they were not taken.
+        /// Why they were rejected, if they were.
         error: Option<String>,
     },
-    /// The node was told to stop.
+    /// The node was asked to stop.
     GatewayStopping {
-        /// Calls open.
+        /// Open calls.
         open: usize,
     },
     /// The node has stopped.
@@ -44,15 +44,16 @@
         request: String,
         /// Status answered.
         status: u16,
-        /// Stable kind.
+        /// Kind of the refusal.
         kind: &'static str,
-        /// What was found.
+        /// Details of the cause.
         detail: String,
-        /// When the caller is told to come back.
-        back_ms: Option<Millis>,
+        /// Time after which the caller is told to retry.
+        #[serde(rename = "back_ms")]
+        retry_after_ms: Option<Millis>,
         /// Version of the configuration in force.
         config: u64,
-        /// Age of the proof that it is the newest.
+        /// Time since it was last confirmed as the newest.
         proof_ms: Option<Millis>,
     },
     /// A call was sent to an engine.
@@ -67,15 +68,15 @@
         attempt: u32,
         /// Engine asked.
         engine: Name,
-        /// Other parts of the path.
+        /// Stages of the path.
         parts: Vec<(Name, LayerRange)>,
-        /// Event after which a stream goes on.
+        /// Event after which a stream resumes.
         after: Option<u64>,
-        /// Time left.
+        /// Time left until the call's deadline.
         left_ms: Millis,
         /// Version of the configuration in force.
         config: u64,
-        /// Age of the proof that the engines known are those that the store lists.
+        /// Time since the known engines were last confirmed to match the store.
         list_ms: Option<Millis>,
     },
     /// An attempt failed.
@@ -86,83 +87,84 @@
         attempt: u32,
         /// Engine asked.
         engine: Name,
-        /// What happened.
+        /// What failed.
         error: String,
         /// Whether it is certain that the call did not run there.
         not_run: bool,
-        /// Events passed on so far.
+        /// Events relayed so far.
         events: u64,
-        /// Print of the request, if it may have run there: the same for calls that are the same request.
-        print: Option<RequestFingerprint>,
+        /// Fingerprint of the request, if it may have run there; calls with the same request share it.
+        #[serde(rename = "print")]
+        fingerprint: Option<RequestFingerprint>,
     },
-    /// A running call was moved to other engines.
+    /// A running stream was moved to other engines.
     CallRerouted {
         /// Call.
         request: String,
-        /// Engine that is left.
+        /// Engine that it was moved off.
         leaving: Option<Name>,
-        /// Parts of the new path.
+        /// Stages of the new path.
         parts: Vec<(Name, LayerRange)>,
-        /// How long nothing had been heard.
+        /// Time since anything was received.
         silent_ms: Millis,
-        /// What the first engine said.
+        /// Response of the first engine.
         result: String,
     },
-    /// A call is over.
+    /// A call has ended.
     CallEnded {
         /// Call.
         request: String,
         /// Status answered.
         status: u16,
-        /// Whether its answer is whole.
+        /// Whether its answer is complete.
         whole: bool,
         /// Attempts made.
         attempts: u32,
-        /// Events passed on.
+        /// Events relayed.
         events: u64,
         /// Time to the head of the answer.
         first_ms: Millis,
-        /// Time taken.
+        /// Duration of the call.
         ms: Millis,
         /// Longest pause between events.
         pause_ms: Millis,
     },
-    /// A configuration is in force.
+    /// A configuration was put in force.
     ConfigAdopted {
         /// Version.
         version: u64,
         /// Revision of the store.
         revision: Revision,
-        /// Routes in it.
+        /// Number of its routes.
         routes: usize,
     },
-    /// A configuration cannot be used; the one before stays in force.
+    /// A configuration is invalid; the previous one stays in force.
     ConfigRejected {
         /// Revision of the store.
         revision: Revision,
         /// What is wrong.
         error: String,
     },
-    /// A watch got no answer; what it watched is read anew.
+    /// A watch of the store got no response; its keys are read again.
     WatchLost {
-        /// What it watched.
+        /// What is watched.
         of: &'static str,
-        /// How long ago it was asked.
+        /// Time since the watch was sent.
         asked_ms: Millis,
         /// What failed.
         error: String,
     },
-    /// The store told of engines.
+    /// Engine entries were received from the store.
     #[serde(rename = "engines_heard")]
     EnginesReceived {
-        /// Call that it answered.
+        /// Kind of the call that returned them.
         by: &'static str,
-        /// How long ago that call was sent.
+        /// Time since that call was sent.
         asked_ms: Millis,
-        /// Entries or changes told.
+        /// Number of entries or changes.
         entries: usize,
     },
-    /// An engine is listed, or its entry changed.
+    /// An engine was listed, or its entry changed.
     EngineListed {
         /// Engine.
         engine: Name,
@@ -170,161 +172,165 @@
         service: Name,
         /// Failure domain.
         domain: Name,
-        /// Whether it leaves.
+        /// Whether it is draining.
         leaving: bool,
-        /// Layers it holds.
+        /// Layers that it holds.
         layers: LayerRange,
-        /// Unix time of its start, milliseconds, if it tells that.
+        /// Unix time of its start, milliseconds, if known.
         born: Option<Millis>,
     },
-    /// Many engines are listed, or their entries changed, at once.
+    /// Many engines were listed, or their entries changed, at once.
     EnginesListed {
-        /// Engines, and the layers they hold.
+        /// Engines and the layers that they hold.
         engines: Vec<(Name, LayerRange)>,
     },
-    /// An engine's entry is gone or cannot be read.
+    /// An engine's entry was removed or cannot be parsed.
     EngineGone {
         /// Engine.
         engine: String,
         /// Why.
         why: &'static str,
     },
-    /// An engine has started again under its id: what was known of its last life is forgotten.
+    /// An engine was restarted under its id: the state of its previous incarnation is dropped.
     #[serde(rename = "engine_reborn")]
     EngineRestarted {
         /// Engine.
         engine: Name,
         /// Unix time of its start, milliseconds.
         born: Option<Millis>,
-        /// What told of it.
+        /// How this was noticed.
         by: &'static str,
     },
-    /// An engine has ended while calls of this node ran there: it refuses connections.
+    /// An engine exited while it ran calls of this node: it refuses connections.
     EngineEnded {
         /// Engine.
         engine: Name,
         /// Calls of this node that were lost with it.
         calls: usize,
-        /// Those that had brought least: their prints and events, at most sixteen.
+        /// Those with the fewest events: fingerprints and event counts, at most sixteen.
         youngest: Vec<(RequestFingerprint, u32)>,
     },
-    /// Another node told of engines that ended under requests.
+    /// Another node reported engines that exited while they ran requests.
     #[serde(rename = "ends_heard")]
     ExitsReceived {
         /// Node.
         by: Name,
-        /// Ends that are new to this node, or void since.
+        /// Number of exits that are new to this node or newly cleared.
         ends: usize,
     },
-    /// A request is sent nowhere any more.
+    /// A request is not sent to any engine from now on.
     RequestHeldBack {
-        /// Print of the request.
-        print: RequestFingerprint,
-        /// Engines that ended under it: events it had brought, and how long ago that became known.
+        /// Fingerprint of the request.
+        #[serde(rename = "print")]
+        fingerprint: RequestFingerprint,
+        /// Engines that exited while they ran it, its events there, and the time since this became known.
         ends: Vec<(Name, u32, Millis)>,
-        /// What decided it.
+        /// Cause of the change.
         why: &'static str,
     },
-    /// A request that was held back may be sent again.
+    /// A request that was held back may be sent to engines again.
     RequestLetThrough {
-        /// Print of the request.
-        print: RequestFingerprint,
-        /// What decided it.
+        /// Fingerprint of the request.
+        #[serde(rename = "print")]
+        fingerprint: RequestFingerprint,
+        /// Cause of the change.
         why: &'static str,
     },
-    /// An engine is kept from new work.
+    /// An engine is suspect and gets no new requests for a while.
     #[serde(rename = "engine_doubted")]
     EngineSuspected {
         /// Engine.
         engine: Name,
-        /// What it did.
+        /// Cause of the suspicion.
         why: &'static str,
-        /// For how long.
+        /// Duration of the suspicion.
         for_ms: Millis,
     },
-    /// An engine asked this node for rest, said that it leaves, or named another limit than before, or none any more.
+    /// An engine asked this node to pause, announced that it drains, or changed or removed its rate limit.
     #[serde(rename = "engine_wished")]
     EngineBackpressure {
         /// Engine.
         engine: Name,
-        /// What it answered: a call, by its id, or a question of this node's own.
+        /// What it answered: a call, by its id, or the kind of a request of this node's own.
         answer: String,
-        /// Status of that answer.
+        /// Status of that response.
         status: u16,
-        /// Time for which it wants nothing from this node, if it says so.
-        rest_ms: Option<Millis>,
-        /// Whether it leaves.
-        leaves: bool,
-        /// Requests a second that it takes from all nodes together, if it names a limit.
+        /// Time for which it asks this node to send nothing.
+        #[serde(rename = "rest_ms")]
+        pause_ms: Option<Millis>,
+        /// Whether it is draining.
+        #[serde(rename = "leaves")]
+        draining: bool,
+        /// Requests per second that it accepts from all nodes together, if it has a limit.
         limit: Option<Rate>,
     },
-    /// An engine leaves by its own word, whatever its entry says.
+    /// An engine is draining by its own announcement, whatever its entry says.
     #[serde(rename = "engine_leaves")]
     EngineDraining {
         /// Engine.
         engine: Name,
-        /// How long ago it said so.
+        /// Age of its announcement.
         age_ms: Millis,
-        /// Who heard it.
+        /// Who received it.
         by: &'static str,
     },
-    /// The planner of a failure domain wrote the limits of its engines to the store.
+    /// The planner of a failure domain wrote the rate limits of its engines to the store.
     LimitsStored {
-        /// Engines that name a limit.
+        /// Number of engines with a limit.
         engines: usize,
         /// Revision of the record.
         revision: Revision,
     },
-    /// An engine named another limit than was known, or none any more, to this node or to another one.
+    /// An engine changed or removed its rate limit, as announced to this node or to another one.
     EngineLimited {
         /// Engine.
         engine: Name,
-        /// Requests a second that it takes from all nodes together, if it names a limit.
+        /// Requests per second that it accepts from all nodes together, if it has a limit.
         limit: Option<Rate>,
-        /// How long ago it said so.
+        /// Age of its announcement.
         age_ms: Millis,
-        /// Who heard it.
+        /// Who received it.
         by: &'static str,
     },
-    /// A node began or ceased to hand out rights for engines that name a limit to this one.
+    /// A node started or stopped issuing rights for rate-limited engines to this one.
     RightsChanged {
         /// That node, the planner of the engine's failure domain.
         planner: Name,
         /// Its failure domain.
         domain: Name,
-        /// Whether it hands out rights.
+        /// Whether it issues rights.
         active: bool,
-        /// What decided it.
+        /// Cause of the change.
         why: String,
     },
-    /// An engine that said that it leaves is still there long after, and does not say so any more.
+    /// An engine that announced that it drains is still running long after and no longer says so.
     #[serde(rename = "engine_stays")]
     EngineDrainCancelled {
         /// Engine.
         engine: Name,
     },
-    /// An engine is slower than its card by another factor than before.
+    /// The factor by which an engine is slower than its card changed.
     #[serde(rename = "engine_paced")]
     EngineSlowdown {
         /// Engine.
         engine: Name,
-        /// The factor, 1 if it is as it should be.
+        /// The factor; 1 is the card's speed.
         pace: f64,
     },
-    /// The planner has worked out which engines of its failure domain are to hold other layers.
+    /// The planner has planned which engines of its failure domain should hold other layers.
     LayoutPlanned {
         /// Service.
         service: Name,
-        /// Engines that can be planned with.
+        /// Engines that the plan can use.
         engines: usize,
-        /// How many of them hold nothing before.
+        /// Those that held no layers before.
         empty: usize,
-        /// Copies, before, of the layer that has the fewest.
+        /// Copies, before, of the layer with the fewest.
         copies: usize,
-        /// Engines that are ordered now.
+        /// Engines that get orders now.
         moves: usize,
     },
-    /// An engine was ordered to hold layers.
+    /// An engine was ordered to load layers.
     LayersOrdered {
         /// Engine.
         engine: Name,
@@ -332,65 +338,65 @@
         layers: LayerRange,
         /// Why.
         reason: LayoutReason,
-        /// Orders it had begun.
+        /// Orders that it had started.
         orders: u64,
-        /// What it said.
+        /// Its response.
         result: String,
     },
-    /// The VM was suspended, and goes on.
+    /// The VM was resumed after a suspension.
     VmSuspended {
-        /// For how long.
+        /// Duration of the suspension.
         ms: Millis,
-        /// Age of the proof that the configuration is the newest, now that this counts.
+        /// Time since the configuration was last confirmed as the newest, including the suspension.
         proof_ms: Option<Millis>,
-        /// Age of the proof that the engines known are those that the store lists.
+        /// Time since the known engines were last confirmed to match the store.
         list_ms: Option<Millis>,
     },
-    /// This node began or ceased to plan its failure domain.
+    /// This node became the planner of its failure domain, or ceased to be.
     DomainPlanner {
-        /// Whether it plans now.
+        /// Whether it is the planner now.
         active: bool,
-        /// What decided it.
+        /// Cause of the change.
         why: &'static str,
     },
-    /// Another node begins or ceases to tell this one what the store holds.
+    /// Another node started or stopped feeding the contents of the store to this one.
     FeedChanged {
-        /// The node, if one tells it now.
+        /// The node, if one feeds this one now.
         planner: Option<Name>,
-        /// What decided it.
+        /// Cause of the change.
         why: String,
     },
-    /// The planner of another failure domain begins or ceases to tell this one its engines' reports.
+    /// The planner of another failure domain started or stopped feeding its engines' reports to this one.
     NeighbourChanged {
         /// That planner.
         planner: Name,
         /// Its failure domain.
         domain: Name,
-        /// What it failed with; none if it answers.
+        /// Why it stopped; none if it answers.
         error: Option<String>,
     },
-    /// The store has come back from an older copy of itself: what was written there since may be gone.
+    /// The store was restored from an older copy: later writes may be lost.
     #[serde(rename = "store_came_back")]
     StoreRestored {
-        /// Era before.
+        /// Previous era.
         from: u64,
-        /// Era now.
+        /// Current era.
         era: u64,
-        /// Revision of the configuration in force, which stays.
+        /// Revision of the configuration in force, which stays in force.
         revision: Revision,
-        /// Engines that went before, whose entries the copy may have.
+        /// Engines that were removed before and whose entries the copy may still contain.
         gone: Vec<Name>,
     },
-    /// A configuration that the store holds is older than the one in force, which stays until it is written again.
+    /// The store holds an older configuration than the one in force, which stays in force until it is written again.
     ConfigBehind {
-        /// Version that the store holds.
+        /// Version in the store.
         version: u64,
         /// Its revision.
         revision: Revision,
         /// Version in force.
         in_force: u64,
     },
-    /// The store does not answer, or answers again.
+    /// The store stopped answering, or answers again.
     StoreReachable {
         /// Whether it answers.
         reachable: bool,
@@ -399,7 +405,7 @@
     },
 }
 
-/// Parts of a path as events show them.
+/// Stages of a path, as events show them.
 pub(crate) fn parts(path: Option<&Path>) -> Vec<(Name, LayerRange)> {
     let stages = path.map_or(&[][..], Path::stages);
     stages.iter().map(|s| (s.engine.clone(), s.layers)).collect()
--- a/crates/heathpitchd/tests/gateway_streams.rs
+++ b/crates/heathpitchd/tests/gateway_streams.rs
@@ -242,7 +242,7 @@
     assert_eq!(refused["kind"], "overloaded");
     let detail = refused["detail"].as_str().unwrap();
     assert!(
-        detail.contains("engine b") && detail.contains("0.99 of its room by its report"),
+        detail.contains("engine b") && detail.contains("0.99 of its token capacity by its report"),
         "{detail}"
     );
     b.fill(0);
