--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -227,7 +227,7 @@
         let Some((engine, before)) = self.started.take() else { return };
         let events = self.events.count().saturating_sub(before).min(u32::MAX.into()) as u32;
         self.lost_events = Some(events);
-        let lost = LostAttempt { engine, print: self.call.fingerprint(), events };
+        let lost = LostAttempt { engine, fingerprint: self.call.fingerprint(), events };
         self.traffic.shared.notify(Notice::ConnectionLost(lost));
     }
 
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -166,8 +166,12 @@
             progress.attempts += 1;
             progress.evidence.lost();
             progress.lost = true;
-            let (engine, print) = (view.entry.clone(), call.fingerprint());
-            traffic.shared.notify(Notice::ConnectionLost(LostAttempt { engine, print, events: 0 }));
+            let (engine, fingerprint) = (view.entry.clone(), call.fingerprint());
+            traffic.shared.notify(Notice::ConnectionLost(LostAttempt {
+                engine,
+                fingerprint,
+                events: 0,
+            }));
             RefusedKind::Broken
         }
     }
--- a/crates/heathpitchd/src/gateway/control/ends.rs
+++ b/crates/heathpitchd/src/gateway/control/ends.rs
@@ -67,7 +67,7 @@
 fn note(control: &Control, lost: &[LostAttempt]) {
     let Some(LostAttempt { engine, .. }) = lost.first() else { return };
     control.ends.borrow_mut().ended.entry(engine.id.clone()).or_insert(control.now());
-    let mut youngest: Vec<_> = lost.iter().map(|l| (l.print, l.events)).collect();
+    let mut youngest: Vec<_> = lost.iter().map(|l| (l.fingerprint, l.events)).collect();
     youngest.sort_by_key(|(_, events)| *events);
     youngest.truncate(LOGGED);
     let (name, calls) = (engine.id.clone(), lost.len());
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -75,7 +75,7 @@
         let mut new = false;
         for call in lost.iter().filter(told) {
             let mut quarantine = self.quarantine.borrow_mut();
-            new |= quarantine.record_end(call.print, life.clone(), call.events, now);
+            new |= quarantine.record_end(call.fingerprint, life.clone(), call.events, now);
         }
         self.leave(&life);
         if new {
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct LostAttempt {
     pub(crate) engine: Arc<EngineEntry>,
-    pub(crate) print: RequestFingerprint,
+    pub(crate) fingerprint: RequestFingerprint,
     /// Events received in this attempt.
     pub(crate) events: u32,
 }
--- a/crates/heathpitchd/tests/gateway/mod.rs
+++ b/crates/heathpitchd/tests/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! Set-up that the gateway's process tests share.
+//! Shared set-up of the gateway's process tests.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
-#![allow(clippy::unwrap_used, reason = "a set-up that fails fails its test")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails its test")]
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,21 +11,21 @@
 use hyper::Method;
 use serde_json::{Value, json};
 
-/// Time in which anything must happen.
+/// Timeout of every wait.
 pub(crate) const LIMIT: Duration = Duration::from_secs(20);
-/// A key of the account `desk`.
+/// API key of the client account `desk`.
 pub(crate) const KEY: &str = "key-of-desk";
-/// A second key of it.
+/// Second API key of the same account.
 pub(crate) const KEY_2: &str = "second-key-of-desk";
 
-/// A store with a configuration, and a node before it.
+/// A store with a configuration, for which nodes and engines can be started.
 pub(crate) struct World {
     pub(crate) store: Store,
     pub(crate) site: Site,
 }
 
 impl World {
-    /// A store with the usual configuration.
+    /// A store with the default configuration.
     pub(crate) fn new() -> Self {
         let store = Store::spawn().unwrap();
         let site = Site {
@@ -47,27 +47,27 @@
         world
     }
 
-    /// Writes the configuration.
+    /// Writes the configuration to the store.
     pub(crate) fn configure(&self) {
         self.store.configure(&self.site.json());
     }
 
-    /// An engine of a service.
+    /// Starts an engine of a service.
     pub(crate) fn engine(&self, id: &str, service: &str) -> Engine {
         let kind = (service == "llm").then_some("small");
         Engine::spawn(&self.store, id, service, "mem", kind).unwrap()
     }
 
-    /// A node that is ready.
+    /// Starts a node and waits until it is ready.
     pub(crate) async fn node(&self) -> GatewayProcess {
         self.node_with(&json!({})).await
     }
 
-    /// The same, with other bounds.
+    /// The same with other bounds.
     pub(crate) async fn node_with(&self, bounds: &Value) -> GatewayProcess {
         let node = self.start("n1", bounds);
         node.wait_ready().await.unwrap();
-        // Until a node knows the fleet's size it makes next to no second sends.
+        // Until a node knows the size of the fleet, its retry budget is almost empty.
         wait("the node knows the fleet", async || {
             node.metrics().await.is_ok_and(|text| text.contains("heathpitch_nodes 1"))
         })
@@ -75,17 +75,17 @@
         node
     }
 
-    /// A node that may not be ready yet.
+    /// Starts a node without waiting until it is ready.
     pub(crate) fn start(&self, name: &str, bounds: &Value) -> GatewayProcess {
         spawn(self.store.address(), name, "mem", bounds)
     }
 
-    /// A node of another failure domain that may not be ready yet.
+    /// Starts a node of another failure domain without waiting until it is ready.
     pub(crate) fn start_in(&self, domain: &str, name: &str) -> GatewayProcess {
         spawn(self.store.address(), name, domain, &json!({}))
     }
 
-    /// A node on a small VM that is told of seeds.
+    /// Starts a node on a small VM with these seeds.
     pub(crate) fn start_seeded(&self, name: &str, seeds: &[&str]) -> GatewayProcess {
         let binary = Path::new(env!("CARGO_BIN_EXE_heathpitchd"));
         let vm = json!({ "link_mbps": 20.0, "cpu_share": 0.12 });
@@ -93,18 +93,21 @@
         GatewayProcess::spawn_with(binary, self.store.address(), name, "mem", settings).unwrap()
     }
 
-    /// A planner, its link to the store, and a node that it tells what the store holds.
+    /// Starts a planner behind a proxy to the store, and a follower that it feeds.
     pub(crate) async fn planner_and_follower(&self) -> (GatewayProcess, Proxy, GatewayProcess) {
         let (planner, link) = self.start_behind("n1", &json!({}));
         planner.wait_ready().await.unwrap();
-        wait("the first node plans", async || !planner.events("domain_planner").is_empty()).await;
+        wait("the first node is the planner", async || {
+            !planner.events("domain_planner").is_empty()
+        })
+        .await;
         let other = self.start("n2", &json!({}));
         other.wait_ready().await.unwrap();
         wait("the second node is fed", async || fed(&other) == Some(true)).await;
         (planner, link, other)
     }
 
-    /// The same, and the link to the store that it is behind.
+    /// Starts a node that reaches the store through a proxy, without waiting until it is ready.
     pub(crate) fn start_behind(&self, name: &str, bounds: &Value) -> (GatewayProcess, Proxy) {
         let link = Proxy::spawn(self.store.address()).unwrap();
         (spawn(link.address(), name, "mem", bounds), link)
@@ -116,31 +119,31 @@
     GatewayProcess::spawn(binary, store, name, domain, bounds).unwrap()
 }
 
-/// Status that a caller gets for a plain call.
+/// Status of the answer to a GET call.
 pub(crate) async fn status(caller: &Caller, target: &str) -> u16 {
     caller.call(Method::GET, target, "").await.unwrap().status
 }
 
-/// Whether a node is told by another one, as its log says last.
+/// Whether another node feeds this one, according to its last log line on that.
 pub(crate) fn fed(node: &GatewayProcess) -> Option<bool> {
     node.events("feed_changed").last().map(|e| !e["planner"].is_null())
 }
 
-/// Whether the store answers a node, as its log says last.
+/// Whether the store answers a node, according to its last log line on that.
 pub(crate) fn reachable(node: &GatewayProcess) -> Option<bool> {
     node.events("store_reachable").last().map(|e| e["reachable"] == true)
 }
 
-/// Milliseconds of the wall clock, as in a node's log.
+/// Unix time in milliseconds, as in a node's log.
 pub(crate) fn wall_ms() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64
 }
 
-/// Waits until something holds.
-pub(crate) async fn wait(what: &str, holds: impl AsyncFn() -> bool) {
+/// Waits until a condition holds; panics after [`LIMIT`].
+pub(crate) async fn wait(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
-    while !holds().await {
-        assert!(start.elapsed() < LIMIT, "not in time: {what}");
+    while !condition().await {
+        assert!(start.elapsed() < LIMIT, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/heathpitchd/tests/gateway_calls.rs
+++ b/crates/heathpitchd/tests/gateway_calls.rs
@@ -1,6 +1,6 @@
-//! Calls with one whole answer: what is passed on, what is repeated, what is refused.
+//! Calls with a single answer: forwarding, retries and refusals.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails its test")]
 
 mod gateway;
 
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_reaches_its_engine_unchanged_but_for_the_routers_own_headers() {
+async fn a_call_is_forwarded_unchanged_except_for_router_headers() {
     let world = World::new();
     let engine = world.engine("e1", "api");
     let node = world.node().await;
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_the_configuration_does_not_know_is_denied() {
+async fn unknown_routes_and_keys_are_denied() {
     let world = World::new();
     let engine = world.engine("e1", "api");
     let node = world.node().await;
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_without_a_configuration_puts_calls_off() {
+async fn a_node_without_a_configuration_answers_503() {
     let world = World::new();
     world.store.unconfigure();
     world.engine("e1", "api");
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_may_run_once_is_never_sent_twice() {
+async fn a_non_idempotent_call_is_never_sent_twice() {
     let world = World::new();
     let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn only_a_statement_that_nothing_ran_becomes_a_refusal() {
+async fn only_a_statement_that_the_call_did_not_run_becomes_a_refusal() {
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_idempotent_call_is_tried_at_another_engine() {
+async fn an_idempotent_call_is_retried_at_another_engine() {
     for play in [Play::Lose, Play::OtherId, Play::Unstamped, Play::Refuse, Play::Fail(500)] {
         let world = World::new();
         let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
@@ -109,11 +109,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_comes_late_is_never_given_to_another_call() {
+async fn a_surplus_answer_is_never_given_to_another_call() {
     let world = World::new();
     let raw = RawEngine::spawn(|id| {
         let answer = RawEngine::whole_answer;
-        // A second answer follows each one, as if to the call that comes next.
+        // Each answer is followed by a second one that could be taken for that of the next call.
         format!("{}{}", answer(id, &format!("for {id}")), answer(id, "once more")).into_bytes()
     });
     let address = raw.await.unwrap().address;
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_routes_time_ends_a_call_at_that_moment() {
+async fn a_call_ends_at_the_timeout_of_its_route() {
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
@@ -141,11 +141,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_is_another_one_is_left() {
+async fn an_entry_that_leads_to_another_engine_is_removed() {
     let world = World::new();
     let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
     a.unlist();
-    // The entry of an engine that is gone leads to the address of another one.
+    // The entry of an engine that no longer exists has the address of another engine.
     world.store.list_engine("gone", "api", "mem", b.address);
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
@@ -153,14 +153,14 @@
         let reply = caller.call(Method::GET, "/get/x", "").await.unwrap();
         assert_eq!(reply.status, 200);
     }
-    wait("the node leaves the engine", async || {
+    wait("the node removes the engine", async || {
         node.events("engine_gone").iter().any(|e| e["engine"] == "gone")
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn heads_and_bodies_out_of_bounds_are_refused() {
+async fn invalid_heads_and_oversized_bodies_are_refused() {
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
@@ -189,7 +189,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_can_be_followed_in_the_log() {
+async fn a_call_can_be_traced_in_the_log() {
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
@@ -201,7 +201,7 @@
         let lines = node.events(event);
         lines.into_iter().find(|l| l["request"] == request.as_str())
     };
-    wait("the log tells the end", async || about("call_refused").is_some()).await;
+    wait("the end of the call is logged", async || about("call_refused").is_some()).await;
     let routed = about("call_routed").unwrap();
     assert_eq!((&routed["engine"], &routed["account"]), (&json!("a"), &json!("desk")));
     assert_eq!(routed["config"], 3);
--- a/crates/heathpitchd/tests/gateway_layers.rs
+++ b/crates/heathpitchd/tests/gateway_layers.rs
@@ -1,6 +1,6 @@
-//! Layers: laid out at the start, repaired after a loss, by one planner at a time.
+//! Layout of layers: initial plan and repair after the loss of an engine, by one planner at a time.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails its test")]
 
 mod gateway;
 
@@ -10,23 +10,23 @@
 use serde_json::json;
 
 /// Whether these engines hold every layer.
-fn whole(engines: &[Engine]) -> bool {
+fn hold_every_layer(engines: &[Engine]) -> bool {
     let held: Vec<_> = engines.iter().map(Engine::layers).collect();
     (0..8).all(|l| held.iter().any(|(from, end)| (*from..*end).contains(&l)))
 }
 
 fn planner(nodes: &[GatewayProcess]) -> Option<usize> {
-    let plans =
+    let is_planner =
         |n: &GatewayProcess| n.events("domain_planner").last().is_some_and(|e| e["active"] == true);
-    nodes.iter().position(plans)
+    nodes.iter().position(is_planner)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn empty_engines_are_given_every_layer_within_their_memory() {
+async fn empty_engines_load_every_layer_within_their_memory() {
     let world = World::new();
     let engines: Vec<_> = (0..4).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
     let node = world.node().await;
-    wait("every layer is held", async || whole(&engines)).await;
+    wait("every layer is held", async || hold_every_layer(&engines)).await;
     for engine in &engines {
         let (from, end) = engine.layers();
         assert!(end - from <= 4, "{from}..{end}");
@@ -40,22 +40,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_layers_of_a_lost_engine_go_to_others() {
+async fn the_layers_of_a_lost_engine_are_loaded_by_others() {
     let world = World::new();
     let mut engines: Vec<_> = (0..4).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
     let _node = world.node().await;
-    wait("every layer is held", async || whole(&engines)).await;
+    wait("every layer is held", async || hold_every_layer(&engines)).await;
     let lost = engines.remove(0);
     lost.crash();
     lost.unlist();
-    wait("every layer is held again", async || whole(&engines)).await;
+    wait("every layer is held again", async || hold_every_layer(&engines)).await;
 }
 
-/// An engine's entry may outlive it, as long as the store is away or for good. Seen once: an order to one that had
-/// ended was counted as taken, so that a layer which it was to hold had no other engine any more, and no
-/// stream was served until the end.
+/// An engine's entry may outlive it, for as long as the store is unreachable or forever. An order to
+/// an engine that had exited was counted as accepted, so that a layer that it was to load was on no
+/// other engine, and no stream was served any more.
 #[tokio::test(flavor = "multi_thread")]
-async fn layers_are_not_left_to_an_engine_that_cannot_be_connected_to() {
+async fn layers_are_not_left_to_an_unreachable_engine() {
     let world = World::new();
     let [ended, first, second, third] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
     ended.crash();
@@ -63,33 +63,39 @@
     [&second, &third].iter().for_each(|e| e.hold(4, 8));
     let node = world.node().await;
     let ordered = |e: &serde_json::Value| e["engine"] == "a";
-    wait("it is ordered", async || node.events("layers_ordered").iter().any(ordered)).await;
+    wait("the exited engine is ordered to load layers", async || {
+        node.events("layers_ordered").iter().any(ordered)
+    })
+    .await;
     first.crash();
     first.unlist();
-    wait("living engines hold every layer", async || whole(&[second.clone(), third.clone()])).await;
+    wait("living engines hold every layer", async || {
+        hold_every_layer(&[second.clone(), third.clone()])
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_node_plans_when_the_planner_dies() {
+async fn another_node_becomes_planner_when_the_planner_exits() {
     let world = World::new();
     let mut engines: Vec<_> = (0..4).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
     let mut nodes = vec![world.start("n1", &json!({})), world.start("n2", &json!({}))];
     for node in &nodes {
         node.wait_ready().await.unwrap();
     }
-    wait("one node plans", async || planner(&nodes).is_some()).await;
-    wait("every layer is held", async || whole(&engines)).await;
+    wait("one node is the planner", async || planner(&nodes).is_some()).await;
+    wait("every layer is held", async || hold_every_layer(&engines)).await;
     let dead = nodes.remove(planner(&nodes).unwrap());
     drop(dead);
-    wait("the other node plans", async || planner(&nodes).is_some()).await;
+    wait("the other node is the planner", async || planner(&nodes).is_some()).await;
     let lost = engines.remove(0);
     lost.crash();
     lost.unlist();
-    wait("every layer is held again", async || whole(&engines)).await;
+    wait("every layer is held again", async || hold_every_layer(&engines)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn layers_that_engines_hold_already_are_left_where_they_are() {
+async fn layers_that_engines_already_hold_are_not_moved() {
     let world = World::new();
     let engines: Vec<_> = (0..3).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
     engines[0].hold(0, 4);
--- a/crates/heathpitchd/tests/gateway_stop.rs
+++ b/crates/heathpitchd/tests/gateway_stop.rs
@@ -1,6 +1,6 @@
-//! Planned stops and reloads.
+//! Graceful shutdown, and reload of the settings.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails its test")]
 
 mod gateway;
 
@@ -12,7 +12,7 @@
 use hyper::Method;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_node_says_so_at_once_and_cuts_nothing() {
+async fn a_stopping_node_reports_it_at_once_and_cuts_off_no_call() {
     let world = World::new();
     let engine = world.engine("one", "one");
     world.engine("a", "api");
@@ -22,24 +22,24 @@
     let (reply, rest) = caller.open(Method::POST, "/whole/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 200);
     node.signal("TERM").unwrap();
-    wait("it is not ready", async || !node.is_ready().await).await;
-    // The balancer has not noticed yet: new calls are still served.
+    wait("the node is not ready", async || !node.is_ready().await).await;
+    // The load balancer has not noticed yet: new calls are still served.
     let reply = caller.call(Method::GET, "/get/x", "").await.unwrap();
     assert_eq!((reply.status, reply.header("connection")), (200, Some("close")));
     let body = rest.collect().await.unwrap().to_bytes();
     assert!(body.ends_with(b"data: 100 of one\n\n"));
     assert_eq!(node.wait_end(LIMIT), Some(0));
-    wait("the log tells the end", async || !node.events("gateway_stopped").is_empty()).await;
+    wait("the end is logged", async || !node.events("gateway_stopped").is_empty()).await;
     assert_eq!(node.events("gateway_stopped")[0]["cut"], 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn settings_are_read_again_on_a_signal() {
+async fn settings_are_reloaded_on_sighup() {
     let world = World::new();
     world.engine("a", "api");
     let node = world.node().await;
     node.signal("HUP").unwrap();
-    wait("they are read again", async || !node.events("gateway_reloaded").is_empty()).await;
+    wait("the settings are reloaded", async || !node.events("gateway_reloaded").is_empty()).await;
     assert_eq!(node.events("gateway_reloaded")[0]["error"], serde_json::Value::Null);
     assert!(node.is_ready().await);
 }
--- a/crates/heathpitchd/tests/gateway_streams.rs
+++ b/crates/heathpitchd/tests/gateway_streams.rs
@@ -1,6 +1,6 @@
-//! Streams: paths that hold every layer, whole events, taking up elsewhere, callers that leave.
+//! Streams: complete paths, complete events, resumption at other engines, callers that disconnect.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails its test")]
 
 mod gateway;
 
@@ -11,22 +11,22 @@
 use http_body_util::BodyExt;
 use hyper::Method;
 
-const SHORT: Duration = Duration::from_millis(5);
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Two engines that hold the model between them, and a copy of the first.
+/// Engines `a` and `b` hold the model together; `c` holds the same layers as `a`.
 fn engines(world: &World) -> [Engine; 3] {
     let [a, b, c] = ["a", "b", "c"].map(|id| world.engine(id, "llm"));
     a.hold(0, 4);
     b.hold(4, 8);
     c.hold(0, 4);
     for e in [&a, &b, &c] {
-        e.play(Play::Stream(20, SHORT));
+        e.play(Play::Stream(20, EVENT_INTERVAL));
     }
     [a, b, c]
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_runs_every_layer_once_and_comes_whole() {
+async fn a_stream_runs_every_layer_once_and_is_complete() {
     let world = World::new();
     let [a, b, c] = engines(&world);
     let node = world.node().await;
@@ -48,14 +48,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_breaks_is_taken_up_after_its_last_whole_event() {
+async fn a_broken_stream_resumes_after_its_last_complete_event() {
     let world = World::new();
     let [a, b, c] = engines(&world);
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     for (broken, other) in [(&a, &c), (&c, &a)] {
         broken.play(Play::CutAfter(7));
-        other.play(Play::Stream(20, SHORT));
+        other.play(Play::Stream(20, EVENT_INTERVAL));
         for _ in 0..4 {
             let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
             assert_eq!((reply.status, reply.whole), (200, true));
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_takes_a_stream_up_gets_what_follows() {
+async fn a_caller_that_resumes_a_stream_gets_the_events_that_follow() {
     let world = World::new();
     let _engines = engines(&world);
     let node = world.node().await;
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_cannot_be_finished_does_not_look_whole() {
+async fn a_stream_that_cannot_be_finished_does_not_look_complete() {
     let world = World::new();
     let engine = world.engine("only", "one");
     let node = world.node().await;
@@ -91,20 +91,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_frees_the_engine() {
+async fn a_caller_that_disconnects_frees_the_engine() {
     let world = World::new();
     let engine = world.engine("only", "one");
     let node = world.node().await;
-    engine.play(Play::Stream(10_000, SHORT));
+    engine.play(Play::Stream(10_000, EVENT_INTERVAL));
     let caller = Caller::new(node.listen).key(KEY);
     let (reply, rest) = caller.open(Method::POST, "/whole/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 200);
     drop(rest);
-    wait("the engine sees that its reader left", async || engine.left() == 1).await;
+    wait("the engine notices the disconnect", async || engine.left() == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_every_layer_a_stream_is_refused_at_once() {
+async fn a_stream_is_refused_at_once_if_a_layer_is_missing() {
     let world = World::new();
     let a = world.engine("a", "llm");
     a.hold(0, 4);
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_running_stream_is_moved_off_an_engine_that_dies() {
+async fn a_running_stream_is_moved_off_an_engine_that_exits() {
     let world = World::new();
     let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
     a.hold(0, 4);
@@ -125,7 +125,7 @@
     c.hold(4, 8);
     d.hold(0, 4);
     let node = world.node().await;
-    // The stream falls silent after its first event, as if the engine behind were gone.
+    // The stream is silent after its first event, as if the second engine had exited.
     for head in [&a, &d] {
         head.play(Play::Stream(3, Duration::from_millis(1_500)));
     }
@@ -139,7 +139,7 @@
     };
     dead.crash();
     let head = if seen.engine() == Some("a") { &a } else { &d };
-    wait("the first engine is told another path", async || {
+    wait("the first engine gets another path", async || {
         head.orders().iter().any(|o| o["op"] == "repath")
     })
     .await;
@@ -150,10 +150,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_moved_stream_keeps_engines_that_hold_its_tokens_already() {
+async fn a_moved_stream_keeps_engines_that_already_hold_its_tokens() {
     let world = World::new();
     let [a, b, c, d, e] = ["a", "b", "c", "d", "e"].map(|id| world.engine(id, "llm"));
-    // Room for 1 250 000 tokens at the first engine, 500 000 at each other one.
+    // Capacity for 1 250 000 tokens on the first engine, 500 000 on each other one.
     a.hold(0, 2);
     b.hold(2, 5);
     c.hold(2, 5);
@@ -161,7 +161,8 @@
     e.hold(5, 8);
     let node = world.node().await;
     a.play(Play::Stream(3, Duration::from_millis(4_000)));
-    // More than half of the room beside three layers: one that holds the stream looks full to it.
+    // More than half of the capacity beside three layers: an engine that already holds the stream
+    // would count as full for it.
     let caller = Caller::new(node.listen).key(KEY).sized("300000,10");
     let (_, rest) = caller.open(Method::POST, "/tell/x", "prompt").await.unwrap();
     let path = a.seen().remove(0).path().unwrap().to_owned();
@@ -169,7 +170,7 @@
     let (dead, other) = if on(&b) { (&b, &c) } else { (&c, &b) };
     let kept = if on(&d) { &d } else { &e };
     dead.crash();
-    wait("the first engine is told another path", async || {
+    wait("the first engine gets another path", async || {
         a.orders().iter().any(|o| o["op"] == "repath")
     })
     .await;
@@ -180,7 +181,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_stream_goes_on_if_no_other_engine_takes_it() {
+async fn a_silent_stream_continues_if_no_other_engine_takes_it() {
     let world = World::new();
     let [a, b] = ["a", "b"].map(|id| world.engine(id, "llm"));
     a.hold(0, 4);
@@ -189,18 +190,18 @@
     a.play(Play::Stream(4, Duration::from_millis(600)));
     let caller = Caller::new(node.listen).key(KEY);
     let (_, rest) = caller.open(Method::POST, "/tell/x", "prompt").await.unwrap();
-    // The first engine takes no more connections, but its stream goes on; the other refuses.
+    // The first engine accepts no more connections, but its stream continues; the other refuses.
     let d = world.engine("d", "llm");
     d.play(Play::Refuse);
     d.hold(0, 4);
     a.close();
     let body = rest.collect().await.unwrap().to_bytes();
     assert!(body.ends_with(b"data: 4 of a\n\n"), "{body:?}");
-    assert_eq!(d.seen().len(), 1, "the other engine was asked");
+    assert_eq!(d.seen().len(), 1, "the stream was sent to the other engine");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_goes_around_an_engine_that_refuses_its_part() {
+async fn a_stream_avoids_an_engine_that_refuses_its_stage() {
     let world = World::new();
     let [a, b, c] = ["a", "b", "c"].map(|id| world.engine(id, "llm"));
     a.hold(0, 4);
@@ -219,7 +220,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_no_path_has_room_for_is_refused_at_once() {
+async fn a_stream_that_no_path_has_capacity_for_is_refused_at_once() {
     let world = World::new();
     let [a, b] = ["a", "b"].map(|id| world.engine(id, "llm"));
     a.hold(0, 4);
@@ -227,7 +228,7 @@
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     a.play(Play::Stream(3, Duration::from_millis(5)));
-    // Room for 125 000 tokens beside four layers.
+    // Capacity for 125 000 tokens beside four layers.
     b.fill(124_000);
     wait("the engine's report is known", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 503
@@ -236,7 +237,7 @@
     let (sent, start) = (a.seen().len(), std::time::Instant::now());
     let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
     assert!(start.elapsed() < Duration::from_millis(200), "refused at once");
-    assert_eq!((reply.status, a.seen().len()), (503, sent), "no engine was asked");
+    assert_eq!((reply.status, a.seen().len()), (503, sent), "nothing was sent to an engine");
     wait("the refusal is logged", async || !node.events("call_refused").is_empty()).await;
     let refused = node.events("call_refused").pop().unwrap();
     assert_eq!(refused["kind"], "overloaded");
@@ -246,7 +247,7 @@
         "{detail}"
     );
     b.fill(0);
-    wait("it is served again", async || {
+    wait("streams are served again", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 200
     })
     .await;
