--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -13,7 +13,7 @@
 use super::admit::Call;
 use super::open::{HeldTokens, OpenCall, WaitingRequest};
 use super::pick::{self, Avoid, Chosen, Full};
-use super::record::Attempt;
+use super::record::AttemptLog;
 use super::refused::RefusedKind;
 use super::send::{Answer, Failure, Target, send};
 use crate::gateway::engine_table::EngineView;
@@ -23,7 +23,8 @@
 
 /// Attempts in which nothing could be sent to the first engine of the path.
 const MAX_UNSENT: u32 = 4;
-/// Time for which a started stream waits for a path: callers disconnect after two seconds of silence.
+/// Time for which a started stream waits for a path: callers disconnect after two seconds of
+/// silence.
 const PATH_WAIT_MS: Millis = 1_700;
 /// Wait, as a share of the latency target, from which streams are shed.
 const SHED_START: f64 = 0.7;
@@ -205,14 +206,14 @@
         }
     }
 
-    fn record<'a>(&'a self, engine: &'a Name, attempt: u32) -> Attempt<'a> {
-        Attempt { traffic: &self.traffic, call: &self.call, engine, attempt }
+    fn attempt_log<'a>(&'a self, engine: &'a Name, attempt: u32) -> AttemptLog<'a> {
+        AttemptLog { traffic: &self.traffic, call: &self.call, engine, attempt }
     }
 
     /// Logs that the running attempt is given up because of `why`.
     fn log_lost(&self, engine: &Name, why: &str) {
         let failure = Failure::Lost(why.to_owned());
-        self.record(engine, self.attempts).failed(&failure, self.events.count());
+        self.attempt_log(engine, self.attempts).failed(&failure, self.events.count());
     }
 
     /// Whether another attempt is safe after the way in which the last one failed.
@@ -265,7 +266,7 @@
     async fn attempt(&mut self, view: &EngineView, path: Option<&Path>) -> Result<Answer, Failure> {
         let traffic = self.traffic.clone();
         let now = traffic.shared.now();
-        self.record(&view.entry.id, self.attempts + 1).routed(path, self.events.last());
+        self.attempt_log(&view.entry.id, self.attempts + 1).routed(path, self.events.last());
         let table = traffic.shared.table.load_full();
         let downstream = path.map_or_else(Vec::new, |p| table.downstream_of(p));
         self.hold_tokens(view, &downstream);
@@ -310,7 +311,7 @@
     /// Records a failed attempt.
     fn record_failure(&mut self, view: &EngineView, failure: &Failure) -> RefusedKind {
         let now = self.traffic.shared.now();
-        self.record(&view.entry.id, self.attempts + 1).failed(failure, self.events.count());
+        self.attempt_log(&view.entry.id, self.attempts + 1).failed(failure, self.events.count());
         self.live = None;
         self.held = None;
         self.head = None;
--- a/crates/heathpitchd/src/gateway/call/mod.rs
+++ b/crates/heathpitchd/src/gateway/call/mod.rs
@@ -1,10 +1,10 @@
 //! Calls: a chain of filters from a caller's request to its final answer.
 //!
-//! `admit` reads the head, finds route and account and checks that the known keys are recent enough.
-//! `single` and `stream` run the call; `flow` is a stream over all its attempts, `send` one attempt
-//! at one engine, `record` its log lines. `rights` are needed to send to a rate-limited engine.
-//! `retry_budgets` bounds retries, `retry_schedules` sets `Retry-After` times, `pick` chooses
-//! engines, `relay` forwards a stream's events. A filter ends a call with a `Refused`.
+//! `admit` reads the head, finds route and account and checks that the known keys are recent
+//! enough. `single` and `stream` run the call; `flow` is a stream over all its attempts, `send` one
+//! attempt at one engine, `record` its log lines. `rights` are needed to send to a rate-limited
+//! engine. `retry_budgets` bounds retries, `retry_schedules` sets `Retry-After` times, `pick`
+//! chooses engines, `relay` forwards a stream's events. A filter ends a call with a `Refused`.
 
 mod admit;
 mod flow;
--- a/crates/heathpitchd/src/gateway/call/pick.rs
+++ b/crates/heathpitchd/src/gateway/call/pick.rs
@@ -11,12 +11,14 @@
 
 /// Cost of an engine in another failure domain, in requests waiting at an engine.
 const REMOTE_PENALTY_REQUESTS: f64 = 1.5;
-/// Time for which other engines are preferred to one that refused a call without a `Retry-After` time.
+/// Time for which other engines are preferred to one that refused a call without a `Retry-After`
+/// time.
 pub(crate) const REJECTION_COOLDOWN_MS: Millis = 600;
 /// Cost of an engine that has just refused a call, as a share of its slots: as if it were full. It
 /// would be chosen again and again otherwise: refusing at once leaves it with almost no load.
 const REJECTION_PENALTY: f64 = 1.0;
-/// Time until an engine that is used again after a pause takes one more request: about that of a response.
+/// Interval at which an engine that ramps up after a pause admits one more request: about the time
+/// of a response.
 const RAMP_UP_MS: Millis = 100;
 /// Answer tokens expected, as a share of the stated maximum: the mean is far below it.
 const EXPECTED_ANSWER_SHARE: f64 = 0.5;
--- a/crates/heathpitchd/src/gateway/call/record.rs
+++ b/crates/heathpitchd/src/gateway/call/record.rs
@@ -14,7 +14,7 @@
 
 /// One attempt of a call.
 #[derive(Clone, Copy)]
-pub(crate) struct Attempt<'a> {
+pub(crate) struct AttemptLog<'a> {
     pub(crate) traffic: &'a Traffic,
     pub(crate) call: &'a Call,
     /// Engine that it is sent to.
@@ -23,7 +23,7 @@
     pub(crate) attempt: u32,
 }
 
-impl Attempt<'_> {
+impl AttemptLog<'_> {
     /// Records that the call is sent.
     pub(crate) fn routed(self, path: Option<&Path>, after: Option<u64>) {
         let now = self.traffic.shared.now();
--- a/crates/heathpitchd/src/gateway/call/refused.rs
+++ b/crates/heathpitchd/src/gateway/call/refused.rs
@@ -28,11 +28,11 @@
     CutBody,
     /// No engine, or no complete path of engines, is available.
     NoEngine,
-    /// Engines are overloaded: its first event would come late, as others are waiting already.
+    /// Engines are at capacity, or its first event would come late because of others that wait.
     Overloaded,
     /// Every engine that could take it asked for a pause.
     Paused,
-    /// Every engine that could take it wants rest, or names a limit that is used up.
+    /// Every engine that could take it asked for a pause or has an exhausted rate limit.
     Limited,
     /// Engines exit when they start to run it.
     HeldBack,
--- a/crates/heathpitchd/src/gateway/call/relay.rs
+++ b/crates/heathpitchd/src/gateway/call/relay.rs
@@ -1,5 +1,5 @@
-//! Body of a stream's answer: relays complete events as they arrive, from one engine after another if
-//! attempts fail.
+//! Body of a stream's answer: relays complete events as they arrive, from one engine after another
+//! if attempts fail.
 
 use bytes::Bytes;
 use futures::stream;
--- a/crates/heathpitchd/src/gateway/call/rights.rs
+++ b/crates/heathpitchd/src/gateway/call/rights.rs
@@ -13,8 +13,8 @@
 use crate::gateway::engine_table::{EngineTable, EngineView};
 use crate::gateway::shared::{Notice, RightsGrant, RightsWanted};
 
-/// Time for which a call waits for a right: a request on a new connection, and a stall of the control
-/// thread.
+/// Time for which a call waits for a right: a request on a new connection, and a stall of the
+/// control thread.
 const RIGHTS_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// No right to send a call to an engine now.
@@ -55,7 +55,7 @@
             "engine {engine} takes {limit} requests a second from all nodes, as announced {age} ms ago; "
         )?;
         match (self.issued, self.nodes) {
-            (true, _) => write!(f, "none is left for this node for {retry_after} ms"),
+            (true, _) => write!(f, "this node has no right left for the next {retry_after} ms"),
             (false, Some(nodes)) => {
                 write!(
                     f,
@@ -92,8 +92,8 @@
 
     /// Returns them, as the request was not sent after all.
     pub(crate) fn unspend(&mut self) {
-        let behind = self.downstream.iter_mut().filter_map(|(_, right)| right.as_mut());
-        self.first.iter_mut().chain(behind).for_each(Right::unspend);
+        let downstream = self.downstream.iter_mut().filter_map(|(_, right)| right.as_mut());
+        self.first.iter_mut().chain(downstream).for_each(Right::unspend);
     }
 }
 
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -63,7 +63,8 @@
     /// No byte left this process: the engine asked this node to pause, or is draining.
     #[error("not sent: the engine accepts no requests now")]
     Backpressure,
-    /// No byte left this process: an engine is rate-limited, and this node has no right to send to it.
+    /// No byte left this process: an engine is rate-limited, and this node has no right to send to
+    /// it.
     #[error("not sent: {0}")]
     NoRight(NoRight),
     /// The engine stated that it did not run the call.
@@ -173,8 +174,8 @@
     Ok(Answer { connection, parts, head, body })
 }
 
-/// Records the backpressure in an engine's response to a call. A pause also applies to another engine
-/// of the path if that one refused the call.
+/// Records the backpressure in an engine's response to a call. A pause also applies to another
+/// engine of the path if that one refused the call.
 fn record_backpressure(
     shared: &Shared,
     response: ResponseInfo<'_>,
@@ -195,8 +196,8 @@
     }
 }
 
-/// Rejects answers that belong to another call, that have no digest, or that state that the call did
-/// not run.
+/// Rejects answers that belong to another call, that have no digest, or that state that the call
+/// did not run.
 fn check(answer: Answer) -> Result<Answer, Failure> {
     let status = answer.parts.status;
     match &answer.head {
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -10,7 +10,7 @@
 use super::admit::Call;
 use super::open::HeldTokens;
 use super::pick::{self, Avoid};
-use super::record::{Attempt, final_answer};
+use super::record::{AttemptLog, final_answer};
 use super::refused::{Refused, RefusedKind};
 use super::retry_schedules::backpressure_refusal;
 use super::send::{Failure, Target, send};
@@ -95,8 +95,8 @@
             return Err(kind);
         }
         let engine = &view.entry.id;
-        let attempt = Attempt { traffic, call, engine, attempt: progress.attempts + 1 };
-        attempt.routed(None, None);
+        let log = AttemptLog { traffic, call, engine, attempt: progress.attempts + 1 };
+        log.routed(None, None);
         let _held = HeldTokens::new(traffic.shared.clone(), vec![view.stats.clone()], 0);
         progress.evidence.sent();
         match send_whole(traffic, call, &view).await {
@@ -115,7 +115,7 @@
                 kind = RefusedKind::Broken;
             }
             Err(failure) => {
-                attempt.failed(&failure, 0);
+                log.failed(&failure, 0);
                 kind = record_failure(traffic, call, &view, progress, &failure);
             }
         }
--- a/crates/heathpitchd/src/gateway/call/stream.rs
+++ b/crates/heathpitchd/src/gateway/call/stream.rs
@@ -2,7 +2,8 @@
 //!
 //! A stream is sent to the first engine of a path. When that engine fails, the stream resumes at
 //! another one after the last complete event relayed, if its route allows retries. Failures further
-//! down the path are handled by the control thread, which moves the running stream to other engines.
+//! down the path are handled by the control thread, which moves the running stream to other
+//! engines.
 
 use std::sync::Arc;
 
@@ -21,7 +22,8 @@
 /// Size of the largest answer that is not a stream.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// Runs the stream until the head of its answer; its events are relayed as the caller reads the body.
+/// Runs the stream until the head of its answer; its events are relayed as the caller reads the
+/// body.
 pub(crate) async fn run(
     traffic: Arc<Traffic>,
     call: Arc<Call>,
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -93,7 +93,8 @@
         not_run: bool,
         /// Events relayed so far.
         events: u64,
-        /// Fingerprint of the request, if it may have run there; calls with the same request share it.
+        /// Fingerprint of the request, if it may have run there; calls with the same request share
+        /// it.
         #[serde(rename = "print")]
         fingerprint: Option<RequestFingerprint>,
     },
@@ -223,7 +224,8 @@
         /// Fingerprint of the request.
         #[serde(rename = "print")]
         fingerprint: RequestFingerprint,
-        /// Engines that exited while they ran it, its events there, and the time since this became known.
+        /// Engines that exited while they ran it, its events there, and the time since this became
+        /// known.
         ends: Vec<(Name, u32, Millis)>,
         /// Cause of the change.
         why: &'static str,
@@ -246,7 +248,8 @@
         /// Duration of the suspicion.
         for_ms: Millis,
     },
-    /// An engine asked this node to pause, announced that it drains, or changed or removed its rate limit.
+    /// An engine asked this node to pause, announced that it drains, or changed or removed its rate
+    /// limit.
     #[serde(rename = "engine_wished")]
     EngineBackpressure {
         /// Engine.
@@ -366,7 +369,8 @@
         /// Cause of the change.
         why: String,
     },
-    /// The planner of another failure domain started or stopped feeding its engines' reports to this one.
+    /// The planner of another failure domain started or stopped feeding its engines' reports to
+    /// this one.
     NeighbourChanged {
         /// That planner.
         planner: Name,
@@ -387,7 +391,8 @@
         /// Engines that were removed before and whose entries the copy may still contain.
         gone: Vec<Name>,
     },
-    /// The store holds an older configuration than the one in force, which stays in force until it is written again.
+    /// The store holds an older configuration than the one in force, which stays in force until it
+    /// is written again.
     ConfigBehind {
         /// Version in the store.
         version: u64,
--- a/crates/heathpitchd/src/gateway/live.rs
+++ b/crates/heathpitchd/src/gateway/live.rs
@@ -9,8 +9,8 @@
 
 /// Time to probe the engines of a stream and to move it to another path.
 const REROUTE_MS: Millis = 90;
-/// Lower bound of the silence after which the engines of a started stream are probed: several decode steps
-/// of a loaded path.
+/// Lower bound of the silence after which the engines of a started stream are probed: several
+/// decode steps of a loaded path.
 const MIN_SILENCE_MS: Millis = 110;
 /// Upper bound of that silence: one stream in thirty pauses for longer on healthy engines.
 const MAX_SILENCE_MS: Millis = 160;
--- a/crates/heathpitchd/src/gateway/mod.rs
+++ b/crates/heathpitchd/src/gateway/mod.rs
@@ -148,9 +148,9 @@
         })
     }
 
-    /// Shuts down: reports at once that it is not ready, accepts connections until the load balancer
-    /// has removed the node, then lets calls finish within the grace period. Returns the number of
-    /// calls cut off.
+    /// Shuts down: reports at once that it is not ready, accepts connections until the load
+    /// balancer has removed the node, then lets calls finish within the grace period. Returns the
+    /// number of calls cut off.
     pub fn stop(self) -> usize {
         let shared = self.shared.clone();
         shared.stopping.store(true, Relaxed);
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -126,8 +126,8 @@
 }
 
 impl Shared {
-    /// State of a gateway that has no configuration and no engines yet, and the receiving end of its
-    /// notices.
+    /// State of a gateway that has no configuration and no engines yet, and the receiving end of
+    /// its notices.
     pub(crate) fn new(
         settings: GatewaySettings,
         peer: Option<SocketAddr>,
--- a/crates/heathpitchd/tests/gateway_layers.rs
+++ b/crates/heathpitchd/tests/gateway_layers.rs
@@ -51,9 +51,9 @@
     wait("every layer is held again", async || hold_every_layer(&engines)).await;
 }
 
-/// An engine's entry may outlive it, for as long as the store is unreachable or forever. An order to
-/// an engine that had exited was counted as accepted, so that a layer that it was to load was on no
-/// other engine, and no stream was served any more.
+/// An engine's entry may outlive it, for as long as the store is unreachable or forever. An order
+/// to an engine that had exited was counted as accepted, so that a layer that it was to load was on
+/// no other engine, and no stream was served any more.
 #[tokio::test(flavor = "multi_thread")]
 async fn layers_are_not_left_to_an_unreachable_engine() {
     let world = World::new();
--- a/crates/heathpitchd/tests/gateway_soak.rs
+++ b/crates/heathpitchd/tests/gateway_soak.rs
@@ -11,7 +11,8 @@
 const SEEDS: [(u64, Duration); 3] = [
     (1, Duration::from_secs(5)),
     (2, Duration::from_secs(5)),
-    // A node's watch of the engines failed silently, so that it sent calls to engines that had left.
+    // A node's watch of the engines failed silently, so that it sent calls to engines that had
+    // left.
     (2_017, Duration::from_secs(12)),
 ];
 
@@ -49,8 +50,8 @@
     }
 }
 
-/// An engine downstream of the first one had set a rate limit, which the store kept. After all nodes had
-/// restarted, the limit never ended for them.
+/// An engine downstream of the first one had set a rate limit, which the store kept. After all
+/// nodes had restarted, the limit never ended for them.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_a_limit_ends_after_all_nodes_restarted() {
     let script = Script::draw(44_029, Duration::from_secs(12));
