--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -149,7 +149,7 @@
 
     /// Moves the stream to another engine while the running attempt is silent but has not ended.
     ///
-    /// If no engine takes it, the running attempt goes on.
+    /// If no engine takes it, the running attempt continues.
     pub(crate) async fn replace(&mut self, why: &str) -> Option<Answer> {
         if self.attempts >= self.call.route.attempts {
             return None;
--- a/crates/heathpitchd/src/gateway/call/record.rs
+++ b/crates/heathpitchd/src/gateway/call/record.rs
@@ -80,7 +80,7 @@
     GatewayEvent::CallEnded {
         request: call.head.id.to_string(),
         status: parts.status.as_u16(),
-        whole: true,
+        complete: true,
         attempts: sends,
         events: 0,
         first_ms: ms,
--- a/crates/heathpitchd/src/gateway/call/relay.rs
+++ b/crates/heathpitchd/src/gateway/call/relay.rs
@@ -187,7 +187,7 @@
         GatewayEvent::CallEnded {
             request: self.flow.call.head.id.to_string(),
             status: 200,
-            whole: complete,
+            complete,
             attempts: self.flow.attempts,
             events: self.flow.events.count(),
             first_ms: self.first_ms,
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -48,7 +48,7 @@
         kind: &'static str,
         /// Details of the cause.
         detail: String,
-        /// Time after which the caller is told to retry.
+        /// Time after which the caller is asked to retry.
         #[serde(rename = "back_ms")]
         retry_after_ms: Option<Millis>,
         /// Version of the configuration in force.
@@ -66,7 +66,7 @@
         route: Name,
         /// Attempt, from 1.
         attempt: u32,
-        /// Engine asked.
+        /// Engine that it was sent to.
         engine: Name,
         /// Stages of the path.
         parts: Vec<(Name, LayerRange)>,
@@ -85,7 +85,7 @@
         request: String,
         /// Attempt, from 1.
         attempt: u32,
-        /// Engine asked.
+        /// Engine that it was sent to.
         engine: Name,
         /// What failed.
         error: String,
@@ -118,7 +118,8 @@
         /// Status answered.
         status: u16,
         /// Whether its answer is complete.
-        whole: bool,
+        #[serde(rename = "whole")]
+        complete: bool,
         /// Attempts made.
         attempts: u32,
         /// Events relayed.
--- a/crates/heathpitchd/src/gateway/event_log.rs
+++ b/crates/heathpitchd/src/gateway/event_log.rs
@@ -53,7 +53,7 @@
             | Self::CallAttemptFailed { .. }
             | Self::EngineEnded { .. }
             | Self::RequestHeldBack { .. }
-            | Self::CallEnded { whole: false, .. }
+            | Self::CallEnded { complete: false, .. }
             | Self::ConfigRejected { .. }
             | Self::WatchLost { .. }
             | Self::StoreRestored { .. }
