--- a/crates/heathpitchd/src/gateway/control/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -15,9 +15,9 @@
 
 use super::state::Control;
 use super::{engines, rights};
+use crate::gateway::backpressure::ResponseInfo;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::suspicion::life;
-use crate::gateway::wishes::Said;
+use crate::gateway::quarantine_snapshot::incarnation_of;
 
 /// Most drain notices in one message, about forty bytes each.
 const MAX_DRAINS: usize = 256;
@@ -48,9 +48,9 @@
             known.limit().set_in_probes();
         }
         let signal = BackpressureSignal { limit, ..signal };
-        let info = Said { engine, of, status, sent };
-        if self.shared.heed(info, signal, &known) {
-            self.engine_draining(&life(engine));
+        let info = ResponseInfo { engine, of, status, sent };
+        if self.shared.record_backpressure(info, signal, &known) {
+            self.engine_draining(&incarnation_of(engine));
         }
         value
     }
@@ -67,7 +67,7 @@
     /// Initial backpressure of an engine: the limit that it advertised to other nodes.
     pub(super) fn new_backpressure(&self, engine: &EngineEntry) -> Arc<Backpressure> {
         let backpressure = Backpressure::default();
-        let (life, limits) = (life(engine), self.limits.borrow());
+        let (life, limits) = (incarnation_of(engine), self.limits.borrow());
         if let Some((rate, at)) = limits.of(&life) {
             backpressure.limit().learn(Some(rate), at);
         }
@@ -107,7 +107,7 @@
         if !self.drain_notices.borrow_mut().learn(life.clone(), age, self.now()) {
             return false;
         }
-        GatewayEvent::EngineLeaves { engine: life.engine.clone(), age_ms: age, by }.log();
+        GatewayEvent::EngineDraining { engine: life.engine.clone(), age_ms: age, by }.log();
         let listed = self.entries.borrow().get(&life.engine).cloned();
         let Some(entry) = listed.filter(|e| e.born == life.born) else { return false };
         if entry.state == EntryState::Leaving {
@@ -178,6 +178,6 @@
     let ready = EngineEntry { state: EntryState::Ready, ..(*entry).clone() };
     control.entries.borrow_mut().insert(entry.id.clone(), Arc::new(ready));
     control.leaving.borrow_mut().remove(&entry.id);
-    GatewayEvent::EngineStays { engine: entry.id.clone() }.log();
+    GatewayEvent::EngineDrainCancelled { engine: entry.id.clone() }.log();
     control.publish();
 }
--- a/crates/heathpitchd/src/gateway/control/engine_exits.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_exits.rs
@@ -16,7 +16,7 @@
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::LostSend;
+use crate::gateway::shared::LostAttempt;
 
 /// Time over which lost calls of an engine are collected: the connections and the listener of a process close
 /// together, but not at the same instant.
@@ -33,13 +33,13 @@
 #[derive(Debug, Default)]
 pub(super) struct EngineExits {
     /// Lost calls whose engine has not been probed yet.
-    lost: HashMap<Name, Vec<LostSend>>,
+    lost: HashMap<Name, Vec<LostAttempt>>,
     /// Engines found to have exited, with the time of detection.
     exited: HashMap<Name, Millis>,
 }
 
 /// Records a call whose connection was lost, and probes its engine.
-pub(super) fn record_lost(control: &Rc<Control>, lost: LostSend) {
+pub(super) fn record_lost(control: &Rc<Control>, lost: LostAttempt) {
     let (engine, address, now) = (lost.engine.id.clone(), lost.engine.address, control.now());
     let (known, first) = {
         let mut exits = control.engine_exits.borrow_mut();
@@ -64,10 +64,10 @@
 }
 
 /// Records that the engine of these calls has exited.
-fn record_exit(control: &Control, lost: &[LostSend]) {
-    let Some(LostSend { engine, .. }) = lost.first() else { return };
+fn record_exit(control: &Control, lost: &[LostAttempt]) {
+    let Some(LostAttempt { engine, .. }) = lost.first() else { return };
     control.engine_exits.borrow_mut().exited.entry(engine.id.clone()).or_insert(control.now());
-    let mut youngest: Vec<_> = lost.iter().map(|l| (l.print, l.events)).collect();
+    let mut youngest: Vec<_> = lost.iter().map(|l| (l.fingerprint, l.events)).collect();
     youngest.sort_by_key(|(_, events)| *events);
     youngest.truncate(MAX_LOGGED);
     let (name, calls) = (engine.id.clone(), lost.len());
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -19,7 +19,7 @@
 use super::engines::{engine_id, put_all, remove};
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::prove;
+use crate::gateway::shared::record_proof;
 
 /// Longest wait of a watch without other proof. Keeps the age of the list below 1.4 s plus the time of two
 /// answers, and bounds the time for which a dead watch hides that an engine leaves to this plus a call's timeout.
@@ -82,14 +82,14 @@
 pub(super) fn prove_at(control: &Control, at: Revision, sent: Millis) {
     control.store_revision.set(at);
     match at == control.engines_revision.get() {
-        true => prove(&control.shared.listed, sent),
+        true => record_proof(&control.shared.list_freshness, sent),
         false => control.engines_outdated.notify_waiters(),
     }
 }
 
 /// Whether proofs of the configuration cover the list.
 fn is_proven(control: &Control) -> bool {
-    let age = control.shared.listed.load().age(control.now());
+    let age = control.shared.list_freshness.load().age(control.now());
     let complete = control.store_revision.get() == control.engines_revision.get();
     control.is_planner() && complete && age.is_some_and(|age| age < LIST_MAX_AGE_MS)
 }
@@ -97,7 +97,8 @@
 /// Waits until the list is too old, or a proof shows a change that the watch has not delivered.
 async fn watch_outdated(control: &Control) {
     loop {
-        let age = control.shared.listed.load().age(control.now()).unwrap_or(LIST_MAX_AGE_MS);
+        let age =
+            control.shared.list_freshness.load().age(control.now()).unwrap_or(LIST_MAX_AGE_MS);
         if age >= LIST_MAX_AGE_MS {
             return;
         }
@@ -171,10 +172,10 @@
     proven: Millis,
     entries: usize,
 ) {
-    prove(&control.shared.listed, proven);
+    record_proof(&control.shared.list_freshness, proven);
     if entries > 0 {
         let asked_ms = control.now().saturating_sub(sent);
-        GatewayEvent::EnginesHeard { by, asked_ms, entries }.log();
+        GatewayEvent::EnginesReceived { by, asked_ms, entries }.log();
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -12,7 +12,7 @@
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::suspicion::life;
+use crate::gateway::quarantine_snapshot::incarnation_of;
 
 /// Changed entries logged in one line each; a larger batch is logged in a single line, because a node that
 /// starts receives all entries at once.
@@ -81,7 +81,7 @@
     control.backpressure.borrow_mut().remove(engine);
     control.leaving.borrow_mut().remove(engine);
     control.lapsed.borrow_mut().remove(engine);
-    GatewayEvent::EngineReborn { engine: engine.clone(), born, by }.log();
+    GatewayEvent::EngineRestarted { engine: engine.clone(), born, by }.log();
 }
 
 /// Updates the layers of an entry from the engine's status.
@@ -142,7 +142,7 @@
     let old = control.entries.borrow().get(&id).cloned();
     // Once announced, in an entry or a response, draining holds for the rest of the incarnation.
     let left = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
-    let draining = left || control.drain_notices.borrow().is_draining(&life(&entry));
+    let draining = left || control.drain_notices.borrow().is_draining(&incarnation_of(&entry));
     let state = if draining { EntryState::Leaving } else { entry.state };
     let entry = EngineEntry { state, ..entry };
     control.mirror.borrow_mut().put(item.key.clone(), item.revision.0, item.clone());
@@ -158,7 +158,7 @@
     match entry.state {
         EntryState::Leaving if !left => {
             control.leaving.borrow_mut().insert(id.clone(), control.now());
-            control.drain_notices.borrow_mut().learn(life(&entry), 0, control.now());
+            control.drain_notices.borrow_mut().learn(incarnation_of(&entry), 0, control.now());
         }
         EntryState::Leaving => {}
         // It is listed again after having been removed: streams stay on it.
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -21,7 +21,7 @@
 
 use super::state::{Control, Fleet};
 use super::{config, engines, nodes, reports};
-use crate::gateway::shared::prove;
+use crate::gateway::shared::record_proof;
 
 /// Time between polls: a small part of the time for which a draining engine may still be sent work, and
 /// 175 polls a second for a planner with 70 followers.
@@ -182,7 +182,7 @@
     record_nodes(control, source, &response);
     control.record_notices(&response.notices, sent, &source.node);
     let proven = sent.saturating_sub(response.entries_age_ms);
-    let own = control.shared.listed.load().at();
+    let own = control.shared.list_freshness.load().at();
     // An empty delta means that the source has the same list.
     let same = response.engines == FeedEngines::default();
     // A newer configuration was acknowledged by the store, so it holds regardless of the rest of the answer.
@@ -201,10 +201,10 @@
     }
     state.cursor = response.cursor;
     reports::receive(control, &response.reports, sent);
-    prove(&control.shared.listed, proven);
+    record_proof(&control.shared.list_freshness, proven);
     state.fresh_until = proven + MAX_LIST_AGE_MS;
     if control.revision() >= response.revision {
-        prove(&control.shared.fresh, sent.saturating_sub(response.config_age_ms));
+        record_proof(&control.shared.config_freshness, sent.saturating_sub(response.config_age_ms));
     }
     PollOutcome::Fresh
 }
--- a/crates/heathpitchd/src/gateway/control/feed_server.rs
+++ b/crates/heathpitchd/src/gateway/control/feed_server.rs
@@ -125,7 +125,7 @@
         true => config(control)?,
         false => None,
     };
-    let ages = (shared.fresh.load().age(now), shared.listed.load().age(now));
+    let ages = (shared.config_freshness.load().age(now), shared.list_freshness.load().age(now));
     let (proof_ms, list_ms) = match ages {
         (Some(proof), Some(list)) if proof < MAX_PROOF_AGE_MS && list < MAX_LIST_AGE_MS => {
             (proof, list)
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -121,15 +121,15 @@
         match notice {
             Notice::Stream(live) => recovery::track(&control, &live),
             Notice::Replaced(engine) => engines::mark_replaced(&control, &engine),
-            Notice::Misplaced(engine) => engines::refresh_layers(&control, &engine),
+            Notice::LayerMismatch(engine) => engines::refresh_layers(&control, &engine),
             Notice::Refused(engine) => reachability::check_refusal(&control, &engine),
-            Notice::Lost(lost) => engine_exits::record_lost(&control, lost),
+            Notice::ConnectionLost(lost) => engine_exits::record_lost(&control, lost),
             Notice::Answered(print) => control.clear_request(print),
-            Notice::Incarnations(life) => control.engine_alive(&life),
-            Notice::Leaves(life) => control.engine_draining(&life),
+            Notice::EngineAlive(life) => control.engine_alive(&life),
+            Notice::Draining(life) => control.engine_draining(&life),
             Notice::HeldBack(print) => control.renew_request(print),
             Notice::Limited(life) => control.record_limit(&life),
-            Notice::Rights(wanted) => rights::spawn_request(&control, wanted),
+            Notice::RightsWanted(wanted) => rights::spawn_request(&control, wanted),
         }
     }
 }
@@ -170,7 +170,9 @@
 fn inspect<B>(shared: &Shared, request: &Request<B>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/metrics") => metrics(shared),
-        (&Method::GET, "/held") => Response::new(json(&shared.suspicion.load().rows(shared.now()))),
+        (&Method::GET, "/held") => {
+            Response::new(json(&shared.quarantine.load().held_rows(shared.now())))
+        }
         _ => {
             let mut response = Response::new(full(""));
             *response.status_mut() = StatusCode::NOT_FOUND;
@@ -180,7 +182,7 @@
 }
 
 fn metrics(shared: &Shared) -> Response<Body> {
-    if let Some(age) = shared.listed.load().age(shared.now()) {
+    if let Some(age) = shared.list_freshness.load().age(shared.now()) {
         shared.metrics.list_age.set(age as f64 / 1e3);
     }
     let mut response = Response::new(full(shared.metrics.text()));
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -135,7 +135,8 @@
     layers: LayerRange,
     reason: LayoutReason,
 ) -> SendOutcome {
-    let primary = control.shared.table.load().view(engine.id.as_str()).is_some_and(|s| s.main);
+    let primary =
+        control.shared.table.load().by_id(engine.id.as_str()).is_some_and(|s| s.is_primary);
     let release = release_mode(reason, primary);
     let mut orders = control.orders.borrow().get(&engine.id).copied().unwrap_or(0);
     for is_retry in [false, true] {
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -69,14 +69,14 @@
             let tally =
                 engine_stats.or_insert_with(|| Arc::new(EngineStats::of(signals.clone()))).clone();
             let main = primaries.contains(&entry.id);
-            let view = EngineView { entry: entry.clone(), card, tally, main };
+            let view = EngineView { entry: entry.clone(), card, stats: tally, is_primary: main };
             services.entry(entry.service.clone()).or_default().push(view);
         }
         self.shared.metrics.engines.set(entries.len() as i64);
         let nodes = self.fleet.get().map(|f| f.nodes);
         self.shared.metrics.nodes.set(i64::from(nodes.unwrap_or(0)));
         let beside = self.fleet.get().map_or(1, |f| f.domain_size.max(1));
-        let table = EngineTable { services, beside, nodes };
+        let table = EngineTable { services, domain_size: beside, fleet_size: nodes };
         self.shared.table.store(Arc::new(table));
     }
 }
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -21,8 +21,8 @@
 use super::reachability;
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::LostSend;
-use crate::gateway::suspicion::{HeldBack, Suspicion, life};
+use crate::gateway::quarantine_snapshot::{HeldBack, QuarantineSnapshot, incarnation_of};
+use crate::gateway::shared::LostAttempt;
 
 /// Key prefix of quarantined requests in the store.
 pub(super) const PREFIX: &str = "heathpitch/quarantine/";
@@ -72,14 +72,14 @@
     /// Only calls that had just started count as evidence. If there is none, the youngest call is
     /// recorded without weight, so that other nodes learn of the exit three seconds before the
     /// engine's entry expires.
-    pub(super) fn record_engine_exit(&self, engine: &EngineEntry, lost: &[LostSend]) {
-        let (now, life) = (self.now(), life(engine));
+    pub(super) fn record_engine_exit(&self, engine: &EngineEntry, lost: &[LostAttempt]) {
+        let (now, life) = (self.now(), incarnation_of(engine));
         let youngest = lost.iter().map(|call| call.events).min().unwrap_or(0);
-        let recorded = |call: &&LostSend| call.events == youngest || just_started(call.events);
+        let recorded = |call: &&LostAttempt| call.events == youngest || just_started(call.events);
         let mut new = false;
         for call in lost.iter().filter(recorded) {
             let mut quarantine = self.quarantine.borrow_mut();
-            new |= quarantine.record_end(call.print, life.clone(), call.events, now);
+            new |= quarantine.record_end(call.fingerprint, life.clone(), call.events, now);
         }
         self.avoid(&life);
         if new {
@@ -157,7 +157,7 @@
             }
         }
         if new > 0 {
-            GatewayEvent::EndsHeard { by: by.clone(), ends: new }.log();
+            GatewayEvent::ExitsReceived { by: by.clone(), ends: new }.log();
             self.update_held("another node reported exits");
         }
     }
@@ -175,10 +175,10 @@
                 .evidence(print, now)
                 .map(|(l, events, age)| (l.engine.clone(), events, age))
                 .collect();
-            GatewayEvent::RequestHeldBack { print, ends, why }.log();
+            GatewayEvent::RequestHeldBack { fingerprint: print, ends, why }.log();
         }
         for print in over {
-            GatewayEvent::RequestLetThrough { print, why }.log();
+            GatewayEvent::RequestLetThrough { fingerprint: print, why }.log();
         }
         let held = |print| {
             let engines = quarantine.evidence(print, now).map(|(l, ..)| l.engine.clone()).collect();
@@ -188,7 +188,7 @@
         let held: HashMap<_, _> = quarantine.held().map(held).collect();
         self.shared.metrics.held.set(held.len() as i64);
         let (counts, ended) = (quarantine.counts(), quarantine.ended_engines());
-        self.shared.suspicion.store(Arc::new(Suspicion { counts, held, ended }));
+        self.shared.quarantine.store(Arc::new(QuarantineSnapshot { counts, held, ended }));
     }
 }
 
--- a/crates/heathpitchd/src/gateway/control/reachability.rs
+++ b/crates/heathpitchd/src/gateway/control/reachability.rs
@@ -87,7 +87,7 @@
         let engines = path.stages().iter().map(|s| s.engine.clone());
         match is_silent(&live, now) {
             true => silent.extend(engines),
-            false if live.silent(now) < FLOWING_MS => flowing.extend(engines),
+            false if live.silence(now) < FLOWING_MS => flowing.extend(engines),
             false => {}
         }
     }
@@ -205,7 +205,7 @@
 /// Marks an engine that stalls streams as unreachable.
 fn leave_stalled(control: &Control, address: SocketAddr) {
     let table = control.shared.table.load();
-    let Some(view) = table.at(address) else { return };
+    let Some(view) = table.by_address(address) else { return };
     let now = control.now();
     if !record_unreachable(control, &view.entry.id, now) {
         return;
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -18,7 +18,7 @@
 
 use super::reachability;
 use super::state::Control;
-use crate::gateway::engine_table::{EngineView, Wanted};
+use crate::gateway::engine_table::{EngineView, PathQuery};
 use crate::gateway::event::{GatewayEvent, parts};
 use crate::gateway::live::LiveStream;
 
@@ -102,8 +102,8 @@
 /// Whether a stream has been silent for longer than its engines should need.
 pub(super) fn is_silent(live: &LiveStream, now: Millis) -> bool {
     let has_events = live.events.load(std::sync::atomic::Ordering::Relaxed) > 0;
-    let limit = if has_events { live.silent_most } else { FIRST_EVENT_SILENCE_MS };
-    live.silent(now) >= limit
+    let limit = if has_events { live.max_silence } else { FIRST_EVENT_SILENCE_MS };
+    live.silence(now) >= limit
 }
 
 /// Moves every stream that runs through an engine that is unreachable or draining.
@@ -134,7 +134,7 @@
                 tracked.next_move.set(now + MOVE_INTERVAL_MS);
                 reroute(control, &live, &path, None, tracked);
             }
-            None if live.silent(now) >= STATUS_SILENCE_MS
+            None if live.silence(now) >= STATUS_SILENCE_MS
                 && control.may_query_status(&path.head().engine) =>
             {
                 reachability::query_stalled(control, &path);
@@ -185,7 +185,7 @@
     let (next_move, refusals) = (tracked.next_move.clone(), tracked.refusals.clone());
     spawn_local(async move {
         let sent = control.now();
-        let silent_ms = live.silent(sent);
+        let silent_ms = live.silence(sent);
         let answer = control.edges.orders.reroute(head, &engine, &live.request, &new).await;
         let entry = control.entries.borrow().get(&engine).cloned();
         let result = answer.map(|answer| match entry {
@@ -225,8 +225,8 @@
 /// Deprioritizes an engine that has no room for more streams for a short time.
 fn deprioritize(control: &Control, address: SocketAddr) {
     let now = control.now();
-    if let Some(view) = control.shared.table.load().at(address) {
-        view.tally.deprioritize(now + MOVE_COOLDOWN_MS);
+    if let Some(view) = control.shared.table.load().by_address(address) {
+        view.stats.deprioritize(now + MOVE_COOLDOWN_MS);
     }
 }
 
@@ -238,20 +238,21 @@
     let now = control.now();
     let head = &path.head().engine;
     let usable = |s: &EngineView| {
-        let (id, backpressure) = (&s.entry.id, s.tally.backpressure());
+        let (id, backpressure) = (&s.entry.id, s.stats.backpressure());
         // An engine that runs the stream already needs no new right. None is requested for a move,
         // so engines with a limit are not moved to.
         let is_open = match path.stages().iter().any(|stage| &stage.engine == id) {
-            true => s.works(now) && backpressure.pause_left(now).is_none(),
-            false => s.open(now) && backpressure.limit().rate().is_none(),
+            true => s.is_in_service(now) && backpressure.pause_left(now).is_none(),
+            false => s.is_available(now) && backpressure.limit().rate().is_none(),
         };
         // A restarted engine lost the stream's tokens, and an unchanged path would not be ordered.
         id == head || (is_open && !control.is_unreachable(id) && !has_restarted(control, live, id))
     };
     let (service, tokens) = (&live.service, live.tokens);
-    let links = table.links(&Wanted { service, model, tokens, now, current: Some(path) }, usable);
+    let links = table
+        .chain_engines(&PathQuery { service, model, tokens, now, current: Some(path) }, usable);
     // The first engine does not change, so the others are best placed in its failure domain.
-    let home = table.view(head.as_str())?.entry.domain.clone();
+    let home = table.by_id(head.as_str())?.entry.domain.clone();
     let search = ChainQuery { model, name: &live.service, home: &home, current: Some(path) };
     find_local_chain(&search, &links).map(|(path, _)| path)
 }
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -117,11 +117,11 @@
 fn filling_engines(control: &Control) -> Vec<Arc<EngineEntry>> {
     let (table, now) = (control.shared.table.load(), control.now());
     let share = |e: &Arc<EngineEntry>| {
-        let view = table.view(e.id.as_str())?;
+        let view = table.by_id(e.id.as_str())?;
         let service = control.service(&e.service)?;
         let capacity =
             service.model.as_ref()?.token_capacity(view.card.as_ref()?, e.layers.count()).max(1.0);
-        Some(view.tally.occupancy().held(table.beside, now) / capacity)
+        Some(view.stats.occupancy().held(table.domain_size, now) / capacity)
     };
     let shares = active_engines(control).into_iter().filter_map(|e| Some((share(&e)?, e)));
     let mut filling: Vec<_> = shares.filter(|(s, _)| *s > FILLING_SHARE).collect();
@@ -137,7 +137,7 @@
     let active = views.filter(|v| {
         v.entry.domain == domain
             && v.entry.layers.count() > 0
-            && (v.main || v.tally.gauge().count() > 0)
+            && (v.is_primary || v.stats.gauge().count() > 0)
             && !control.is_unreachable(&v.entry.id)
     });
     active.map(|v| v.entry.clone()).collect()
@@ -171,7 +171,7 @@
     };
     let changed = (report.slowdown - control.slowdown(engine)).abs() > SLOWDOWN_CHANGE;
     if changed {
-        GatewayEvent::EnginePaced { engine: engine.clone(), pace: report.slowdown }.log();
+        GatewayEvent::EngineSlowdown { engine: engine.clone(), pace: report.slowdown }.log();
     }
     control.reports.borrow_mut().insert(engine.clone(), report);
     if let Some(tally) = control.engine_stats.borrow().get(engine) {
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -19,8 +19,8 @@
 
 use super::state::Control;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::{Granted, RightsWanted};
-use crate::gateway::suspicion::life;
+use crate::gateway::quarantine_snapshot::incarnation_of;
+use crate::gateway::shared::{RightsGrant, RightsWanted};
 
 /// Most limits in one message, about forty bytes each.
 const MAX_LIMITS: usize = 256;
@@ -145,7 +145,7 @@
 
     /// Whether demand for an engine has exceeded its limit for some time.
     pub(super) fn is_limited(&self, engine: &EngineEntry) -> bool {
-        let life = life(engine);
+        let life = incarnation_of(engine);
         self.limits.borrow().of(&life).is_some() && self.rights.borrow().binds(&life)
     }
 
@@ -176,7 +176,7 @@
     spawn_local(async move {
         let granted = request_rights(&control, &wanted.engine, wanted.count).await;
         // Rights for a call that no longer waits are kept for the next call.
-        if let Err(Granted::Given(count, sent)) = wanted.reply.send(granted) {
+        if let Err(RightsGrant::Issued(count, sent)) = wanted.reply.send(granted) {
             let now = control.now();
             control.backpressure_of(&wanted.engine).limit().add_rights(count, sent, now);
         }
@@ -191,7 +191,7 @@
 pub(super) async fn acquire(
     control: &Control,
     engine: &EngineEntry,
-) -> Result<Option<Right>, Granted> {
+) -> Result<Option<Right>, RightsGrant> {
     let backpressure = control.backpressure_of(engine);
     if backpressure.limit().rate().is_none() {
         return Ok(None);
@@ -200,7 +200,7 @@
         return Ok(Some(right));
     }
     match request_rights(control, engine, 1).await {
-        granted @ Granted::Given(count, sent) => {
+        granted @ RightsGrant::Issued(count, sent) => {
             EngineLimit::receive(&backpressure, count, sent, control.now()).map(Some).ok_or(granted)
         }
         granted => Err(granted),
@@ -208,7 +208,7 @@
 }
 
 /// Requests rights for an engine from their issuer.
-async fn request_rights(control: &Control, engine: &EngineEntry, count: u16) -> Granted {
+async fn request_rights(control: &Control, engine: &EngineEntry, count: u16) -> RightsGrant {
     let sent = control.now();
     let backpressure = control.backpressure_of(engine);
     let (rate, age_ms) = (backpressure.limit().rate(), backpressure.limit().age(sent));
@@ -222,14 +222,14 @@
         false => request_from_planner(control, &engine.domain, &request).await,
     };
     let granted = match response {
-        Ok(RightsResponse { active: false, .. }) | Err(_) => Granted::Nobody,
-        Ok(RightsResponse { issued: 0, wait_ms, .. }) => Granted::Wait(wait_ms),
-        Ok(RightsResponse { issued: given, .. }) => Granted::Given(given, sent),
+        Ok(RightsResponse { active: false, .. }) | Err(_) => RightsGrant::NoIssuer,
+        Ok(RightsResponse { issued: 0, wait_ms, .. }) => RightsGrant::RetryAfter(wait_ms),
+        Ok(RightsResponse { issued: given, .. }) => RightsGrant::Issued(given, sent),
     };
     let label = match granted {
-        Granted::Given(..) => "given",
-        Granted::Wait(_) => "none",
-        Granted::Nobody => "nobody",
+        RightsGrant::Issued(..) => "given",
+        RightsGrant::RetryAfter(_) => "none",
+        RightsGrant::NoIssuer => "nobody",
     };
     control.shared.metrics.rights.with_label_values(&[label]).inc();
     granted
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -278,7 +278,7 @@
         if let Some(stats) = self.engine_stats.borrow().get(engine) {
             stats.gauge().suspect_until(self.now() + for_ms);
         }
-        GatewayEvent::EngineDoubted { engine: engine.clone(), why, for_ms }.log();
+        GatewayEvent::EngineSuspected { engine: engine.clone(), why, for_ms }.log();
     }
 
     /// Ends the suspicion of an engine.
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -115,7 +115,7 @@
         self.stored_limits.borrow_mut().forget();
         self.shared.metrics.era.set(era as i64);
         let revision = self.revision();
-        GatewayEvent::StoreCameBack { from, era, revision, gone }.log();
+        GatewayEvent::StoreRestored { from, era, revision, gone }.log();
         self.role_changed.notify_waiters();
     }
 
