--- a/crates/heathpitchd/src/admin.rs
+++ b/crates/heathpitchd/src/admin.rs
@@ -14,8 +14,8 @@
 use crate::shared::Shared;
 use crate::snapshot::Status;
 
-/// Silence of the control thread after which the node is not healthy, milliseconds.
-const SILENCE: Millis = 5_000;
+/// Time without a heartbeat of the control thread after which the node is unhealthy.
+const HEARTBEAT_TIMEOUT_MS: Millis = 5_000;
 
 /// Answers one request of an operator or a probe.
 pub(crate) fn handle(
@@ -25,12 +25,12 @@
 ) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/healthz") => {
-            let beat = shared.beat.load(Relaxed);
-            verdict(shared.now().saturating_sub(beat) < SILENCE)
+            let heartbeat = shared.control_heartbeat.load(Relaxed);
+            ok_response(shared.now().saturating_sub(heartbeat) < HEARTBEAT_TIMEOUT_MS)
         }
-        (&Method::GET, "/readyz") => verdict(shared.ready()),
+        (&Method::GET, "/readyz") => ok_response(shared.ready()),
         (&Method::GET, "/metrics") => {
-            let mut response = Response::new(full(shared.metrics.text()));
+            let mut response = Response::new(full(shared.metrics.encode()));
             let media = HeaderValue::from_static("text/plain; version=0.0.4");
             response.headers_mut().insert(CONTENT_TYPE, media);
             response
@@ -38,7 +38,7 @@
         (&Method::GET, "/status") => Response::new(json(&status(shared))),
         (&Method::POST, "/drain") => {
             drain.notify_one();
-            verdict(true)
+            ok_response(true)
         }
         (method, path) => {
             let message = format!("{method} {path} is not part of this API");
@@ -49,7 +49,7 @@
     }
 }
 
-fn verdict(ok: bool) -> Response<Body> {
+fn ok_response(ok: bool) -> Response<Body> {
     let mut response = Response::new(json(&json!({ "ok": ok })));
     if !ok {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -62,11 +62,11 @@
     Status {
         node: shared.settings.node.clone(),
         domain: shared.settings.domain.clone(),
-        life: shared.life.0,
+        life: shared.incarnation.0,
         ready: shared.ready(),
         draining: shared.draining.load(Relaxed),
         config: shared.index.load().revision,
-        list: view.list,
+        list: view.vm_list,
         open: shared.open.load(Relaxed),
         members: view.members.iter().map(Into::into).collect(),
         upstreams: view.upstreams.iter().map(Into::into).collect(),
--- a/crates/heathpitchd/src/control/claims.rs
+++ b/crates/heathpitchd/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on keys: the state machine's calls on the platform.
+//! Claims on idempotency keys: performs the platform calls of the claim state machine.
 
 use std::rc::Rc;
 
@@ -8,20 +8,25 @@
 use rand::Rng;
 use tokio::sync::oneshot;
 
-use super::config::note;
+use super::config::record_platform_call;
 use super::state::Control;
 use crate::clock::wall;
 
-/// Takes a request's question.
-pub(super) fn ask(control: &Rc<Control>, digest: Name, body: u64, reply: oneshot::Sender<Verdict>) {
-    let id = control.next_ask.get();
-    control.next_ask.set(id + 1);
+/// Requests a claim on behalf of a request.
+pub(super) fn request_claim(
+    control: &Rc<Control>,
+    digest: Name,
+    body: u64,
+    reply: oneshot::Sender<Verdict>,
+) {
+    let id = control.next_claim.get();
+    control.next_claim.set(id + 1);
     control.replies.borrow_mut().insert(id, reply);
     let nonce = control.rng.borrow_mut().random();
     on(control, ClaimEvent::Ask { id, digest, body, nonce });
 }
 
-/// Looks at timers.
+/// Advances the timers of pending claims.
 pub(super) fn tick(control: &Rc<Control>) {
     if !control.replies.borrow().is_empty() {
         on(control, ClaimEvent::Tick);
@@ -40,7 +45,7 @@
             }
             ClaimAction::Answer(id, verdict) => {
                 if let Some(reply) = control.replies.borrow_mut().remove(&id) {
-                    // A request that has gone leaves its claim unused.
+                    // If the request has ended, its claim stays unused.
                     let _ = reply.send(verdict);
                 }
             }
@@ -48,18 +53,18 @@
     }
 }
 
-fn key(page: u32) -> String {
+fn page_key(page: u32) -> String {
     format!("claims/{page}")
 }
 
 async fn read(control: Rc<Control>, page: u32) {
-    let answer = control.edges.platform.get(&key(page)).await;
-    note(&control, "claims_read", &answer);
+    let answer = control.clients.platform.get(&page_key(page)).await;
+    record_platform_call(&control, "claims_read", &answer);
     let event = match answer {
         Ok(Some(stored)) => match serde_json::from_str(&stored.value) {
             Ok(content) => ClaimEvent::Read(page, stored.revision, Some(content)),
             Err(e) => {
-                log::error!("claims page {page} cannot be read: {e}");
+                log::error!("cannot decode claims page {page}: {e}");
                 ClaimEvent::ReadFailed(page)
             }
         },
@@ -71,12 +76,12 @@
 
 async fn write(control: Rc<Control>, page: u32, expect: Revision, content: ClaimPage) {
     let text = serde_json::to_string(&content).unwrap_or_default();
-    let answer = control.edges.platform.put(&key(page), expect, text).await;
+    let answer = control.clients.platform.put(&page_key(page), expect, text).await;
     let counted = match &answer {
         Ok(_) | Err(PutError::Conflict(_)) => Ok(()),
         Err(PutError::Refused(e) | PutError::Unknown(e)) => Err::<(), RpcError>(e.clone()),
     };
-    note(&control, "claims_write", &counted);
+    record_platform_call(&control, "claims_write", &counted);
     let event = match answer {
         Ok(revision) => ClaimEvent::Written(page, revision),
         Err(PutError::Conflict(_)) => ClaimEvent::Conflict(page),
--- a/crates/heathpitchd/src/control/config.rs
+++ b/crates/heathpitchd/src/control/config.rs
@@ -1,4 +1,4 @@
-//! Configuration and list of VMs: polled from the platform, and taken from peers.
+//! Configuration and VM list: polled from the platform and received from peers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,45 +11,45 @@
 use super::state::Control;
 use crate::event::{Event, Source};
 
-/// Key of the configuration document.
-const KEY: &str = "config";
+/// Store key of the configuration document.
+const CONFIG_KEY: &str = "config";
 
-/// Polls the document as often as the failure domain needs of this node.
+/// Polls the configuration; the failure domain's nodes share the polling.
 pub(super) async fn poll_config(control: Rc<Control>) {
     let period = control.shared.settings.timing.platform_ms;
     loop {
         let after = control.replica.borrow().revision();
-        let read = control.edges.platform.watch(KEY, after, Duration::ZERO).await;
-        note(&control, "config", &read);
+        let read = control.clients.platform.watch(CONFIG_KEY, after, Duration::ZERO).await;
+        record_platform_call(&control, "config", &read);
         if let Ok(Some(stored)) = read {
             adopt(&control, stored.revision, &stored.value, Source::Platform);
         }
-        let wait = control.wait(period);
+        let wait = control.next_wait(period);
         tokio::time::sleep(Duration::from_millis(wait)).await;
     }
 }
 
-/// Polls the list of VMs likewise.
-pub(super) async fn poll_list(control: Rc<Control>) {
+/// Polls the VM list; the failure domain's nodes share the polling.
+pub(super) async fn poll_vms(control: Rc<Control>) {
     let period = control.shared.settings.timing.platform_ms;
     loop {
         let after = control.health.borrow().list();
-        let read = control.edges.platform.vms(after).await;
-        note(&control, "vms", &read);
+        let read = control.clients.platform.vms(after).await;
+        record_platform_call(&control, "vms", &read);
         if let Ok(Some(list)) = read {
-            listed(&control, list, Source::Platform);
+            apply_vm_list(&control, list, Source::Platform);
         }
-        let wait = control.wait(period);
+        let wait = control.next_wait(period);
         tokio::time::sleep(Duration::from_millis(wait)).await;
     }
 }
 
-/// Takes the documents that a peer sent.
-pub(super) fn from_peer(control: &Control, config: &Packed, vms: &Packed) {
+/// Merges documents sent by a peer.
+pub(super) fn merge_from_peer(control: &Control, config: &Packed, vms: &Packed) {
     if !config.bytes.is_empty() && config.revision > control.replica.borrow().revision() {
         match inflate(&config.bytes) {
             Ok(text) => adopt(control, config.revision, &text, Source::Peer),
-            Err(e) => log::warn!("a peer's configuration cannot be read: {e}"),
+            Err(e) => log::warn!("cannot decode the configuration of a peer: {e}"),
         }
     }
     if !vms.bytes.is_empty() && vms.revision > control.health.borrow().list() {
@@ -57,9 +57,9 @@
         match list {
             Ok(Ok(entries)) => {
                 let list = VmList { number: vms.revision, vms: entries };
-                listed(control, list, Source::Peer);
+                apply_vm_list(control, list, Source::Peer);
             }
-            _ => log::warn!("a peer's list of VMs cannot be read"),
+            _ => log::warn!("cannot decode the VM list of a peer"),
         }
     }
 }
@@ -72,7 +72,7 @@
             control.shared.index.store(index);
             control.shared.metrics.config.set(revision.0 as i64);
             *control.config.borrow_mut() = Packed { revision, bytes: deflate(text).into() };
-            control.news.notify_one();
+            control.documents_changed.notify_one();
             Event::Adopted { revision, from }.log();
         }
         Adoption::Invalid(e) => Event::Rejected { revision, error: e.to_string() }.log(),
@@ -80,23 +80,23 @@
     }
 }
 
-fn listed(control: &Control, list: VmList, from: Source) {
+fn apply_vm_list(control: &Control, list: VmList, from: Source) {
     let VmList { number, vms } = list;
     let text = serde_json::to_string(&vms).unwrap_or_default();
     let count = vms.len();
-    control.reseed(&vms);
+    control.update_seeds(&vms);
     let now = control.now();
     if control.health.borrow_mut().on(HealthEvent::Listed(number, vms), now) {
-        health::forget_unlisted(control);
+        health::drop_unlisted(control);
         control.fleet_dirty.set(true);
         *control.vms.borrow_mut() = Packed { revision: number, bytes: deflate(&text).into() };
-        control.news.notify_one();
+        control.documents_changed.notify_one();
         Event::Listed { number, vms: count, from }.log();
     }
 }
 
-/// Counts a call on the platform; logs when it begins or ceases to answer.
-pub(super) fn note<T>(control: &Control, call: &str, answer: &Result<T, RpcError>) {
+/// Counts a platform call; logs when the platform becomes reachable or unreachable.
+pub(super) fn record_platform_call<T>(control: &Control, call: &str, answer: &Result<T, RpcError>) {
     let result = if answer.is_ok() { "ok" } else { "error" };
     control.shared.metrics.platform.with_label_values(&[call, result]).inc();
     let reachable = answer.is_ok();
--- a/crates/heathpitchd/src/control/members.rs
+++ b/crates/heathpitchd/src/control/members.rs
@@ -6,13 +6,13 @@
 
 use super::state::Control;
 
-/// Beats when it is time.
-pub(super) fn beat(control: &Control) {
+/// Announces this node and increments its heartbeat when due.
+pub(super) fn heartbeat(control: &Control) {
     let now = control.now();
-    if now < control.next_beat.get() {
+    if now < control.next_heartbeat.get() {
         return;
     }
-    control.next_beat.set(now + control.shared.settings.timing.peer_ms);
+    control.next_heartbeat.set(now + control.shared.settings.timing.peer_ms);
     let state = match control.shared.draining.load(Relaxed) {
         true => MemberState::Leaving,
         false => MemberState::Ready,
--- a/crates/heathpitchd/src/control/mod.rs
+++ b/crates/heathpitchd/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control thread: a set of controllers on one current-thread runtime.
 //!
-//! Each controller owns its state, takes events and publishes a snapshot. They share nothing with
-//! traffic threads but the snapshots in [`Shared`](crate::shared::Shared).
+//! Each controller owns its state, handles events and publishes a snapshot. The state shared with
+//! traffic threads is in [`Shared`](crate::shared::Shared).
 
 mod claims;
 mod config;
@@ -24,13 +24,13 @@
 use tokio::task::{LocalSet, spawn_local};
 
 use crate::clock::wall;
-use crate::shared::{Shared, ToControl};
+use crate::shared::{ControlMessage, Shared};
 use state::Control;
 
-/// Period in which timers of the controllers are looked at and snapshots published.
+/// Period for checking timers of the controllers and publishing snapshots.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Addresses this node is reached at.
+/// Addresses of this node.
 #[derive(Clone, Debug)]
 pub(crate) struct Addresses {
     pub(crate) caller: heathpitch_core::Name,
@@ -38,76 +38,80 @@
     pub(crate) peer: heathpitch_core::Name,
 }
 
-/// Edges that the controllers use.
+/// Clients that the controllers use.
 #[derive(Clone)]
-pub(crate) struct Edges {
+pub(crate) struct Clients {
     pub(crate) engine: Arc<dyn EngineClient>,
     pub(crate) platform: Arc<dyn PlatformClient>,
     pub(crate) client: Client,
 }
 
-/// Starts the control thread; it ends when `stop` turns true.
+/// Starts the control thread; it ends when `stop` becomes true.
 ///
 /// # Errors
 ///
-/// What the system says if the thread cannot be started.
+/// The I/O error if the thread cannot be started.
 pub(crate) fn spawn(
     shared: Arc<Shared>,
-    edges: Edges,
+    clients: Clients,
     addresses: Addresses,
     peers: std::net::TcpListener,
-    inbox: mpsc::Receiver<ToControl>,
+    inbox: mpsc::Receiver<ControlMessage>,
     mut stop: watch::Receiver<bool>,
 ) -> io::Result<thread::JoinHandle<()>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     thread::Builder::new().name("control".to_owned()).spawn(move || {
         let local = LocalSet::new();
         local.block_on(&runtime, async move {
-            let control = Rc::new(Control::new(shared, edges, addresses));
+            let control = Rc::new(Control::new(shared, clients, addresses));
             start(&control, peers, inbox);
             let _ = stop.wait_for(|s| *s).await;
         });
     })
 }
 
-fn start(control: &Rc<Control>, peers: std::net::TcpListener, inbox: mpsc::Receiver<ToControl>) {
+fn start(
+    control: &Rc<Control>,
+    peers: std::net::TcpListener,
+    inbox: mpsc::Receiver<ControlMessage>,
+) {
     let c = control.clone();
     let server = PeerServer::new(Rc::new(move |update| exchange::answer(&c, update)));
     match TcpListener::from_std(peers) {
         Ok(socket) => {
             spawn_local(server.serve(socket));
         }
-        Err(e) => log::error!("peers cannot be served: {e}"),
+        Err(e) => log::error!("cannot start the peer listener: {e}"),
     }
     spawn_local(config::poll_config(control.clone()));
-    spawn_local(config::poll_list(control.clone()));
+    spawn_local(config::poll_vms(control.clone()));
     spawn_local(exchange::run(control.clone()));
     spawn_local(placement::run(control.clone()));
     spawn_local(receive(control.clone(), inbox));
     spawn_local(tick(control.clone()));
 }
 
-/// Takes messages of traffic threads.
-async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<ToControl>) {
+/// Handles messages of traffic threads.
+async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<ControlMessage>) {
     while let Some(message) = inbox.recv().await {
         match message {
-            ToControl::Claim { digest, body, reply } => {
-                claims::ask(&control, digest, body, reply);
+            ControlMessage::Claim { digest, body, reply } => {
+                claims::request_claim(&control, digest, body, reply);
             }
-            ToControl::Failed(name) => health::failed(&control, name),
-            ToControl::Demand(account) => control.demand.borrow_mut().count(account),
+            ControlMessage::Failed(name) => health::request_failed(&control, name),
+            ControlMessage::Demand(account) => control.demand.borrow_mut().count(account),
         }
     }
 }
 
-/// Looks at timers and publishes.
+/// Checks timers and publishes snapshots.
 async fn tick(control: Rc<Control>) {
     let mut ticks = tokio::time::interval(TICK);
     loop {
         ticks.tick().await;
         claims::tick(&control);
         health::poll_due(&control);
-        members::beat(&control);
+        members::heartbeat(&control);
         control.demand.borrow_mut().tick(control.now(), wall());
         control.publish();
     }
--- a/crates/heathpitchd/src/control/placement.rs
+++ b/crates/heathpitchd/src/control/placement.rs
@@ -1,10 +1,11 @@
-//! Placement: one planner in each failure domain, by a lease of the platform.
+//! Placement: one planner per failure domain, elected by a lease of the platform.
 //!
-//! Orders carry the lease's epoch, and an engine refuses one that is older than it has seen. So a
-//! planner whose lease has lapsed, or that the platform cannot hear, goes on with engines that
-//! check: whoever has come after it wins. Engines labelled `fence=no` get orders only while the
-//! lease surely holds; an order that comes late there costs speed, never a promise, since an engine
-//! runs nothing for a path that names layers or an epoch it does not hold.
+//! Orders carry the epoch of the lease, and an engine rejects an epoch older than the newest it has
+//! seen. A planner whose lease has expired, or that cannot reach the platform, may therefore keep
+//! ordering engines that check epochs: any later planner takes precedence. Engines labelled
+//! `fence=no` get orders only while the lease certainly holds. A late order to such an engine costs
+//! performance but not correctness, since an engine runs nothing for a path that names layers or an
+//! epoch that it does not hold.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -16,80 +17,83 @@
     EngineReport, LoadedLayers, ModelDemand, Move, PlacementEngine, plan_placement,
 };
 
-use super::config::note;
+use super::config::record_platform_call;
 use super::state::Control;
 use crate::event::Event;
 
-/// Time between two looks at the failure domain.
-const LOOK: Duration = Duration::from_millis(500);
-/// Engines that load at once: the weight store's rate is limited.
+/// Interval between two planning rounds.
+const PLAN_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of concurrent loads; the bandwidth of the weight store is limited.
 const MAX_LOADS: usize = 4;
-/// Time after which a load that does not show is forgotten, milliseconds.
-const LOADED: Millis = 120_000;
-/// Part of the lease that is kept as a margin for engines that check no epoch.
-const MARGIN: u64 = 3;
-/// Renewals in the time of a lease.
-const RENEWALS: u64 = 3;
-
-/// What one node knows as a planner.
+/// Time after which a load that no report confirms is dropped.
+const LOAD_TIMEOUT_MS: Millis = 120_000;
+/// Divisor of the lease time; the result is the safety margin for engines that check no epoch.
+const LEASE_MARGIN_DIVISOR: u64 = 3;
+/// Renewals per lease time.
+const RENEWALS_PER_LEASE: u64 = 3;
+
+/// Planner state of this node.
 #[derive(Debug, Default)]
 struct Planner {
     epoch: Option<Epoch>,
-    until: Millis,
-    next: Millis,
+    lease_until: Millis,
+    next_renewal: Millis,
     loading: HashMap<Name, (LoadedLayers, Millis)>,
 }
 
-/// Takes part in planning.
+/// Competes for the lease and plans while this node holds it.
 pub(super) async fn run(control: Rc<Control>) {
     if !control.shared.settings.planner {
         return;
     }
     let mut planner = Planner::default();
     loop {
-        if control.now() >= planner.next {
+        if control.now() >= planner.next_renewal {
             planner.renew(&control).await;
         }
         if let Some(epoch) = planner.epoch {
-            planner.act(&control, epoch).await;
+            planner.plan(&control, epoch).await;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PLAN_INTERVAL).await;
     }
 }
 
 /// # Lease
 impl Planner {
-    /// Takes or renews the lease; others than its holder try in turn, as one node would.
+    /// Acquires or renews the lease; nodes without it share the attempts among them.
     async fn renew(&mut self, control: &Control) {
         let settings = &control.shared.settings;
         let ttl = settings.timing.lease_ms;
         let start = control.now();
         let name = format!("planner/{}", settings.domain);
-        let asked =
-            control.edges.platform.lease(&name, &holder(control), Duration::from_millis(ttl));
-        let answer = asked.await;
-        note(control, "lease", &answer);
+        let request = control.clients.platform.lease(
+            &name,
+            &lease_holder(control),
+            Duration::from_millis(ttl),
+        );
+        let answer = request.await;
+        record_platform_call(control, "lease", &answer);
         match answer {
-            Ok(lease) if lease.holder == holder(control) => {
-                self.until = start + ttl;
-                self.next = start + ttl / RENEWALS;
-                self.lead(Some(lease.epoch));
+            Ok(lease) if lease.holder == lease_holder(control) => {
+                self.lease_until = start + ttl;
+                self.next_renewal = start + ttl / RENEWALS_PER_LEASE;
+                self.set_epoch(Some(lease.epoch));
             }
             Ok(_) => {
-                self.next = start + control.wait(ttl);
-                self.lead(None);
+                self.next_renewal = start + control.next_wait(ttl);
+                self.set_epoch(None);
             }
-            // Nobody else can take the lease from a platform that does not answer this node only
-            // if it answers nobody; the epoch settles it where engines check.
-            Err(_) => self.next = start + control.wait(ttl / RENEWALS),
+            // The platform may still answer other nodes, so another node may acquire the lease;
+            // engines that check epochs then reject the orders of this node.
+            Err(_) => self.next_renewal = start + control.next_wait(ttl / RENEWALS_PER_LEASE),
         }
     }
 
-    fn lead(&mut self, epoch: Option<Epoch>) {
+    fn set_epoch(&mut self, epoch: Option<Epoch>) {
         if self.epoch != epoch {
             let active = epoch.is_some();
-            let shown = epoch.or(self.epoch).unwrap_or_default();
-            Event::Planner { active, epoch: shown }.log();
+            let reported = epoch.or(self.epoch).unwrap_or_default();
+            Event::Planner { active, epoch: reported }.log();
             self.epoch = epoch;
             self.loading.clear();
         }
@@ -98,22 +102,24 @@
 
 /// # Orders
 impl Planner {
-    async fn act(&mut self, control: &Control, epoch: Epoch) {
+    async fn plan(&mut self, control: &Control, epoch: Epoch) {
         let now = control.now();
-        let engines = near(control, now);
-        self.settle(&engines, now);
+        let engines = local_engines(control, now);
+        self.expire_loads(&engines, now);
         let index = control.replica.borrow().index();
-        let wanted = wanted(&index, &engines);
-        let placeable: Vec<PlacementEngine> =
-            engines.iter().map(|(_, r)| self.placeable(r)).collect();
-        let room = MAX_LOADS.saturating_sub(self.loading.len());
-        for step in plan_placement(&wanted, &placeable).into_iter().take(room) {
+        let demands = model_demands(&index, &engines);
+        let placement_engine: Vec<PlacementEngine> =
+            engines.iter().map(|(_, r)| self.placement_engine(r)).collect();
+        let free_loads = MAX_LOADS.saturating_sub(self.loading.len());
+        for step in plan_placement(&demands, &placement_engine).into_iter().take(free_loads) {
             let Some((vm, _)) = engines.iter().find(|(vm, _)| vm.name == step.engine) else {
                 continue;
             };
             let unfenced = vm.labels.0.get("fence").is_some_and(|f| f.as_str() == "no");
-            let sure = self.until.saturating_sub(control.shared.settings.timing.lease_ms / MARGIN);
-            if unfenced && control.now() >= sure {
+            let safe_until = self
+                .lease_until
+                .saturating_sub(control.shared.settings.timing.lease_ms / LEASE_MARGIN_DIVISOR);
+            if unfenced && control.now() >= safe_until {
                 continue;
             }
             if !self.order(control, vm, &step, epoch).await {
@@ -122,12 +128,12 @@
         }
     }
 
-    /// Gives one order; false if a newer planner is known to be at work.
+    /// Sends one order; returns false if an engine has seen a newer planner.
     async fn order(&mut self, control: &Control, vm: &Vm, step: &Move, epoch: Epoch) -> bool {
         let LoadedLayers { model, version, layers } = step.holding.clone();
         let kind =
             OrderKind::Load { model: model.clone(), version, layers, megabytes: step.megabytes };
-        let answer = control.edges.engine.order(&vm.address, Order { epoch, kind }).await;
+        let answer = control.clients.engine.order(&vm.address, Order { epoch, kind }).await;
         Event::Placed {
             engine: vm.name.clone(),
             model,
@@ -140,68 +146,72 @@
         .log();
         match answer {
             Ok(()) => {
-                let until = control.now() + LOADED;
+                let until = control.now() + LOAD_TIMEOUT_MS;
                 self.loading.insert(vm.name.clone(), (step.holding.clone(), until));
                 true
             }
             Err(OrderError::Stale(_)) => {
-                self.lead(None);
+                self.set_epoch(None);
                 false
             }
             Err(OrderError::Rpc(_)) => true,
         }
     }
 
-    /// Forgets loads that show in reports, and those that never will.
-    fn settle(&mut self, engines: &[(Vm, EngineReport)], now: Millis) {
+    /// Drops loads that reports confirm, that have timed out, or whose engine is gone.
+    fn expire_loads(&mut self, engines: &[(Vm, EngineReport)], now: Millis) {
         self.loading.retain(|name, (target, until)| {
             let report = engines.iter().find(|(vm, _)| vm.name == *name).map(|(_, r)| r);
-            let shows = report.is_some_and(|r| holding(r).as_ref() == Some(target));
-            report.is_some() && !shows && now < *until
+            let confirmed = report.is_some_and(|r| loaded_layers(r).as_ref() == Some(target));
+            report.is_some() && !confirmed && now < *until
         });
     }
 
-    fn placeable(&self, report: &EngineReport) -> PlacementEngine {
+    fn placement_engine(&self, report: &EngineReport) -> PlacementEngine {
         let loading = self.loading.get(&report.engine).map(|(h, _)| h.clone());
         PlacementEngine {
             engine: report.engine.clone(),
             memory: report.memory,
             layer: report.layer,
             link: report.link,
-            holding: loading.or_else(|| holding(report)),
+            holding: loading.or_else(|| loaded_layers(report)),
         }
     }
 }
 
-fn holder(control: &Control) -> Name {
-    let life = control.shared.life;
-    let text = format!("{}.{:x}", control.shared.settings.node, life.0);
+fn lease_holder(control: &Control) -> Name {
+    let incarnation = control.shared.incarnation;
+    let text = format!("{}.{:x}", control.shared.settings.node, incarnation.0);
     text.parse().unwrap_or_else(|_| control.shared.settings.node.clone())
 }
 
-/// Engines of this failure domain that may take new work.
-fn near(control: &Control, now: Millis) -> Vec<(Vm, EngineReport)> {
+/// Engines of this failure domain that accept new requests.
+fn local_engines(control: &Control, now: Millis) -> Vec<(Vm, EngineReport)> {
     let domain = &control.shared.settings.domain;
     let health = control.health.borrow();
-    let near = health.up(now).filter(|(vm, _)| vm.role == VmRole::Engine && vm.domain == *domain);
-    let mut engines: Vec<_> = near.map(|(vm, r)| ((**vm).clone(), (**r).clone())).collect();
+    let local = health.up(now).filter(|(vm, _)| vm.role == VmRole::Engine && vm.domain == *domain);
+    let mut engines: Vec<_> = local.map(|(vm, r)| ((**vm).clone(), (**r).clone())).collect();
     engines.sort_by(|a, b| a.0.name.cmp(&b.0.name));
     engines
 }
 
-fn holding(report: &EngineReport) -> Option<LoadedLayers> {
+fn loaded_layers(report: &EngineReport) -> Option<LoadedLayers> {
     let model = report.model.clone()?;
     Some(LoadedLayers { model, version: report.version.clone(), layers: report.layers })
 }
 
-/// Models that routes lead to, with the engines their pools admit.
-fn wanted(index: &Index, engines: &[(Vm, EngineReport)]) -> Vec<ModelDemand> {
+/// Demand for each routed model, with the engines that its routes admit.
+fn model_demands(index: &Index, engines: &[(Vm, EngineReport)]) -> Vec<ModelDemand> {
     let mut models: Vec<&Model> = index.models.values().map(|m| &**m).collect();
     models.sort_by(|a, b| a.name.cmp(&b.name));
-    models.into_iter().filter_map(|m| want(index, m, engines)).collect()
+    models.into_iter().filter_map(|m| model_demand(index, m, engines)).collect()
 }
 
-fn want(index: &Index, model: &Model, engines: &[(Vm, EngineReport)]) -> Option<ModelDemand> {
+fn model_demand(
+    index: &Index,
+    model: &Model,
+    engines: &[(Vm, EngineReport)],
+) -> Option<ModelDemand> {
     let serves = |r: &heathpitch_core::Route| {
         r.kind == RouteKind::Model
             && (r.select.models.is_empty() || r.select.models.contains(&model.name))
--- a/crates/heathpitchd/src/event.rs
+++ b/crates/heathpitchd/src/event.rs
@@ -1,25 +1,25 @@
-//! Events of the log, each with a stable name.
+//! Structured log events, each with a stable name.
 
 use heathpitch_core::{Attempt, Epoch, LayerRange, Millis, Name, Outcome, Revision};
 use heathpitch_policy::MoveReason;
 use serde::Serialize;
 
-/// A line of the log.
+/// A log event.
 ///
-/// Written as JSON with the name under `event`. Neither prompts nor answers nor keys stand in any
-/// event.
+/// Written as one line of JSON with the name under `event`. Events never contain prompts, answers or
+/// keys.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// The node listens.
+    /// The node has started listening.
     Started {
         /// Node.
         node: Name,
-        /// Address for callers.
+        /// Caller address.
         listen: String,
-        /// Address for operators.
+        /// Admin address.
         admin: String,
-        /// Address for peers.
+        /// Peer address.
         peer: String,
     },
     /// A path was chosen for an attempt.
@@ -36,10 +36,10 @@
         attempt: Attempt,
         /// Engines and their layers.
         stages: Vec<(Name, LayerRange)>,
-        /// Predicted time to the first token.
+        /// Predicted time to first token.
         predicted_ms: u64,
-        /// Why a path was chosen now.
-        reason: Reason,
+        /// Reason for this attempt.
+        reason: AttemptReason,
     },
     /// A plain service was chosen for an attempt.
     RoutedService {
@@ -53,59 +53,59 @@
         attempt: Attempt,
         /// Service.
         service: Name,
-        /// Why it was chosen now.
-        reason: Reason,
+        /// Reason for this attempt.
+        reason: AttemptReason,
     },
-    /// A request is over.
+    /// A request has ended.
     Finished {
         /// Request.
         request: String,
         /// Client account.
         account: Name,
-        /// What became of it.
+        /// Outcome.
         outcome: Outcome,
-        /// Tokens sent.
+        /// Tokens sent to the caller.
         tokens: u32,
         /// Attempts made.
         attempts: u32,
-        /// Time taken.
+        /// Duration.
         ms: Millis,
     },
     /// A request was refused.
     Refused {
         /// Request.
         request: String,
-        /// What is said of it.
+        /// Outcome reported to the caller.
         outcome: Outcome,
         /// Stable kind of the error.
         kind: &'static str,
-        /// When the caller is told to come back.
+        /// Retry delay reported to the caller.
         back_ms: Millis,
     },
-    /// A revision of the configuration is in force.
+    /// A configuration revision has taken effect.
     Adopted {
         /// Revision.
         revision: Revision,
-        /// Where it came from.
+        /// Origin.
         from: Source,
     },
-    /// A revision of the configuration is not valid; the one before stays in force.
+    /// A configuration revision is invalid; the previous one stays in effect.
     Rejected {
         /// Revision.
         revision: Revision,
-        /// What is wrong with it.
+        /// Validation error.
         error: String,
     },
-    /// A list of VMs was taken.
+    /// A VM list has taken effect.
     Listed {
-        /// Its number.
+        /// Revision of the list.
         number: Revision,
-        /// VMs in it.
+        /// Number of VMs.
         vms: usize,
-        /// Where it came from.
+        /// Origin.
         from: Source,
     },
-    /// An engine was ordered to hold layers.
+    /// An engine was ordered to load layers.
     Placed {
         /// Engine.
         engine: Name,
@@ -115,64 +115,64 @@
         layers: LayerRange,
         /// Weights to load, megabytes.
         megabytes: u64,
-        /// Epoch of the planner.
+        /// Epoch of the planner's lease.
         epoch: Epoch,
-        /// Why.
+        /// Reason for the order.
         reason: MoveReason,
-        /// Whether the engine took the order.
+        /// Whether the engine accepted the order.
         taken: bool,
     },
-    /// This node began or ceased to plan its failure domain's placement.
+    /// This node became or ceased to be the planner of its failure domain.
     Planner {
-        /// Whether it plans now.
+        /// Whether it is the planner.
         active: bool,
         /// Epoch of its lease.
         epoch: Epoch,
     },
-    /// The platform does not answer, or answers again.
+    /// The platform became reachable or unreachable.
     Platform {
-        /// Whether it answers.
+        /// Whether it is reachable.
         reachable: bool,
-        /// What it said, if it does not.
+        /// Error if it is unreachable.
         error: Option<String>,
     },
-    /// The node drains.
+    /// The node has begun to drain.
     Draining {
-        /// Requests open.
+        /// Number of open requests.
         open: usize,
     },
     /// The node has stopped.
     Stopped {
-        /// Requests cut off.
+        /// Number of requests cut off.
         cut: usize,
     },
 }
 
-/// Why a path was chosen.
+/// Reason for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum AttemptReason {
     /// First attempt.
     First,
-    /// The attempt before was refused.
+    /// The previous attempt was refused.
     Refused,
-    /// The attempt before never left.
+    /// The previous attempt could not be sent.
     Unsent,
-    /// A stage of the attempt before failed.
+    /// A stage of the previous attempt failed.
     Faulted,
-    /// The attempt before was lost.
+    /// The connection of the previous attempt was lost.
     Lost,
-    /// The attempt before fell silent.
+    /// The previous attempt stalled.
     Stalled,
 }
 
-/// Where a document came from.
+/// Origin of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
     /// The platform.
     Platform,
-    /// Another node.
+    /// A peer node.
     Peer,
 }
 
@@ -198,7 +198,7 @@
     pub(crate) fn log(&self) {
         match serde_json::to_string(self) {
             Ok(line) => log::info!(target: "heathpitch", "{line}"),
-            Err(e) => log::error!("an event could not be written: {e}"),
+            Err(e) => log::error!("cannot serialize a log event: {e}"),
         }
     }
 }
--- a/crates/heathpitchd/src/filters/context.rs
+++ b/crates/heathpitchd/src/filters/context.rs
@@ -1,4 +1,4 @@
-//! What the filters know of a request.
+//! Request data shared by the filters.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::traffic::Traffic;
 
 /// Header with the id of the request.
-const REQUEST: HeaderName = HeaderName::from_static("x-heathpitch-request");
+const REQUEST_ID: HeaderName = HeaderName::from_static("x-heathpitch-request");
 /// Header with the outcome.
 const OUTCOME: HeaderName = HeaderName::from_static("x-heathpitch-outcome");
 
@@ -19,48 +19,48 @@
 #[derive(Clone)]
 pub(crate) struct Context {
     pub(crate) traffic: Arc<Traffic>,
-    /// Id minted for the request.
+    /// Id assigned to the request.
     pub(crate) id: String,
-    /// When it arrived.
+    /// Arrival time.
     pub(crate) start: Millis,
 }
 
-/// Which call of the API was made.
+/// API endpoint of a model request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AskKind {
+pub(crate) enum Endpoint {
     Completion,
     Chat,
 }
 
-/// A model request as the caller made it.
+/// A parsed model request.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
-    pub(crate) kind: AskKind,
+pub(crate) struct ModelRequest {
+    pub(crate) endpoint: Endpoint,
     pub(crate) model: Name,
     pub(crate) prompt: String,
-    pub(crate) wanted: u32,
+    pub(crate) max_tokens: u32,
     pub(crate) stream: bool,
-    pub(crate) usage: bool,
+    pub(crate) include_usage: bool,
     pub(crate) options: serde_json::Value,
     pub(crate) priority: Priority,
     pub(crate) deadline: Option<Millis>,
 }
 
-/// A caller's words on repetition.
+/// Idempotency and retry headers of a request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Key {
-    /// The caller's key or ticket.
-    pub(crate) text: Option<Name>,
-    /// Whether the request may be repeated.
-    pub(crate) never: bool,
-    /// Whether another node passed the request on.
+pub(crate) struct Idempotency {
+    /// Idempotency key or ticket.
+    pub(crate) key: Option<Name>,
+    /// Whether the caller forbids retries.
+    pub(crate) never_retry: bool,
+    /// Whether another node forwarded the request.
     pub(crate) forwarded: bool,
 }
 
-impl Key {
-    /// Whether a started request may be dispatched again.
+impl Idempotency {
+    /// Retry policy once the request has started.
     pub(crate) fn repeat(&self) -> Repeat {
-        match self.never || self.text.is_some() {
+        match self.never_retry || self.key.is_some() {
             true => Repeat::Never,
             false => Repeat::Allowed,
         }
@@ -68,20 +68,20 @@
 }
 
 impl Context {
-    /// Context of a request that arrives now.
+    /// Context of a request that has just arrived.
     pub(crate) fn new(traffic: Arc<Traffic>) -> Self {
-        let id = traffic.shared.mint().to_string();
+        let id = traffic.shared.new_request_id().to_string();
         let start = traffic.shared.now();
         Self { traffic, id, start }
     }
 
-    /// Puts the request's id and outcome on a response.
-    pub(crate) fn mark(&self, response: &mut Response<Body>, outcome: Outcome) {
+    /// Sets the headers with the request's id and outcome.
+    pub(crate) fn set_headers(&self, response: &mut Response<Body>, outcome: Outcome) {
         let headers = response.headers_mut();
         headers.entry(CONTENT_TYPE).or_insert(HeaderValue::from_static("application/json"));
         headers.insert(OUTCOME, HeaderValue::from_static(outcome.as_str()));
         if let Ok(id) = HeaderValue::from_str(&self.id) {
-            headers.insert(REQUEST, id);
+            headers.insert(REQUEST_ID, id);
         }
     }
 }
--- a/crates/heathpitchd/src/filters/guard.rs
+++ b/crates/heathpitchd/src/filters/guard.rs
@@ -1,4 +1,4 @@
-//! Counts that are given back when a request ends, however it ends.
+//! Guards that release counts when a request ends, whatever its outcome.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -8,19 +8,19 @@
 
 use crate::traffic::Traffic;
 
-/// A request's place on this node.
+/// Admission of one request on this node.
 pub(crate) struct Permit {
     traffic: Arc<Traffic>,
     account: Name,
-    gate: Name,
+    scope: Name,
 }
 
 impl Permit {
-    /// Takes over counts already made: in the limiter and in the gate of this name.
-    pub(crate) fn new(traffic: Arc<Traffic>, account: Name, gate: Name) -> Self {
+    /// Takes over counts already made in the account limiter and the admission control of `scope`.
+    pub(crate) fn new(traffic: Arc<Traffic>, account: Name, scope: Name) -> Self {
         traffic.shared.open.fetch_add(1, Relaxed);
         traffic.shared.metrics.open.inc();
-        Self { traffic, account, gate }
+        Self { traffic, account, scope }
     }
 }
 
@@ -30,24 +30,24 @@
         self.traffic.shared.metrics.open.dec();
         let mut limits = self.traffic.limits.lock();
         limits.limiter.release(&self.account);
-        if let Some(gate) = limits.gates.get_mut(&self.gate) {
-            gate.release(&self.account);
+        if let Some(admission) = limits.admission.get_mut(&self.scope) {
+            admission.release(&self.account);
         }
     }
 }
 
-/// Open counts on the upstreams of one attempt.
-pub(crate) struct Opened(Vec<Arc<Gauge>>);
+/// Open-request counts of the upstreams of one attempt.
+pub(crate) struct OpenCounts(Vec<Arc<Gauge>>);
 
-impl Opened {
-    /// Counts a request open on each.
+impl OpenCounts {
+    /// Counts one open request on each gauge.
     pub(crate) fn new(gauges: Vec<Arc<Gauge>>) -> Self {
         gauges.iter().for_each(|g| g.open());
         Self(gauges)
     }
 }
 
-impl Drop for Opened {
+impl Drop for OpenCounts {
     fn drop(&mut self) {
         self.0.iter().for_each(|g| g.close());
     }
--- a/crates/heathpitchd/src/filters/mod.rs
+++ b/crates/heathpitchd/src/filters/mod.rs
@@ -1,27 +1,27 @@
-//! The chain of filters that a request runs through.
+//! The filter chain that processes a request.
 //!
-//! parse → account → route → limit → repeat → run. Each filter has a module, adds to one typed
-//! context, and may end the request with one [`Refusal`].
+//! parse → account → route → limit → idempotency → run. Each filter is a module that works on
+//! one typed context and may end the request with a [`Refusal`].
 
 mod account;
-mod arrival;
+mod attempt_event;
 mod context;
 mod guard;
-mod keyed;
+mod idempotency;
+mod keyed_request;
 mod limit;
-mod output;
 mod parse;
 mod probe;
 mod refusal;
 mod render;
-mod repeat;
+mod response_writer;
 mod route;
 mod run;
 mod service;
 mod service_run;
 
-pub(crate) use context::{Ask, AskKind, Context, Key};
-pub(crate) use keyed::{forward, owner_of};
+pub(crate) use context::{Context, Endpoint, Idempotency, ModelRequest};
+pub(crate) use keyed_request::{forward, owner_of};
 pub(crate) use refusal::{Refusal, RefusalKind};
 
 use std::sync::Arc;
@@ -32,36 +32,37 @@
 
 use crate::traffic::Traffic;
 
-/// Runs a model request through the chain.
+/// Runs a model request through the filter chain.
 pub(crate) async fn generate(
     traffic: &Arc<Traffic>,
-    kind: AskKind,
+    endpoint: Endpoint,
     request: Request<Incoming>,
 ) -> Response<Body> {
     let mut cx = Context::new(traffic.clone());
-    let done = chain(&mut cx, kind, request).await;
-    done.unwrap_or_else(|refusal| refusal.respond(&cx))
+    let response = chain(&mut cx, endpoint, request).await;
+    response.unwrap_or_else(|refusal| refusal.respond(&cx))
 }
 
 async fn chain(
     cx: &mut Context,
-    kind: AskKind,
+    endpoint: Endpoint,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
-    let (head, ask) = parse::model(cx, kind, request).await?;
-    let account = account::find(cx, &head.headers)?;
-    let route = route::model(cx, &account, &ask)?;
-    let permit = limit::admit(cx, &account, &route, &ask)?;
-    let granted = match repeat::settle(cx, &account, &head, &ask).await? {
-        repeat::Settled::Run(granted) => granted,
-        repeat::Settled::Answer(response) => return Ok(response),
+    let (raw, model_request) = parse::model(cx, endpoint, request).await?;
+    let account = account::find(cx, &raw.headers)?;
+    let route = route::model(cx, &account, &model_request)?;
+    let permit = limit::admit(cx, &account, &route, &model_request)?;
+    let reservation = match idempotency::check_key(cx, &account, &raw, &model_request).await? {
+        idempotency::KeyCheck::Run(reservation) => reservation,
+        idempotency::KeyCheck::Answer(response) => return Ok(response),
     };
-    run::run(cx, &head, run::Job { account, route, ask, permit, granted }).await
+    run::run(cx, &raw, run::Job { account, route, request: model_request, permit, reservation })
+        .await
 }
 
-/// Runs a request for a plain service through the chain.
+/// Runs a request for a plain service through the filter chain.
 pub(crate) async fn service(traffic: &Arc<Traffic>, request: Request<Incoming>) -> Response<Body> {
     let mut cx = Context::new(traffic.clone());
-    let done = service::chain(&mut cx, request).await;
-    done.unwrap_or_else(|refusal| refusal.respond(&cx))
+    let response = service::chain(&mut cx, request).await;
+    response.unwrap_or_else(|refusal| refusal.respond(&cx))
 }
--- a/crates/heathpitchd/src/filters/parse.rs
+++ b/crates/heathpitchd/src/filters/parse.rs
@@ -1,4 +1,4 @@
-//! Filter: reads a request and checks its form.
+//! Filter: reads and validates a request.
 
 use heathpitch_core::{Millis, Name, Outcome, Priority};
 use heathpitch_net::{BodyError, read};
@@ -8,34 +8,34 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-use super::{Ask, AskKind, Context, Key, Refusal, RefusalKind};
+use super::{Context, Endpoint, Idempotency, ModelRequest, Refusal, RefusalKind};
 
-/// Tokens generated if the caller names no number.
-const WANTED: u32 = 256;
-/// Most tokens of one answer.
-const MAX_WANTED: u32 = 65_536;
+/// Default for `max_tokens`.
+const DEFAULT_MAX_TOKENS: u32 = 256;
+/// Largest accepted `max_tokens`.
+const MAX_MAX_TOKENS: u32 = 65_536;
 /// Header with the priority.
 const PRIORITY: &str = "x-heathpitch-priority";
 /// Header with the deadline, milliseconds from arrival.
 const DEADLINE: &str = "x-heathpitch-deadline-ms";
-/// Header that says whether a request may be repeated: `allowed` or `never`.
+/// Header with the retry policy: `allowed` or `never`.
 const REPEAT: &str = "x-heathpitch-repeat";
-/// Header with the caller's key.
+/// Header with the idempotency key.
 const KEY: &str = "idempotency-key";
-/// Header that another node sets when it passes a request on.
+/// Header set by a node that forwards a request.
 pub(crate) const FORWARDED: &str = "x-heathpitch-forwarded";
 
-/// Headers and body of a request, as they came.
-pub(crate) struct Head {
+/// A received request before its body is parsed.
+pub(crate) struct RawRequest {
     pub(crate) headers: HeaderMap,
     pub(crate) method: hyper::Method,
     pub(crate) path: String,
-    pub(crate) content: Bytes,
-    pub(crate) key: Key,
+    pub(crate) body: Bytes,
+    pub(crate) idempotency: Idempotency,
 }
 
 #[derive(Deserialize)]
-struct Wire {
+struct RequestBody {
     model: Name,
     #[serde(default)]
     prompt: Option<Prompt>,
@@ -86,79 +86,89 @@
     include_usage: bool,
 }
 
-/// Reads a request whose body is bounded by the settings.
-pub(crate) async fn head(cx: &Context, request: Request<Incoming>) -> Result<Head, Refusal> {
+/// Reads a request; the settings bound its body.
+pub(crate) async fn read_raw(
+    cx: &Context,
+    request: Request<Incoming>,
+) -> Result<RawRequest, Refusal> {
     let (parts, body) = request.into_parts();
-    let most = cx.traffic.shared.settings.max_body;
-    let content = match read(body, most).await {
+    let max_bytes = cx.traffic.shared.settings.max_body;
+    let content = match read(body, max_bytes).await {
         Ok(content) => content,
         Err(BodyError::TooLarge) => {
-            let message = format!("the body is larger than {most} bytes");
+            let message = format!("the body is larger than {max_bytes} bytes");
             return Err(Refusal::not_run(RefusalKind::TooLarge, message));
         }
         Err(e) => return Err(malformed(e.to_string())),
     };
-    let key = key(&parts.headers)?;
+    let idempotency = idempotency(&parts.headers)?;
     let path = parts.uri.path_and_query().map_or("/", |p| p.as_str()).to_owned();
-    Ok(Head { headers: parts.headers, method: parts.method, path, content, key })
+    Ok(RawRequest {
+        headers: parts.headers,
+        method: parts.method,
+        path,
+        body: content,
+        idempotency,
+    })
 }
 
 /// Reads a model request.
 pub(crate) async fn model(
     cx: &Context,
-    kind: AskKind,
+    endpoint: Endpoint,
     request: Request<Incoming>,
-) -> Result<(Head, Ask), Refusal> {
-    let head = head(cx, request).await?;
-    let text =
-        std::str::from_utf8(&head.content).map_err(|_| malformed("the body is not UTF-8"))?;
-    let wire: Wire = serde_json::from_str(text).map_err(|e| malformed(e.to_string()))?;
-    let wanted = wire.max_completion_tokens.or(wire.max_tokens).unwrap_or(WANTED);
-    match wire.n {
-        Some(n) if n != 1 => return Err(malformed("only n = 1 is served")),
-        _ if wanted == 0 || wanted > MAX_WANTED => {
-            return Err(malformed(format!("max_tokens is outside 1 to {MAX_WANTED}")));
+) -> Result<(RawRequest, ModelRequest), Refusal> {
+    let raw = read_raw(cx, request).await?;
+    let text = std::str::from_utf8(&raw.body).map_err(|_| malformed("the body is not UTF-8"))?;
+    let body: RequestBody = serde_json::from_str(text).map_err(|e| malformed(e.to_string()))?;
+    let max_tokens = body.max_completion_tokens.or(body.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS);
+    match body.n {
+        Some(n) if n != 1 => return Err(malformed("only n = 1 is supported")),
+        _ if max_tokens == 0 || max_tokens > MAX_MAX_TOKENS => {
+            return Err(malformed(format!("max_tokens is outside 1 to {MAX_MAX_TOKENS}")));
         }
         _ => {}
     }
-    let prompt = match (kind, wire.prompt, wire.messages) {
-        (AskKind::Completion, Some(Prompt::One(p)), _) => p,
-        (AskKind::Completion, Some(Prompt::Many(mut p)), _) if p.len() == 1 => p.remove(0),
-        (AskKind::Completion, Some(_), _) => return Err(malformed("one prompt is served at once")),
-        (AskKind::Completion, None, _) => return Err(malformed("prompt is missing")),
-        (AskKind::Chat, _, Some(m)) if !m.is_empty() => chat(&m),
-        (AskKind::Chat, ..) => return Err(malformed("messages are missing")),
+    let prompt = match (endpoint, body.prompt, body.messages) {
+        (Endpoint::Completion, Some(Prompt::One(p)), _) => p,
+        (Endpoint::Completion, Some(Prompt::Many(mut p)), _) if p.len() == 1 => p.remove(0),
+        (Endpoint::Completion, Some(_), _) => {
+            return Err(malformed("only one prompt per request is supported"));
+        }
+        (Endpoint::Completion, None, _) => return Err(malformed("prompt is missing")),
+        (Endpoint::Chat, _, Some(m)) if !m.is_empty() => chat_prompt(&m),
+        (Endpoint::Chat, ..) => return Err(malformed("messages are missing")),
     };
-    let ask = Ask {
-        kind,
-        model: wire.model,
+    let request = ModelRequest {
+        endpoint,
+        model: body.model,
         prompt,
-        wanted,
-        stream: wire.stream.unwrap_or(false),
-        usage: wire.stream_options.is_some_and(|o| o.include_usage),
-        options: Value::Object(wire.options),
-        priority: priority(&head.headers)?,
-        deadline: deadline(&head.headers)?,
+        max_tokens,
+        stream: body.stream.unwrap_or(false),
+        include_usage: body.stream_options.is_some_and(|o| o.include_usage),
+        options: Value::Object(body.options),
+        priority: priority(&raw.headers)?,
+        deadline: deadline(&raw.headers)?,
     };
-    Ok((head, ask))
+    Ok((raw, request))
 }
 
-/// Value of a header as text.
+/// Header value as text.
 pub(crate) fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let value = headers.get(name).map(|v| v.to_str());
-    value.transpose().map_err(|_| malformed(format!("header {name} is not plain text")))
+    value.transpose().map_err(|_| malformed(format!("header {name} is not visible ASCII")))
 }
 
-/// Deadline that the caller set.
+/// Deadline set by the caller.
 pub(crate) fn deadline(headers: &HeaderMap) -> Result<Option<Millis>, Refusal> {
     let Some(text) = header(headers, DEADLINE)? else { return Ok(None) };
     match text.parse() {
         Ok(ms) if ms > 0 => Ok(Some(ms)),
-        _ => Err(malformed(format!("header {DEADLINE} is not a number above 0"))),
+        _ => Err(malformed(format!("header {DEADLINE} is not a positive integer"))),
     }
 }
 
-/// Priority that the caller set.
+/// Priority set by the caller.
 pub(crate) fn priority(headers: &HeaderMap) -> Result<Priority, Refusal> {
     match header(headers, PRIORITY)? {
         Some(text) => {
@@ -168,20 +178,20 @@
     }
 }
 
-fn key(headers: &HeaderMap) -> Result<Key, Refusal> {
-    let text = match header(headers, KEY)? {
+fn idempotency(headers: &HeaderMap) -> Result<Idempotency, Refusal> {
+    let key = match header(headers, KEY)? {
         Some(text) => Some(text.parse().map_err(|e| malformed(format!("{KEY}: {e}")))?),
         None => None,
     };
-    let never = match header(headers, REPEAT)? {
+    let never_retry = match header(headers, REPEAT)? {
         None | Some("allowed") => false,
         Some("never") => true,
-        Some(_) => return Err(malformed(format!("header {REPEAT} is neither allowed nor never"))),
+        Some(_) => return Err(malformed(format!("header {REPEAT} must be allowed or never"))),
     };
-    Ok(Key { text, never, forwarded: headers.contains_key(FORWARDED) })
+    Ok(Idempotency { key, never_retry, forwarded: headers.contains_key(FORWARDED) })
 }
 
-fn chat(messages: &[Message]) -> String {
+fn chat_prompt(messages: &[Message]) -> String {
     let mut prompt = String::new();
     for m in messages {
         prompt.push_str(&m.role);
@@ -197,5 +207,5 @@
 }
 
 pub(crate) fn malformed(message: impl Into<String>) -> Refusal {
-    Refusal::of(Outcome::NotRun, RefusalKind::Malformed, message)
+    Refusal::new(Outcome::NotRun, RefusalKind::Malformed, message)
 }
--- a/crates/heathpitchd/src/filters/refusal.rs
+++ b/crates/heathpitchd/src/filters/refusal.rs
@@ -1,4 +1,4 @@
-//! Requests that end without a whole answer, and what their callers are told.
+//! Requests that end without a complete answer, and the errors their callers get.
 
 use heathpitch_core::{Millis, Outcome};
 use heathpitch_net::{Body, json};
@@ -9,10 +9,10 @@
 use super::Context;
 use crate::event::Event;
 
-/// Header that tells clients of the usual libraries not to repeat a request by themselves.
+/// Header that stops the automatic retries of common client libraries.
 const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
 
-/// Stable kinds of errors.
+/// Stable error kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RefusalKind {
     Malformed,
@@ -37,7 +37,7 @@
 }
 
 impl RefusalKind {
-    /// The word used on the wire.
+    /// Name on the wire.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -81,42 +81,42 @@
     }
 }
 
-/// The end of a request without a whole answer.
+/// End of a request without a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) outcome: Outcome,
     pub(crate) kind: RefusalKind,
     pub(crate) message: String,
-    pub(crate) back: Option<Millis>,
+    pub(crate) retry_after: Option<Millis>,
 }
 
 /// # Construction
 impl Refusal {
-    /// A request that did not run.
+    /// Refusal of a request that did not run.
     pub(crate) fn not_run(kind: RefusalKind, message: impl Into<String>) -> Self {
-        Self { outcome: Outcome::NotRun, kind, message: message.into(), back: None }
+        Self { outcome: Outcome::NotRun, kind, message: message.into(), retry_after: None }
     }
 
-    /// A request of which only `outcome` can be said.
-    pub(crate) fn of(outcome: Outcome, kind: RefusalKind, message: impl Into<String>) -> Self {
-        Self { outcome, kind, message: message.into(), back: None }
+    /// Refusal of a request with a given outcome.
+    pub(crate) fn new(outcome: Outcome, kind: RefusalKind, message: impl Into<String>) -> Self {
+        Self { outcome, kind, message: message.into(), retry_after: None }
     }
 
-    /// Adds when to come back: `least` milliseconds or more, spread.
-    pub(crate) fn back(mut self, least: Millis) -> Self {
-        self.back = Some(heathpitch_policy::retry_after(least, &mut rand::rng()));
+    /// Adds a retry delay of at least `min_ms`, with jitter.
+    pub(crate) fn with_retry_after(mut self, min_ms: Millis) -> Self {
+        self.retry_after = Some(heathpitch_policy::retry_after(min_ms, &mut rand::rng()));
         self
     }
 }
 
 /// # Rendering
 impl Refusal {
-    /// HTTP status of the response.
-    pub(crate) fn code(&self) -> u16 {
+    /// HTTP status code of the response.
+    pub(crate) fn status_code(&self) -> u16 {
         self.kind.status().as_u16()
     }
 
-    /// The error as callers get it, in a body or an event.
+    /// JSON error for a response body or a stream event.
     pub(crate) fn body(&self, request: &str) -> Value {
         json!({ "error": {
             "message": self.message,
@@ -125,29 +125,29 @@
             "kind": self.kind.as_str(),
             "outcome": self.outcome,
             "request": request,
-            "retry_after_ms": self.back,
+            "retry_after_ms": self.retry_after,
         }})
     }
 
     /// Counts and logs the refusal.
-    pub(crate) fn note(&self, cx: &Context) {
+    pub(crate) fn count_and_log(&self, cx: &Context) {
         let metrics = &cx.traffic.shared.metrics;
         metrics.refusals.with_label_values(&[self.kind.as_str()]).inc();
         metrics.requests.with_label_values(&[self.outcome.as_str()]).inc();
         let request = cx.id.clone();
-        let back_ms = self.back.unwrap_or_default();
+        let back_ms = self.retry_after.unwrap_or_default();
         Event::Refused { request, outcome: self.outcome, kind: self.kind.as_str(), back_ms }.log();
     }
 
-    /// The whole response.
+    /// Response for the caller; counts and logs the refusal.
     pub(crate) fn respond(&self, cx: &Context) -> Response<Body> {
-        self.note(cx);
+        self.count_and_log(cx);
         let mut response = Response::new(json(&self.body(&cx.id)));
         *response.status_mut() = self.kind.status();
-        cx.mark(&mut response, self.outcome);
+        cx.set_headers(&mut response, self.outcome);
         let headers = response.headers_mut();
-        if let Some(back) = self.back {
-            headers.insert(RETRY_AFTER, HeaderValue::from(back.div_ceil(1_000)));
+        if let Some(retry_after) = self.retry_after {
+            headers.insert(RETRY_AFTER, HeaderValue::from(retry_after.div_ceil(1_000)));
         }
         if self.outcome != Outcome::NotRun {
             headers.insert(SHOULD_RETRY, HeaderValue::from_static("false"));
--- a/crates/heathpitchd/src/filters/render.rs
+++ b/crates/heathpitchd/src/filters/render.rs
@@ -1,75 +1,75 @@
-//! Answers in the form of the API: whole JSON and server-sent events.
+//! Renders answers in the format of the API: JSON documents and server-sent events.
 
 use bytes::Bytes;
 use heathpitch_policy::EndReason;
 use serde_json::{Value, json};
 
-use super::{Ask, AskKind};
+use super::{Endpoint, ModelRequest};
 
 /// Media type of server-sent events.
-pub(crate) const EVENTS: &str = "text/event-stream";
-/// Last event of a whole stream.
-const DONE: &str = "data: [DONE]\n\n";
+pub(crate) const EVENT_STREAM: &str = "text/event-stream";
+/// Event that ends a complete stream.
+const STREAM_END: &str = "data: [DONE]\n\n";
 
 /// Renders the answer to one request.
 pub(crate) struct Renderer {
     id: String,
     created: u64,
     model: String,
-    kind: AskKind,
-    usage: bool,
+    endpoint: Endpoint,
+    include_usage: bool,
     prompt_tokens: u32,
 }
 
 impl Renderer {
-    /// A renderer for the answer to `ask`.
-    pub(crate) fn new(id: &str, ask: &Ask, prompt_tokens: u32) -> Self {
+    /// A renderer for the answer to `request`.
+    pub(crate) fn new(id: &str, request: &ModelRequest, prompt_tokens: u32) -> Self {
         Self {
             id: id.to_owned(),
             created: crate::clock::wall() / 1_000,
-            model: ask.model.to_string(),
-            kind: ask.kind,
-            usage: ask.usage,
+            model: request.model.to_string(),
+            endpoint: request.endpoint,
+            include_usage: request.include_usage,
             prompt_tokens,
         }
     }
 
-    /// The event for one token.
+    /// Event for one token.
     pub(crate) fn token(&self, text: &str, first: bool) -> Bytes {
-        let choice = match self.kind {
-            AskKind::Completion => json!({ "index": 0, "text": text, "finish_reason": null }),
-            AskKind::Chat if first => json!({ "index": 0, "finish_reason": null,
+        let choice = match self.endpoint {
+            Endpoint::Completion => json!({ "index": 0, "text": text, "finish_reason": null }),
+            Endpoint::Chat if first => json!({ "index": 0, "finish_reason": null,
                 "delta": { "role": "assistant", "content": text } }),
-            AskKind::Chat => {
+            Endpoint::Chat => {
                 json!({ "index": 0, "delta": { "content": text }, "finish_reason": null })
             }
         };
-        event(&self.chunk(json!([choice]), Value::Null))
+        sse_event(&self.chunk(json!([choice]), Value::Null))
     }
 
-    /// The events that end a whole stream.
+    /// Events that end a complete stream.
     pub(crate) fn end(&self, reason: EndReason, tokens: u32) -> Bytes {
-        let reason = word(reason);
-        let choice = match self.kind {
-            AskKind::Completion => json!({ "index": 0, "text": "", "finish_reason": reason }),
-            AskKind::Chat => json!({ "index": 0, "delta": {}, "finish_reason": reason }),
+        let reason = finish_reason(reason);
+        let choice = match self.endpoint {
+            Endpoint::Completion => json!({ "index": 0, "text": "", "finish_reason": reason }),
+            Endpoint::Chat => json!({ "index": 0, "delta": {}, "finish_reason": reason }),
         };
-        let mut text = event(&self.chunk(json!([choice]), Value::Null)).to_vec();
-        if self.usage {
-            text.extend(event(&self.chunk(json!([]), self.usage(tokens))));
+        let mut text = sse_event(&self.chunk(json!([choice]), Value::Null)).to_vec();
+        if self.include_usage {
+            text.extend(sse_event(&self.chunk(json!([]), self.usage(tokens))));
         }
-        text.extend(DONE.as_bytes());
+        text.extend(STREAM_END.as_bytes());
         text.into()
     }
 
-    /// The whole answer.
-    pub(crate) fn whole(&self, text: &str, reason: EndReason, tokens: u32) -> Vec<u8> {
-        let reason = word(reason);
-        let (object, choice) = match self.kind {
-            AskKind::Completion => {
+    /// Complete answer as JSON.
+    pub(crate) fn answer(&self, text: &str, reason: EndReason, tokens: u32) -> Vec<u8> {
+        let reason = finish_reason(reason);
+        let (object, choice) = match self.endpoint {
+            Endpoint::Completion => {
                 ("text_completion", json!({ "index": 0, "text": text, "finish_reason": reason }))
             }
-            AskKind::Chat => (
+            Endpoint::Chat => (
                 "chat.completion",
                 json!({ "index": 0, "finish_reason": reason,
                     "message": { "role": "assistant", "content": text } }),
@@ -81,9 +81,9 @@
     }
 
     fn chunk(&self, choices: Value, usage: Value) -> Value {
-        let object = match self.kind {
-            AskKind::Completion => "text_completion",
-            AskKind::Chat => "chat.completion.chunk",
+        let object = match self.endpoint {
+            Endpoint::Completion => "text_completion",
+            Endpoint::Chat => "chat.completion.chunk",
         };
         let mut chunk = json!({ "id": self.id, "object": object, "created": self.created,
             "model": self.model, "choices": choices });
@@ -100,31 +100,31 @@
 }
 
 /// One server-sent event.
-pub(crate) fn event(value: &Value) -> Bytes {
+pub(crate) fn sse_event(value: &Value) -> Bytes {
     format!("data: {value}\n\n").into()
 }
 
-/// A whole answer given again as a stream; none if it is not one.
-pub(crate) fn replayed(kind: AskKind, whole: &[u8]) -> Option<Vec<u8>> {
-    let mut answer: Value = serde_json::from_slice(whole).ok()?;
+/// Converts a stored answer into a stream; `None` if it is not a model answer.
+pub(crate) fn replay_as_stream(endpoint: Endpoint, stored: &[u8]) -> Option<Vec<u8>> {
+    let mut answer: Value = serde_json::from_slice(stored).ok()?;
     let choice = answer["choices"].get(0)?.clone();
-    let part = match kind {
-        AskKind::Completion => {
+    let part = match endpoint {
+        Endpoint::Completion => {
             json!({ "index": 0, "text": choice["text"], "finish_reason": choice["finish_reason"] })
         }
-        AskKind::Chat => {
+        Endpoint::Chat => {
             answer["object"] = json!("chat.completion.chunk");
             json!({ "index": 0, "delta": choice["message"],
                 "finish_reason": choice["finish_reason"] })
         }
     };
     answer["choices"] = json!([part]);
-    let mut text = event(&answer).to_vec();
-    text.extend(DONE.as_bytes());
+    let mut text = sse_event(&answer).to_vec();
+    text.extend(STREAM_END.as_bytes());
     Some(text)
 }
 
-fn word(reason: EndReason) -> &'static str {
+fn finish_reason(reason: EndReason) -> &'static str {
     match reason {
         EndReason::Stop => "stop",
         EndReason::Length => "length",
--- a/crates/heathpitchd/src/filters/run/attempt.rs
+++ b/crates/heathpitchd/src/filters/run/attempt.rs
@@ -1,4 +1,4 @@
-//! Choice of paths and dispatch.
+//! Path selection and dispatch.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use heathpitch_net::{GenerateCall, Hop};
 use heathpitch_policy::{RelayEvent, StallDetector, Upstream, choose};
 
-use super::{Live, Run};
-use crate::filters::guard::Opened;
+use super::{AttemptStream, Run};
+use crate::filters::guard::OpenCounts;
+use crate::filters::idempotency::Reservation;
 use crate::filters::probe;
 use crate::filters::refusal::RefusalKind;
-use crate::filters::repeat::Granted;
 
-/// Time for which a started request waits for a path to come back, milliseconds.
-const HOLD: Millis = 3_000;
-/// Time between two looks for a path.
-const LOOK: Duration = Duration::from_millis(40);
-/// Predicted first-token times that an attempt may take before it counts as stalled.
+/// Time a started request waits for a path to become available.
+const PATH_WAIT_MS: Millis = 3_000;
+/// Interval between two searches for a path.
+const PATH_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Multiple of the predicted first-token time after which an attempt counts as stalled.
 const STALL_FACTOR: f64 = 4.0;
 
 /// # Attempts
 impl Run {
-    /// Chooses a path; a request that has started waits a while for one.
-    pub(super) async fn choose(&mut self) -> RelayEvent {
+    /// Chooses a path; a request that has started waits up to [`PATH_WAIT_MS`] for one.
+    pub(super) async fn choose_path(&mut self) -> RelayEvent {
         let retry = self.relay.attempt().0 > 0;
         let resumed = !self.relay.sent().is_empty();
         if retry && !resumed && !self.cx.traffic.limits.lock().budget.spend() {
@@ -30,72 +30,75 @@
         }
         let start = self.cx.traffic.shared.now();
         loop {
-            match self.path(retry) {
-                Some(path) if !retry || self.alive(&path).await => return RelayEvent::Chosen(path),
+            match self.find_path(retry) {
+                Some(path) if !retry || self.probe_path(&path).await => {
+                    return RelayEvent::Chosen(path);
+                }
                 None if !retry => return RelayEvent::NoPath,
                 Some(_) | None => {}
             }
             match self.cx.traffic.shared.now() {
                 now if now >= self.matched.deadline => {
-                    self.why = RefusalKind::Expired;
+                    self.refusal_kind = RefusalKind::Expired;
                     return RelayEvent::Expired;
                 }
-                now if now >= start + HOLD => return RelayEvent::NoPath,
+                now if now >= start + PATH_WAIT_MS => return RelayEvent::NoPath,
                 _ => {}
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(PATH_POLL_INTERVAL).await;
         }
     }
 
-    /// Whether every engine of a path answers; those that do not are avoided from now on.
-    pub(super) async fn alive(&mut self, path: &Path) -> bool {
-        let silent = probe::silent(self.cx.traffic.clone(), probe::stages(path)).await;
-        silent.iter().for_each(|name| self.doubt(name));
-        silent.is_empty()
+    /// Probes every engine of a path and marks those that do not answer as suspect.
+    pub(super) async fn probe_path(&mut self, path: &Path) -> bool {
+        let suspects =
+            probe::find_suspects(self.cx.traffic.clone(), probe::path_targets(path)).await;
+        suspects.iter().for_each(|name| self.mark_suspect(name));
+        suspects.is_empty()
     }
 
-    pub(super) fn path(&mut self, retry: bool) -> Option<Path> {
+    pub(super) fn find_path(&mut self, retry: bool) -> Option<Path> {
         let shared = &self.cx.traffic.shared;
         let fleet = shared.fleet.load();
         let prefixes = shared.prefixes.load();
         let engines = fleet.engines_for(&self.matched.model.name);
         let admits = |u: &Upstream| self.matched.index.admits(&self.matched.route, u.labels());
-        let mut ask = heathpitch_policy::PathRequest {
+        let mut path_request = heathpitch_policy::PathRequest {
             model: &self.matched.model,
             domain: &shared.settings.domain,
-            tokens: self.prompt + self.relay.sent().len() as u32,
-            chain: &self.chain,
+            tokens: self.prompt_len + self.relay.sent().len() as u32,
+            chain: &self.prefix_blocks,
             prefixes: &prefixes,
             allow_suspect: false,
             avoid: self.relay.avoid(),
             now: shared.now(),
             strategy: self.matched.route.settings.strategy,
         };
-        let mut chosen = choose(engines, admits, &ask, &mut rand::rng());
-        if chosen.is_err() {
-            // Doubt and earlier failures are reasons to prefer others, not to refuse.
-            ask.allow_suspect = true;
+        let mut result = choose(engines, admits, &path_request, &mut rand::rng());
+        if result.is_err() {
+            // Suspicion and earlier failures lower preference but do not rule an engine out.
+            path_request.allow_suspect = true;
             if retry {
-                ask.avoid = &[];
+                path_request.avoid = &[];
             }
-            chosen = choose(engines, admits, &ask, &mut rand::rng());
+            result = choose(engines, admits, &path_request, &mut rand::rng());
         }
-        let (path, predicted) = chosen.ok()?;
-        let left = self.matched.deadline.saturating_sub(ask.now) as f64;
-        if predicted > left && !retry {
-            self.why = RefusalKind::Overloaded;
-            self.back = predicted as Millis;
+        let (path, predicted_ms) = result.ok()?;
+        let remaining_ms = self.matched.deadline.saturating_sub(path_request.now) as f64;
+        if predicted_ms > remaining_ms && !retry {
+            self.refusal_kind = RefusalKind::Overloaded;
+            self.retry_after = predicted_ms as Millis;
             return None;
         }
-        self.predicted = predicted;
+        self.predicted_ms = predicted_ms;
         Some(path)
     }
 
     pub(super) fn dispatch(&mut self, attempt: Attempt, path: Path) -> Option<RelayEvent> {
-        if let Some(Granted::Keyed(hold)) = self.granted.take() {
-            self.dispatched = hold.dispatch();
+        if let Some(Reservation::Keyed(reservation)) = self.reservation.take() {
+            self.dispatched = reservation.dispatch();
         }
-        if self.keyed && self.dispatched.is_none() {
+        if self.has_key && self.dispatched.is_none() {
             return Some(RelayEvent::Abandoned);
         }
         self.log_route(attempt, &path);
@@ -103,21 +106,23 @@
         let fleet = shared.fleet.load();
         let engines = fleet.engines_for(&self.matched.model.name);
         let on_path = engines.iter().filter(|u| path.uses(u.vm.name.as_str()));
-        self.opened = Some(Opened::new(on_path.map(|u| u.gauge.clone()).collect()));
+        self.open_counts = Some(OpenCounts::new(on_path.map(|u| u.gauge.clone()).collect()));
         let settings = &self.matched.route.settings;
-        let soon = (self.predicted * STALL_FACTOR) as Millis;
-        let first = settings.first_ms.max(soon);
-        self.pace = StallDetector::new(settings.stall_ms, first, shared.now()).expecting(soon);
-        self.look = None;
-        self.warn = 0;
-        let call = self.call(attempt, &path);
+        let predicted_limit_ms = (self.predicted_ms * STALL_FACTOR) as Millis;
+        let first_ms = settings.first_ms.max(predicted_limit_ms);
+        self.stall_detector = StallDetector::new(settings.stall_ms, first_ms, shared.now())
+            .expecting(predicted_limit_ms);
+        self.probe = None;
+        self.probe_after = 0;
+        let call = self.generate_call(attempt, &path);
         let address = path.head().address.clone();
-        self.live = Some(Live::Opening(self.cx.traffic.engine.generate(&address, call)));
-        self.current = Some(path);
+        self.stream =
+            Some(AttemptStream::Connecting(self.cx.traffic.engine.generate(&address, call)));
+        self.current_path = Some(path);
         None
     }
 
-    pub(super) fn call(&self, attempt: Attempt, path: &Path) -> GenerateCall {
+    pub(super) fn generate_call(&self, attempt: Attempt, path: &Path) -> GenerateCall {
         let hop = |s: &Stage| Hop {
             engine: s.engine.clone(),
             address: s.address.clone(),
@@ -130,24 +135,24 @@
             model: path.model().clone(),
             version: path.version().clone(),
             account: self.account.name.clone(),
-            priority: self.ask.priority,
-            prompt: self.ask.prompt.clone(),
+            priority: self.request.priority,
+            prompt: self.request.prompt.clone(),
             resumed: self.relay.sent().to_vec(),
-            wanted: self.ask.wanted,
-            options: self.ask.options.clone(),
+            wanted: self.request.max_tokens,
+            options: self.request.options.clone(),
             hops: path.stages().iter().map(hop).collect(),
         }
     }
 
-    /// Closes the connection and the counts of an attempt.
+    /// Closes the connection of an attempt and releases its counts.
     pub(super) fn close(&mut self) {
-        self.live = None;
-        self.opened = None;
+        self.stream = None;
+        self.open_counts = None;
     }
 
     pub(super) fn cancel(&mut self, attempt: Attempt) {
         self.close();
-        if let Some(path) = &self.current {
+        if let Some(path) = &self.current_path {
             let request = self.cx.id.clone();
             let engine = &self.cx.traffic.engine;
             tokio::spawn(engine.cancel(&path.head().address, request, attempt));
--- a/crates/heathpitchd/src/filters/run/ending.rs
+++ b/crates/heathpitchd/src/filters/run/ending.rs
@@ -13,9 +13,9 @@
         self.close();
         let tokens = self.relay.sent().len() as u32;
         self.cx.traffic.shared.metrics.attempts.with_label_values(&["done"]).inc();
-        let record = self.output.finish(&self.cx, reason, tokens).await;
+        let answer = self.writer.finish(&self.cx, reason, tokens).await;
         if let Some(dispatched) = self.dispatched.take() {
-            dispatched.finish(record);
+            dispatched.finish(answer);
         }
         self.cx.traffic.shared.metrics.requests.with_label_values(&["done"]).inc();
         self.log_end(Outcome::Done);
@@ -23,20 +23,23 @@
 
     pub(super) async fn give_up(&mut self, outcome: Outcome) {
         self.close();
-        let message = match (outcome, self.why) {
-            (_, RefusalKind::Expired) => "the request's time is over",
-            (Outcome::NotRun, RefusalKind::Overloaded) => "the first token would come too late",
-            (Outcome::NotRun, _) => "no engines can take the request now",
+        let message = match (outcome, self.refusal_kind) {
+            (_, RefusalKind::Expired) => "the request's deadline has passed",
+            (Outcome::NotRun, RefusalKind::Overloaded) => {
+                "the predicted first token is later than the deadline"
+            }
+            (Outcome::NotRun, _) => "no engines can accept the request now",
             (Outcome::Failed, _) => "an engine failed and the answer could not be completed",
             _ => "the connection to an engine was lost; the request may have run",
         };
-        let refusal = Refusal::of(outcome, self.why, message).back(self.back);
+        let refusal =
+            Refusal::new(outcome, self.refusal_kind, message).with_retry_after(self.retry_after);
         match (self.dispatched.take(), self.relay.evidence().not_run()) {
             (Some(dispatched), Some(proof)) => dispatched.not_run(proof),
-            (Some(dispatched), None) => dispatched.finish(refusal.record()),
+            (Some(dispatched), None) => dispatched.finish(refusal.stored_answer()),
             (None, _) => {}
         }
-        self.output.give_up(&self.cx, refusal).await;
+        self.writer.fail(&self.cx, refusal).await;
         self.log_end(outcome);
     }
 
@@ -49,7 +52,7 @@
             route: self.matched.route.name.clone(),
             attempt,
             stages,
-            predicted_ms: self.predicted.round() as u64,
+            predicted_ms: self.predicted_ms.round() as u64,
             reason: self.reason,
         }
         .log();
--- a/crates/heathpitchd/src/filters/run/failure.rs
+++ b/crates/heathpitchd/src/filters/run/failure.rs
@@ -1,98 +1,101 @@
-//! Arrivals, silent engines and broken attempts.
+//! Attempt events, unresponsive engines and failed attempts.
 
 use heathpitch_core::{Millis, Name};
 use heathpitch_policy::{Broken, RelayEvent};
 use tokio::task::JoinHandle;
 
 use super::Run;
-use crate::event::Reason;
-use crate::filters::arrival::Arrival;
+use crate::event::AttemptReason;
+use crate::filters::attempt_event::AttemptEvent;
 use crate::filters::probe;
 use crate::filters::refusal::RefusalKind;
-use crate::shared::ToControl;
+use crate::shared::ControlMessage;
 
 /// # Failures
 impl Run {
-    /// Takes note of what an arrival says of engines and of the stream's pace.
-    pub(super) fn note(&mut self, arrival: Arrival) -> RelayEvent {
-        let Arrival { event, text, unfit } = arrival;
-        self.text = text;
-        if let Some(name) = unfit {
-            self.doubt(&name);
+    /// Records what an event says about engines and token timing.
+    pub(super) fn handle_event(&mut self, event: AttemptEvent) -> RelayEvent {
+        let AttemptEvent { event, text, unavailable } = event;
+        self.token_text = text;
+        if let Some(name) = unavailable {
+            self.mark_suspect(&name);
         }
         match &event {
-            RelayEvent::Token { .. } => self.token(),
-            RelayEvent::Broken { how, engine, .. } => self.broke(*how, engine.as_ref()),
+            RelayEvent::Token { .. } => self.record_token(),
+            RelayEvent::Broken { how, engine, .. } => self.record_failure(*how, engine.as_ref()),
             _ => {}
         }
         event
     }
 
-    pub(super) fn token(&mut self) {
+    pub(super) fn record_token(&mut self) {
         let shared = &self.cx.traffic.shared;
         let now = shared.now();
         match self.relay.sent().len() {
-            0 => shared.metrics.first.observe(seconds(now - self.cx.start)),
-            _ => shared.metrics.gap.observe(seconds(now.saturating_sub(self.pace.last()))),
+            0 => shared.metrics.first_token.observe(seconds(now - self.cx.start)),
+            _ => shared
+                .metrics
+                .token_gap
+                .observe(seconds(now.saturating_sub(self.stall_detector.last()))),
         }
-        self.pace.token(now);
-        self.look = None;
-        self.warn = 0;
+        self.stall_detector.token(now);
+        self.probe = None;
+        self.probe_after = 0;
     }
 
-    pub(super) fn broke(&mut self, how: Broken, engine: Option<&Name>) {
-        self.reason = reason(how);
-        self.why = match how {
+    pub(super) fn record_failure(&mut self, failure: Broken, engine: Option<&Name>) {
+        self.reason = attempt_reason(failure);
+        self.refusal_kind = match failure {
             Broken::Unsent => RefusalKind::NoPath,
             Broken::Refused => RefusalKind::Refused,
             Broken::Faulted | Broken::Lost => RefusalKind::Broken,
         };
         let attempts = &self.cx.traffic.shared.metrics.attempts;
-        attempts.with_label_values(&[self.why.as_str()]).inc();
-        let head = self.current.as_ref().map(|p| &p.head().engine);
-        if let Some(name) = engine.or(head).filter(|_| how != Broken::Refused) {
-            self.doubt(name);
+        attempts.with_label_values(&[self.refusal_kind.as_str()]).inc();
+        let head = self.current_path.as_ref().map(|p| &p.head().engine);
+        if let Some(name) = engine.or(head).filter(|_| failure != Broken::Refused) {
+            self.mark_suspect(name);
         }
         self.close();
     }
 
-    /// Keeps new work of this node away from an engine, and has it looked at.
-    pub(super) fn doubt(&self, name: &Name) {
+    /// Steers new requests of this node away from an engine and has it polled at once.
+    pub(super) fn mark_suspect(&self, name: &Name) {
         let shared = &self.cx.traffic.shared;
         let fleet = shared.fleet.load();
         let engines = fleet.engines_for(&self.matched.model.name);
         if let Some(u) = engines.iter().find(|u| u.vm.name == *name) {
             u.gauge.record_failure(shared.now());
         }
-        shared.tell(ToControl::Failed(name.clone()));
+        shared.notify_control(ControlMessage::Failed(name.clone()));
     }
 
-    /// Looks at every engine that a path could be made of, so that the next path avoids them all.
-    pub(super) fn start_look(&self) -> JoinHandle<Vec<Name>> {
+    /// Probes every engine that a path may use, so that the next path avoids all that fail.
+    pub(super) fn start_probe(&self) -> JoinHandle<Vec<Name>> {
         let fleet = self.cx.traffic.shared.fleet.load();
         let engines = fleet.engines_for(&self.matched.model.name).iter();
         let admitted =
             engines.filter(|u| self.matched.index.admits(&self.matched.route, u.labels()));
-        let targets = probe::candidates(admitted);
-        tokio::spawn(probe::silent(self.cx.traffic.clone(), targets))
+        let targets = probe::engine_targets(admitted);
+        tokio::spawn(probe::find_suspects(self.cx.traffic.clone(), targets))
     }
 
-    /// Leaves the path at once if one of its engines does not answer; else waits on.
-    pub(super) fn found(&mut self, silent: Vec<Name>) -> Option<RelayEvent> {
-        self.look = None;
+    /// Abandons the path if one of its engines did not answer; otherwise keeps waiting.
+    pub(super) fn handle_probe(&mut self, suspects: Vec<Name>) -> Option<RelayEvent> {
+        self.probe = None;
         let now = self.cx.traffic.shared.now();
-        self.warn = now + self.matched.route.settings.stall_ms;
-        silent.iter().for_each(|name| self.doubt(name));
-        let on_path = |n: &Name| self.current.as_ref().is_some_and(|p| p.uses(n.as_str()));
-        let silent: Vec<Name> = silent.into_iter().filter(on_path).collect();
-        (!silent.is_empty()).then(|| self.stalled(silent))
+        self.probe_after = now + self.matched.route.settings.stall_ms;
+        suspects.iter().for_each(|name| self.mark_suspect(name));
+        let on_path = |n: &Name| self.current_path.as_ref().is_some_and(|p| p.uses(n.as_str()));
+        let suspects: Vec<Name> = suspects.into_iter().filter(on_path).collect();
+        (!suspects.is_empty()).then(|| self.stall(suspects))
     }
 
-    pub(super) fn stalled(&mut self, silent: Vec<Name>) -> RelayEvent {
-        self.reason = Reason::Stalled;
-        self.why = RefusalKind::Broken;
+    pub(super) fn stall(&mut self, suspects: Vec<Name>) -> RelayEvent {
+        self.reason = AttemptReason::Stalled;
+        self.refusal_kind = RefusalKind::Broken;
         self.cx.traffic.shared.metrics.attempts.with_label_values(&["stalled"]).inc();
-        RelayEvent::Stalled(silent)
+        RelayEvent::Stalled(suspects)
     }
 }
 
@@ -100,11 +103,11 @@
     ms as f64 / 1_000.0
 }
 
-fn reason(how: Broken) -> Reason {
-    match how {
-        Broken::Unsent => Reason::Unsent,
-        Broken::Refused => Reason::Refused,
-        Broken::Faulted => Reason::Faulted,
-        Broken::Lost => Reason::Lost,
+fn attempt_reason(failure: Broken) -> AttemptReason {
+    match failure {
+        Broken::Unsent => AttemptReason::Unsent,
+        Broken::Refused => AttemptReason::Refused,
+        Broken::Faulted => AttemptReason::Faulted,
+        Broken::Lost => AttemptReason::Lost,
     }
 }
--- a/crates/heathpitchd/src/filters/run/mod.rs
+++ b/crates/heathpitchd/src/filters/run/mod.rs
@@ -1,6 +1,6 @@
 //! Filter: runs a model request over paths of engines until its final answer.
 //!
-//! The decisions are those of [`Relay`]; this module carries them out.
+//! [`Relay`] makes the decisions; this module performs its actions.
 
 mod attempt;
 mod ending;
@@ -20,70 +20,70 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-use super::arrival::Arrival;
-use super::guard::{Opened, Permit};
-use super::keyed::Dispatched;
-use super::output::Output;
+use super::attempt_event::AttemptEvent;
+use super::guard::{OpenCounts, Permit};
+use super::idempotency::Reservation;
+use super::keyed_request::DispatchedKey;
 use super::render::Renderer;
-use super::repeat::Granted;
-use super::route::Matched;
-use super::{Ask, Context, Refusal, RefusalKind};
-use crate::event::Reason;
+use super::response_writer::ResponseWriter;
+use super::route::RouteMatch;
+use super::{Context, ModelRequest, Refusal, RefusalKind};
+use crate::event::AttemptReason;
 
-/// Time told to a caller whose request found no path, milliseconds.
-const BACK: Millis = 1_000;
+/// Retry delay for a caller whose request found no path.
+const RETRY_AFTER_MS: Millis = 1_000;
 
-/// A request that has passed every other filter.
+/// A request that has passed all other filters.
 pub(crate) struct Job {
     pub(crate) account: Arc<Account>,
-    pub(crate) route: Matched,
-    pub(crate) ask: Ask,
+    pub(crate) route: RouteMatch,
+    pub(crate) request: ModelRequest,
     pub(crate) permit: Permit,
-    pub(crate) granted: Granted,
+    pub(crate) reservation: Reservation,
 }
 
-/// Runs the request; the answer goes on after the head of the response was given.
+/// Runs the request; a stream continues after the response head is returned.
 pub(crate) async fn run(
     cx: &Context,
-    head: &super::parse::Head,
+    raw: &super::parse::RawRequest,
     job: Job,
 ) -> Result<Response<Body>, Refusal> {
     let (reply, response) = oneshot::channel();
-    let run = Run::new(cx.clone(), head, job, reply);
+    let run = Run::new(cx.clone(), raw, job, reply);
     tokio::spawn(run.drive());
-    let lost = Refusal::of(Outcome::Unknown, RefusalKind::Broken, "the request was dropped");
+    let lost = Refusal::new(Outcome::Unknown, RefusalKind::Broken, "the request was dropped");
     response.await.unwrap_or(Err(lost))
 }
 
-/// What an attempt waits for.
-enum Live {
-    Opening(BoxFuture<'static, Result<FrameStream, SendError>>),
+/// Connection state of an attempt.
+enum AttemptStream {
+    Connecting(BoxFuture<'static, Result<FrameStream, SendError>>),
     Open(FrameStream),
 }
 
 struct Run {
     cx: Context,
     account: Arc<Account>,
-    matched: Matched,
-    ask: Ask,
+    matched: RouteMatch,
+    request: ModelRequest,
     relay: Relay,
-    output: Output,
-    granted: Option<Granted>,
-    dispatched: Option<Dispatched>,
-    keyed: bool,
-    live: Option<Live>,
-    current: Option<Path>,
-    opened: Option<Opened>,
-    pace: StallDetector,
-    look: Option<JoinHandle<Vec<Name>>>,
-    warn: Millis,
-    text: String,
-    prompt: u32,
-    chain: Vec<u64>,
-    reason: Reason,
-    why: RefusalKind,
-    back: Millis,
-    predicted: f64,
+    writer: ResponseWriter,
+    reservation: Option<Reservation>,
+    dispatched: Option<DispatchedKey>,
+    has_key: bool,
+    stream: Option<AttemptStream>,
+    current_path: Option<Path>,
+    open_counts: Option<OpenCounts>,
+    stall_detector: StallDetector,
+    probe: Option<JoinHandle<Vec<Name>>>,
+    probe_after: Millis,
+    token_text: String,
+    prompt_len: u32,
+    prefix_blocks: Vec<u64>,
+    reason: AttemptReason,
+    refusal_kind: RefusalKind,
+    retry_after: Millis,
+    predicted_ms: f64,
     _permit: Permit,
 }
 
@@ -91,45 +91,45 @@
 impl Run {
     fn new(
         cx: Context,
-        head: &super::parse::Head,
+        raw: &super::parse::RawRequest,
         job: Job,
-        reply: oneshot::Sender<super::output::Head>,
+        reply: oneshot::Sender<super::response_writer::ResponseResult>,
     ) -> Self {
-        let keyed = matches!(job.granted, Granted::Keyed(_));
+        let has_key = matches!(job.reservation, Reservation::Keyed(_));
         let plan = RelayPlan {
-            wanted: job.ask.wanted,
+            wanted: job.request.max_tokens,
             layers: job.route.model.layers,
             attempts: job.route.route.settings.attempts,
-            repeat: head.key.repeat(),
+            repeat: raw.idempotency.repeat(),
         };
-        let tokens = prompt_tokens(&job.ask.prompt);
-        let prompt = tokens.len() as u32;
-        let renderer = Renderer::new(&cx.id, &job.ask, prompt);
-        let output = Output::new(renderer, reply, job.ask.stream, keyed);
+        let tokens = prompt_tokens(&job.request.prompt);
+        let prompt_len = tokens.len() as u32;
+        let renderer = Renderer::new(&cx.id, &job.request, prompt_len);
+        let writer = ResponseWriter::new(renderer, reply, job.request.stream, has_key);
         cx.traffic.limits.lock().budget.earn();
-        let chain = blocks(&job.account.name, &job.route.model.name, &tokens);
+        let prefix_blocks = blocks(&job.account.name, &job.route.model.name, &tokens);
         Self {
             account: job.account,
             matched: job.route,
-            ask: job.ask,
+            request: job.request,
             relay: Relay::new(plan),
-            output,
-            granted: Some(job.granted),
+            writer,
+            reservation: Some(job.reservation),
             dispatched: None,
-            keyed,
-            live: None,
-            current: None,
-            opened: None,
-            pace: StallDetector::new(0, 0, cx.start),
-            look: None,
-            warn: 0,
-            text: String::new(),
-            prompt,
-            chain,
-            reason: Reason::First,
-            why: RefusalKind::NoPath,
-            back: BACK,
-            predicted: 0.0,
+            has_key,
+            stream: None,
+            current_path: None,
+            open_counts: None,
+            stall_detector: StallDetector::new(0, 0, cx.start),
+            probe: None,
+            probe_after: 0,
+            token_text: String::new(),
+            prompt_len,
+            prefix_blocks,
+            reason: AttemptReason::First,
+            refusal_kind: RefusalKind::NoPath,
+            retry_after: RETRY_AFTER_MS,
+            predicted_ms: 0.0,
             _permit: job.permit,
             cx,
         }
@@ -143,27 +143,27 @@
                     RelayAction::Finish(reason) => return self.finish(reason).await,
                     RelayAction::GiveUp(outcome) => return self.give_up(outcome).await,
                     action => {
-                        if let Some(event) = self.act(action).await {
+                        if let Some(event) = self.perform(action).await {
                             actions.extend(self.relay.on(event));
                         }
                     }
                 }
             }
-            let event = self.next().await;
+            let event = self.next_event().await;
             actions.extend(self.relay.on(event));
         }
     }
 
-    /// Carries out an action that does not end the request.
-    async fn act(&mut self, action: RelayAction) -> Option<RelayEvent> {
+    /// Performs an action that does not end the request.
+    async fn perform(&mut self, action: RelayAction) -> Option<RelayEvent> {
         match action {
-            RelayAction::Choose => Some(self.choose().await),
+            RelayAction::Choose => Some(self.choose_path().await),
             RelayAction::Dispatch { attempt, path } => self.dispatch(attempt, path),
             RelayAction::Emit(_) => {
                 self.cx.traffic.shared.metrics.tokens.inc();
-                let text = std::mem::take(&mut self.text);
-                let taken = self.output.token(&self.cx, &text).await;
-                (!taken && !self.keyed).then_some(RelayEvent::Abandoned)
+                let text = std::mem::take(&mut self.token_text);
+                let delivered = self.writer.write_token(&self.cx, &text).await;
+                (!delivered && !self.has_key).then_some(RelayEvent::Abandoned)
             }
             RelayAction::Cancel(attempt) => {
                 self.cancel(attempt);
@@ -173,25 +173,28 @@
         }
     }
 
-    /// Waits for whatever happens next.
-    async fn next(&mut self) -> RelayEvent {
+    /// Waits for the next event.
+    async fn next_event(&mut self) -> RelayEvent {
         loop {
             let clock = self.cx.traffic.shared.clock;
-            let stall = self.pace.stalls_at();
-            let timer =
-                if self.look.is_some() { stall } else { self.warn.max(self.pace.warns_at()) };
+            let stall = self.stall_detector.stalls_at();
+            let timer = if self.probe.is_some() {
+                stall
+            } else {
+                self.probe_after.max(self.stall_detector.warns_at())
+            };
             let due = timer.min(stall).min(self.matched.deadline);
             tokio::select! {
                 biased;
-                arrival = Self::receive(&mut self.live, &self.cx.id, self.relay.attempt()) => {
-                    match arrival {
-                        Some(arrival) => return self.note(arrival),
+                event = Self::receive(&mut self.stream, &self.cx.id, self.relay.attempt()) => {
+                    match event {
+                        Some(event) => return self.handle_event(event),
                         None => continue,
                     }
                 }
-                () = self.output.gone(), if !self.keyed => return RelayEvent::Abandoned,
-                silent = Self::looked(&mut self.look) => {
-                    if let Some(event) = self.found(silent) {
+                () = self.writer.caller_gone(), if !self.has_key => return RelayEvent::Abandoned,
+                suspects = Self::probe_result(&mut self.probe) => {
+                    if let Some(event) = self.handle_probe(suspects) {
                         return event;
                     }
                 }
@@ -200,33 +203,39 @@
             let now = self.cx.traffic.shared.now();
             match now {
                 _ if now >= self.matched.deadline => {
-                    self.why = RefusalKind::Expired;
+                    self.refusal_kind = RefusalKind::Expired;
                     return RelayEvent::Expired;
                 }
-                _ if now >= stall => return self.stalled(Vec::new()),
-                _ if now >= timer && self.look.is_none() => self.look = Some(self.start_look()),
+                _ if now >= stall => return self.stall(Vec::new()),
+                _ if now >= timer && self.probe.is_none() => self.probe = Some(self.start_probe()),
                 _ => {}
             }
         }
     }
 
-    async fn looked(look: &mut Option<JoinHandle<Vec<Name>>>) -> Vec<Name> {
-        match look {
+    async fn probe_result(probe: &mut Option<JoinHandle<Vec<Name>>>) -> Vec<Name> {
+        match probe {
             Some(handle) => handle.await.unwrap_or_default(),
             None => std::future::pending().await,
         }
     }
 
-    async fn receive(live: &mut Option<Live>, id: &str, attempt: Attempt) -> Option<Arrival> {
-        match live {
-            Some(Live::Opening(opening)) => match opening.await {
-                Ok(stream) => {
-                    *live = Some(Live::Open(stream));
+    async fn receive(
+        stream: &mut Option<AttemptStream>,
+        id: &str,
+        attempt: Attempt,
+    ) -> Option<AttemptEvent> {
+        match stream {
+            Some(AttemptStream::Connecting(opening)) => match opening.await {
+                Ok(frames) => {
+                    *stream = Some(AttemptStream::Open(frames));
                     None
                 }
-                Err(e) => Some(Arrival::failed(attempt, e)),
+                Err(e) => Some(AttemptEvent::from_error(attempt, e)),
             },
-            Some(Live::Open(stream)) => Some(Arrival::framed(stream.next().await, id, attempt)),
+            Some(AttemptStream::Open(frames)) => {
+                Some(AttemptEvent::from_frame(frames.next().await, id, attempt))
+            }
             None => std::future::pending().await,
         }
     }
--- a/crates/heathpitchd/src/filters/service.rs
+++ b/crates/heathpitchd/src/filters/service.rs
@@ -1,15 +1,15 @@
-//! Chain for plain services: parse → account → route → limit → repeat → run.
+//! Filter chain for plain services: parse → account → route → limit → idempotency → run.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 
 use heathpitch_net::Body;
 
-use super::parse::{deadline, head, priority};
-use super::service_run::{Call, run};
-use super::{Context, Refusal, RefusalKind, account, keyed, limit, repeat, route};
+use super::parse::{deadline, priority, read_raw};
+use super::service_run::{ServiceCall, run};
+use super::{Context, Refusal, RefusalKind, account, idempotency, keyed_request, limit, route};
 
-/// First part of the path of every service.
+/// Path prefix of all services.
 const PREFIX: &str = "/services/";
 
 /// Runs a request for a service, `/services/{route}/…`.
@@ -17,32 +17,45 @@
     cx: &mut Context,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
-    let mut head = head(cx, request).await?;
-    let account = account::find(cx, &head.headers)?;
-    let path = head.path.clone();
+    let mut raw = read_raw(cx, request).await?;
+    let account = account::find(cx, &raw.headers)?;
+    let path = raw.path.clone();
     let rest = path.strip_prefix(PREFIX).unwrap_or_default();
     let (name, path) = rest.find(['/', '?']).map_or((rest, "/"), |at| rest.split_at(at));
     let index = cx.traffic.shared.index.load_full();
-    let at = priority(&head.headers)?;
-    let found = index.service(name).filter(|r| r.select.matches(&account, &r.name, at));
-    let Some(found) = found.cloned() else {
+    let level = priority(&raw.headers)?;
+    let matched = index.service(name).filter(|r| r.select.matches(&account, &r.name, level));
+    let Some(matched) = matched.cloned() else {
         let message = "no such service route for this account and priority";
         return Err(Refusal::not_run(RefusalKind::NoRoute, message));
     };
-    let deadline = route::deadline(cx, &found, deadline(&head.headers)?);
-    let room = found.settings.max_open;
-    let permit = limit::enter(cx, &account, found.name.clone(), at, room)?;
-    // Only reads may be repeated unless the caller says otherwise.
-    let allowed = head.headers.get("x-heathpitch-repeat").is_some_and(|v| v == "allowed");
-    head.key.never |= !matches!(head.method, Method::GET | Method::HEAD) && !allowed;
-    let method = head.method.as_str().as_bytes().to_vec();
-    let parts: [&[u8]; 3] = [&method, head.path.as_bytes(), &head.content];
-    let shape = keyed::Shape::Whole;
-    let granted = match repeat::settle_parts(cx, &account, &head, &parts, shape).await? {
-        repeat::Settled::Run(granted) => granted,
-        repeat::Settled::Answer(response) => return Ok(response),
+    let deadline = route::deadline(cx, &matched, deadline(&raw.headers)?);
+    let capacity = matched.settings.max_open;
+    let permit = limit::acquire(cx, &account, matched.name.clone(), level, capacity)?;
+    // Only safe methods may be retried unless the caller allows it.
+    let allowed = raw.headers.get("x-heathpitch-repeat").is_some_and(|v| v == "allowed");
+    raw.idempotency.never_retry |= !matches!(raw.method, Method::GET | Method::HEAD) && !allowed;
+    let method = raw.method.as_str().as_bytes().to_vec();
+    let parts: [&[u8]; 3] = [&method, raw.path.as_bytes(), &raw.body];
+    let format = keyed_request::ReplayFormat::Verbatim;
+    let reservation = match idempotency::check_key_parts(cx, &account, &raw, &parts, format).await?
+    {
+        idempotency::KeyCheck::Run(reservation) => reservation,
+        idempotency::KeyCheck::Answer(response) => return Ok(response),
     };
     let path = path.to_owned();
-    run(cx, Call { account, index, route: found, head, path, deadline, _permit: permit, granted })
-        .await
+    run(
+        cx,
+        ServiceCall {
+            account,
+            index,
+            route: matched,
+            raw,
+            path,
+            deadline,
+            _permit: permit,
+            reservation,
+        },
+    )
+    .await
 }
--- a/crates/heathpitchd/src/filters/service_run.rs
+++ b/crates/heathpitchd/src/filters/service_run.rs
@@ -1,63 +1,63 @@
-//! Filter: runs a request on a plain service until its final answer.
+//! Filter: runs a request on a plain service, with retries, until its final answer.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::Bytes;
 use heathpitch_core::{Account, Attempt, Evidence, Index, Millis, Name, Outcome, Route};
-use heathpitch_net::{Body, Refusal as Said, RpcError, full, read};
+use heathpitch_net::{Body, Refusal as EngineRefusal, RpcError, full, read};
 use heathpitch_policy::{Broken, Repeat, ServiceView, StoredAnswer};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, HOST, HeaderMap, TRANSFER_ENCODING};
 use hyper::{Request, Response, StatusCode};
 use rand::Rng;
 use tokio::sync::oneshot;
 
-use super::guard::{Opened, Permit};
-use super::parse::Head;
-use super::repeat::Granted;
+use super::guard::{OpenCounts, Permit};
+use super::idempotency::Reservation;
+use super::parse::RawRequest;
 use super::{Context, Refusal, RefusalKind};
-use crate::event::{Event, Reason};
-use crate::shared::ToControl;
+use crate::event::{AttemptReason, Event};
+use crate::shared::ControlMessage;
 
-/// Largest answer of a service, bytes.
-const MAX_ANSWER: usize = 8 << 20;
-/// Time told to a caller whose request found no service, milliseconds.
-const BACK: Millis = 1_000;
+/// Largest answer accepted from a service.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Retry delay for a caller whose request found no service.
+const RETRY_AFTER_MS: Millis = 1_000;
 
-/// A request that has passed every other filter.
-pub(crate) struct Call {
+/// A request that has passed all other filters.
+pub(crate) struct ServiceCall {
     pub(crate) account: Arc<Account>,
     pub(crate) index: Arc<Index>,
     pub(crate) route: Arc<Route>,
-    pub(crate) head: Head,
+    pub(crate) raw: RawRequest,
     pub(crate) path: String,
     pub(crate) deadline: Millis,
     pub(crate) _permit: Permit,
-    pub(crate) granted: Granted,
+    pub(crate) reservation: Reservation,
 }
 
-/// A whole answer of a service.
-struct Whole {
+/// A complete answer of a service.
+struct ServiceAnswer {
     status: StatusCode,
     headers: HeaderMap,
-    content: Bytes,
+    body: Bytes,
 }
 
-/// Runs the request; one with a key goes on although its caller has gone.
-pub(crate) async fn run(cx: &Context, call: Call) -> Result<Response<Body>, Refusal> {
+/// Runs the request; a request with a key continues after its caller has disconnected.
+pub(crate) async fn run(cx: &Context, call: ServiceCall) -> Result<Response<Body>, Refusal> {
     let (reply, response) = oneshot::channel();
     let cx = cx.clone();
-    let keyed = matches!(call.granted, Granted::Keyed(_));
+    let has_key = matches!(call.reservation, Reservation::Keyed(_));
     let work = async move {
-        let done = drive(&cx, call).await;
-        // A caller that has gone gets its answer when it asks again with its key.
-        let _ = reply.send(done);
+        let result = drive(&cx, call).await;
+        // A disconnected caller can fetch the answer by repeating the request with its key.
+        let _ = reply.send(result);
     };
-    let task = AbortOnDrop(tokio::spawn(work), !keyed);
-    let lost = Refusal::of(Outcome::Unknown, RefusalKind::Broken, "the request was dropped");
-    let done = response.await.unwrap_or(Err(lost));
+    let task = AbortOnDrop(tokio::spawn(work), !has_key);
+    let lost = Refusal::new(Outcome::Unknown, RefusalKind::Broken, "the request was dropped");
+    let result = response.await.unwrap_or(Err(lost));
     drop(task);
-    done
+    result
 }
 
 struct AbortOnDrop(tokio::task::JoinHandle<()>, bool);
@@ -70,49 +70,53 @@
     }
 }
 
-async fn drive(cx: &Context, mut call: Call) -> Result<Response<Body>, Refusal> {
-    let granted = std::mem::replace(&mut call.granted, Granted::Free);
-    let dispatched = match granted {
-        Granted::Keyed(hold) => match hold.dispatch() {
+async fn drive(cx: &Context, mut call: ServiceCall) -> Result<Response<Body>, Refusal> {
+    let reservation = std::mem::replace(&mut call.reservation, Reservation::NoKey);
+    let dispatched = match reservation {
+        Reservation::Keyed(key) => match key.dispatch() {
             Some(dispatched) => Some(dispatched),
             None => {
-                let message = "the key's request was dispatched before";
-                return Err(Refusal::of(Outcome::Unknown, RefusalKind::KeySpent, message));
+                let message = "the request with this key was already dispatched";
+                return Err(Refusal::new(Outcome::Unknown, RefusalKind::KeySpent, message));
             }
         },
-        Granted::Free => None,
+        Reservation::NoKey => None,
     };
-    let mut seen = Evidence::new();
+    let mut evidence = Evidence::new();
     let limit = Duration::from_millis(call.deadline.saturating_sub(cx.traffic.shared.now()));
-    let work = tokio::time::timeout(limit, attempts(cx, &call, &mut seen)).await;
+    let work = tokio::time::timeout(limit, try_services(cx, &call, &mut evidence)).await;
     let (kind, result) = match work {
-        Ok(Ok(whole)) => (RefusalKind::Broken, Some(whole)),
+        Ok(Ok(answer)) => (RefusalKind::Broken, Some(answer)),
         Ok(Err(kind)) => (kind, None),
         Err(_) => (RefusalKind::Expired, None),
     };
-    match (result, dispatched, seen.not_run()) {
-        (Some(whole), dispatched, _) => {
+    match (result, dispatched, evidence.not_run()) {
+        (Some(answer), dispatched, _) => {
             if let Some(dispatched) = dispatched {
-                dispatched.finish(record(&whole));
+                dispatched.finish(record(&answer));
             }
-            Ok(respond(cx, whole))
+            Ok(respond(cx, answer))
         }
         (None, Some(dispatched), Some(proof)) => {
             dispatched.not_run(proof);
-            Err(given_up(kind, &seen))
+            Err(final_refusal(kind, &evidence))
         }
         (None, Some(dispatched), None) => {
-            let refusal = given_up(kind, &seen);
-            dispatched.finish(refusal.record());
+            let refusal = final_refusal(kind, &evidence);
+            dispatched.finish(refusal.stored_answer());
             Err(refusal)
         }
-        (None, None, _) => Err(given_up(kind, &seen)),
+        (None, None, _) => Err(final_refusal(kind, &evidence)),
     }
 }
 
-async fn attempts(cx: &Context, call: &Call, seen: &mut Evidence) -> Result<Whole, RefusalKind> {
+async fn try_services(
+    cx: &Context,
+    call: &ServiceCall,
+    evidence: &mut Evidence,
+) -> Result<ServiceAnswer, RefusalKind> {
     let mut avoid = Vec::new();
-    let mut reason = Reason::First;
+    let mut reason = AttemptReason::First;
     let mut kind = RefusalKind::NoPath;
     cx.traffic.limits.lock().budget.earn();
     for attempt in 1..=call.route.settings.attempts {
@@ -121,43 +125,43 @@
         }
         let Some(service) = pick(cx, call, &avoid) else { return Err(kind) };
         log_route(cx, call, Attempt(attempt), &service.vm.name, reason);
-        let _opened = Opened::new(vec![service.gauge.clone()]);
-        seen.sent();
-        let how = match once(cx, call, &service.vm.address).await {
-            Ok(whole) => {
-                seen.started();
-                return Ok(whole);
+        let _open_counts = OpenCounts::new(vec![service.gauge.clone()]);
+        evidence.sent();
+        let failure = match send_once(cx, call, &service.vm.address).await {
+            Ok(answer) => {
+                evidence.started();
+                return Ok(answer);
             }
-            Err(how) => how,
+            Err(failure) => failure,
         };
-        (reason, kind) = match how {
+        (reason, kind) = match failure {
             Broken::Unsent => {
-                seen.unsent();
-                (Reason::Unsent, RefusalKind::NoPath)
+                evidence.unsent();
+                (AttemptReason::Unsent, RefusalKind::NoPath)
             }
             Broken::Refused => {
-                seen.refused();
-                (Reason::Refused, RefusalKind::Refused)
+                evidence.refused();
+                (AttemptReason::Refused, RefusalKind::Refused)
             }
             Broken::Faulted | Broken::Lost => {
-                seen.lost();
-                (Reason::Lost, RefusalKind::Broken)
+                evidence.lost();
+                (AttemptReason::Lost, RefusalKind::Broken)
             }
         };
-        if how != Broken::Refused {
+        if failure != Broken::Refused {
             service.gauge.record_failure(cx.traffic.shared.now());
-            cx.traffic.shared.tell(ToControl::Failed(service.vm.name.clone()));
+            cx.traffic.shared.notify_control(ControlMessage::Failed(service.vm.name.clone()));
         }
         avoid.push(service.vm.name.clone());
-        if call.head.key.repeat() == Repeat::Never && seen.not_run().is_none() {
+        if call.raw.idempotency.repeat() == Repeat::Never && evidence.not_run().is_none() {
             return Err(kind);
         }
     }
     Err(kind)
 }
 
-/// The less loaded of two services picked at random.
-fn pick(cx: &Context, call: &Call, avoid: &[Name]) -> Option<ServiceView> {
+/// Picks the less loaded of two random services.
+fn pick(cx: &Context, call: &ServiceCall, avoid: &[Name]) -> Option<ServiceView> {
     let fleet = cx.traffic.shared.fleet.load();
     let now = cx.traffic.shared.now();
     let usable: Vec<&ServiceView> = fleet
@@ -167,19 +171,23 @@
         .filter(|s| !avoid.contains(&s.vm.name) && !s.gauge.is_suspect(now))
         .collect();
     let mut rng = rand::rng();
-    let any = usable.get(rng.random_range(0..usable.len().max(1)))?;
-    let other = usable.get(rng.random_range(0..usable.len()))?;
+    let first = usable.get(rng.random_range(0..usable.len().max(1)))?;
+    let second = usable.get(rng.random_range(0..usable.len()))?;
     let load = |s: &ServiceView| s.load + s.gauge.count();
-    let chosen = if load(other) < load(any) { other } else { any };
+    let chosen = if load(second) < load(first) { second } else { first };
     Some((*chosen).clone())
 }
 
-async fn once(cx: &Context, call: &Call, address: &Name) -> Result<Whole, Broken> {
-    let mut request = Request::new(full(call.head.content.clone()));
-    *request.method_mut() = call.head.method.clone();
+async fn send_once(
+    cx: &Context,
+    call: &ServiceCall,
+    address: &Name,
+) -> Result<ServiceAnswer, Broken> {
+    let mut request = Request::new(full(call.raw.body.clone()));
+    *request.method_mut() = call.raw.method.clone();
     *request.uri_mut() =
         format!("http://{address}{}", call.path).parse().map_err(|_| Broken::Unsent)?;
-    *request.headers_mut() = call.head.headers.clone();
+    *request.headers_mut() = call.raw.headers.clone();
     for hop in [CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING] {
         request.headers_mut().remove(hop);
     }
@@ -189,47 +197,53 @@
     })?;
     let status = response.status();
     let headers = response.headers().clone();
-    let content = read(response.into_body(), MAX_ANSWER).await.map_err(|_| Broken::Lost)?;
-    let refused = serde_json::from_slice::<Said>(&content).is_ok_and(|said| !said.started);
+    let body = read(response.into_body(), MAX_ANSWER_BYTES).await.map_err(|_| Broken::Lost)?;
+    let refused = serde_json::from_slice::<EngineRefusal>(&body).is_ok_and(|body| !body.started);
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS if refused => {
             Err(Broken::Refused)
         }
-        status => Ok(Whole { status, headers, content }),
+        status => Ok(ServiceAnswer { status, headers, body }),
     }
 }
 
-fn respond(cx: &Context, whole: Whole) -> Response<Body> {
-    let mut response = Response::new(full(whole.content));
-    *response.status_mut() = whole.status;
-    *response.headers_mut() = whole.headers;
+fn respond(cx: &Context, answer: ServiceAnswer) -> Response<Body> {
+    let mut response = Response::new(full(answer.body));
+    *response.status_mut() = answer.status;
+    *response.headers_mut() = answer.headers;
     for hop in [CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING] {
         response.headers_mut().remove(hop);
     }
-    cx.mark(&mut response, Outcome::Done);
+    cx.set_headers(&mut response, Outcome::Done);
     cx.traffic.shared.metrics.requests.with_label_values(&["done"]).inc();
     response
 }
 
-fn record(whole: &Whole) -> StoredAnswer {
-    let media = whole.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
+fn record(answer: &ServiceAnswer) -> StoredAnswer {
+    let media = answer.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
     StoredAnswer {
-        status: whole.status.as_u16(),
+        status: answer.status.as_u16(),
         media: media.unwrap_or("application/octet-stream").to_owned(),
-        body: whole.content.to_vec().into(),
+        body: answer.body.to_vec().into(),
         outcome: Outcome::Done,
     }
 }
 
-fn given_up(kind: RefusalKind, seen: &Evidence) -> Refusal {
-    let message = match seen.outcome() {
-        Outcome::NotRun => "no service can take the request now",
+fn final_refusal(kind: RefusalKind, evidence: &Evidence) -> Refusal {
+    let message = match evidence.outcome() {
+        Outcome::NotRun => "no service can accept the request now",
         _ => "the connection to a service was lost; the request may have run",
     };
-    Refusal::of(seen.outcome(), kind, message).back(BACK)
+    Refusal::new(evidence.outcome(), kind, message).with_retry_after(RETRY_AFTER_MS)
 }
 
-fn log_route(cx: &Context, call: &Call, attempt: Attempt, service: &Name, reason: Reason) {
+fn log_route(
+    cx: &Context,
+    call: &ServiceCall,
+    attempt: Attempt,
+    service: &Name,
+    reason: AttemptReason,
+) {
     Event::RoutedService {
         request: cx.id.clone(),
         account: call.account.name.clone(),
--- a/crates/heathpitchd/src/lib.rs
+++ b/crates/heathpitchd/src/lib.rs
@@ -1,7 +1,7 @@
 //! The heathpitch node.
 //!
 //! One control thread owns configuration, membership, health and claims and publishes immutable
-//! snapshots; traffic threads read them and run each request through a chain of filters.
+//! snapshots. Traffic threads read the snapshots and run each request through a filter chain.
 
 mod admin;
 mod clock;
--- a/crates/heathpitchd/src/logs.rs
+++ b/crates/heathpitchd/src/logs.rs
@@ -1,8 +1,8 @@
-//! The log: JSON lines on standard output.
+//! Logging as JSON lines on standard output.
 //!
-//! Lines are gathered in memory and written by a thread of their own, a few times a second, so
-//! that neither traffic nor control ever waits for the reader of the log. What is gathered is
-//! bounded: lines of what went well are left out first, and how many were left out is written.
+//! Lines are buffered in memory and written by a dedicated thread a few times a second, so that
+//! neither traffic nor control threads wait for the reader of the log. The buffer is bounded: lines
+//! below warning level are dropped first, and the number of dropped lines is logged.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -14,35 +14,35 @@
 
 use crate::clock::wall;
 
-/// Time between two writes.
-const PERIOD: Duration = Duration::from_millis(250);
-/// Bytes gathered at most between two writes.
-const ROOM: usize = 512 << 10;
-/// Bytes beyond which only warnings and errors are gathered.
-const ROOM_INFO: usize = ROOM / 2;
+/// Interval between two writes.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
+/// Capacity of the buffer.
+const BUFFER_BYTES: usize = 512 << 10;
+/// Fill level beyond which only warnings and errors are buffered.
+const INFO_BUFFER_BYTES: usize = BUFFER_BYTES / 2;
 
-/// The log cannot be set up.
+/// Logging cannot be initialized.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// It was set up before.
-    #[error("the log was set up already")]
-    Twice,
-    /// The thread that writes it cannot be started.
-    #[error("the log's thread cannot be started: {0}")]
+    /// Logging was already initialized.
+    #[error("logging is already initialized")]
+    AlreadyInitialized,
+    /// The writer thread cannot be started.
+    #[error("cannot start the log writer thread: {0}")]
     Thread(#[from] io::Error),
 }
 
-/// Lines gathered and not written yet.
+/// Lines not written yet.
 #[derive(Debug, Default)]
-struct Gathered {
+struct LogBuffer {
     text: Vec<u8>,
     dropped: u64,
 }
 
-impl Gathered {
-    fn take(&mut self, level: Level, line: &str) {
-        let room = if level <= Level::Warn { ROOM } else { ROOM_INFO };
-        if self.text.len() + line.len() >= room {
+impl LogBuffer {
+    fn push(&mut self, level: Level, line: &str) {
+        let capacity = if level <= Level::Warn { BUFFER_BYTES } else { INFO_BUFFER_BYTES };
+        if self.text.len() + line.len() >= capacity {
             self.dropped += 1;
             return;
         }
@@ -50,7 +50,7 @@
         self.text.push(b'\n');
     }
 
-    /// What is to be written now, with a line on what was left out.
+    /// Takes the buffered text and appends a line with the number of dropped lines, if any.
     fn drain(&mut self) -> Vec<u8> {
         let mut text = std::mem::take(&mut self.text);
         if self.dropped > 0 {
@@ -65,13 +65,13 @@
     }
 }
 
-/// Writes what is still gathered when the process ends.
+/// Flushes the buffer when dropped.
 #[derive(Debug)]
-pub struct LogGuard(Arc<Mutex<Gathered>>);
+pub struct LogGuard(Arc<Mutex<LogBuffer>>);
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
-        write(&self.0);
+        flush(&self.0);
     }
 }
 
@@ -79,35 +79,36 @@
 ///
 /// # Errors
 ///
-/// [`LogError::Twice`] if it was called before.
+/// [`LogError::AlreadyInitialized`] if called before; [`LogError::Thread`] if the writer thread
+/// cannot be started.
 pub fn init(level: LevelFilter) -> Result<LogGuard, LogError> {
-    let gathered = Arc::new(Mutex::new(Gathered::default()));
-    let sink = gathered.clone();
+    let buffer = Arc::new(Mutex::new(LogBuffer::default()));
+    let sink = buffer.clone();
     fern::Dispatch::new()
         .level(LevelFilter::Warn)
         .level_for("heathpitch", level)
         .level_for("heathpitchd", level)
         .chain(fern::Output::call(move |record| {
-            sink.lock().take(record.level(), &format(record));
+            sink.lock().push(record.level(), &format(record));
         }))
         .apply()
-        .map_err(|_| LogError::Twice)?;
-    let writer = gathered.clone();
+        .map_err(|_| LogError::AlreadyInitialized)?;
+    let writer = buffer.clone();
     thread::Builder::new().name("log".to_owned()).spawn(move || {
         loop {
-            thread::sleep(PERIOD);
-            write(&writer);
+            thread::sleep(WRITE_INTERVAL);
+            flush(&writer);
         }
     })?;
-    Ok(LogGuard(gathered))
+    Ok(LogGuard(buffer))
 }
 
-fn write(gathered: &Mutex<Gathered>) {
-    let text = gathered.lock().drain();
+fn flush(buffer: &Mutex<LogBuffer>) {
+    let text = buffer.lock().drain();
     if text.is_empty() {
         return;
     }
-    // Nothing can be told of a log that cannot be written but by the log itself.
+    // A failed write cannot be reported, since the log is the only output.
     let _ = io::stdout().lock().write_all(&text);
 }
 
--- a/crates/heathpitchd/src/main.rs
+++ b/crates/heathpitchd/src/main.rs
@@ -1,4 +1,4 @@
-//! The node's binary.
+//! Command-line entry point of the node.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -13,14 +13,14 @@
 use heathpitchd::{Edges, Gateway, Node, StartError, init_logs};
 use log::LevelFilter;
 
-/// Exit code for wrong arguments or settings.
+/// Exit code for invalid arguments or settings.
 const EXIT_SETTINGS: u8 = 2;
-/// Exit code for a node that could not start.
+/// Exit code for a failed start.
 const EXIT_START: u8 = 3;
-/// Exit code for a node that cut off requests while draining.
-const EXIT_CUT: u8 = 4;
+/// Exit code if draining cut off requests.
+const EXIT_REQUESTS_CUT: u8 = 4;
 
-/// Arguments of the node.
+/// Command-line arguments.
 #[derive(Debug, Options)]
 struct Arguments {
     /// Prints this help.
@@ -48,7 +48,7 @@
     }
     match run(&arguments) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(EXIT_CUT),
+        Ok(_) => ExitCode::from(EXIT_REQUESTS_CUT),
         Err(e @ (StartError::Read { .. } | StartError::Settings { .. })) => {
             eprintln!("heathpitchd: {e}");
             ExitCode::from(EXIT_SETTINGS)
@@ -76,7 +76,7 @@
     Ok(node.drain())
 }
 
-/// Runs a gateway on the platform.
+/// Runs a gateway against the platform.
 fn gateway(path: &Path, check: bool) -> Result<usize, StartError> {
     let settings = read(path, GatewaySettings::parse)?;
     if check {
--- a/crates/heathpitchd/src/metrics.rs
+++ b/crates/heathpitchd/src/metrics.rs
@@ -1,11 +1,11 @@
-//! Metrics by `prometheus`.
+//! Prometheus metrics of a node.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
 
-/// Every metric: name, help.
+/// Name and help text of every metric.
 pub const METRICS: [(&str, &str); 15] = [
     ("heathpitch_requests_total", "Requests ended, by outcome"),
     ("heathpitch_refusals_total", "Requests refused, by kind"),
@@ -24,12 +24,12 @@
     ("heathpitch_control_bytes_total", "Bytes of exchanges begun and of polls, by kind"),
 ];
 
-/// Bounds of the first-token histogram, seconds.
-const FIRST: [f64; 10] = [0.01, 0.03, 0.1, 0.3, 0.6, 1.0, 1.9, 3.0, 6.0, 15.0];
-/// Bounds of the token-gap histogram, seconds.
-const GAP: [f64; 9] = [0.005, 0.01, 0.02, 0.035, 0.051, 0.1, 0.25, 0.5, 2.0];
+/// Buckets of the first-token histogram.
+const FIRST_TOKEN_BUCKETS_S: [f64; 10] = [0.01, 0.03, 0.1, 0.3, 0.6, 1.0, 1.9, 3.0, 6.0, 15.0];
+/// Buckets of the token-gap histogram.
+const TOKEN_GAP_BUCKETS_S: [f64; 9] = [0.005, 0.01, 0.02, 0.035, 0.051, 0.1, 0.25, 0.5, 2.0];
 
-/// Every metric of a node.
+/// All metrics of a node.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
@@ -38,8 +38,8 @@
     pub(crate) attempts: IntCounterVec,
     pub(crate) tokens: IntCounter,
     pub(crate) open: IntGauge,
-    pub(crate) first: Histogram,
-    pub(crate) gap: Histogram,
+    pub(crate) first_token: Histogram,
+    pub(crate) token_gap: Histogram,
     pub(crate) config: IntGauge,
     pub(crate) members: IntGauge,
     pub(crate) upstreams: IntGauge,
@@ -55,11 +55,11 @@
     ///
     /// # Errors
     ///
-    /// What the library says of a name that it cannot take; none of these.
+    /// The error of the library for an invalid or duplicate name; the names here are valid and unique.
     pub(crate) fn new() -> Result<Self, prometheus::Error> {
         let opts = |i: usize| Opts::new(METRICS[i].0, METRICS[i].1);
-        let bounded = |i: usize, bounds: &[f64]| {
-            HistogramOpts::new(METRICS[i].0, METRICS[i].1).buckets(bounds.to_vec())
+        let histogram = |i: usize, buckets: &[f64]| {
+            HistogramOpts::new(METRICS[i].0, METRICS[i].1).buckets(buckets.to_vec())
         };
         let metrics = Self {
             registry: Registry::new(),
@@ -68,8 +68,8 @@
             attempts: IntCounterVec::new(opts(2), &["result"])?,
             tokens: IntCounter::with_opts(opts(3))?,
             open: IntGauge::with_opts(opts(4))?,
-            first: Histogram::with_opts(bounded(5, &FIRST))?,
-            gap: Histogram::with_opts(bounded(6, &GAP))?,
+            first_token: Histogram::with_opts(histogram(5, &FIRST_TOKEN_BUCKETS_S))?,
+            token_gap: Histogram::with_opts(histogram(6, &TOKEN_GAP_BUCKETS_S))?,
             config: IntGauge::with_opts(opts(7))?,
             members: IntGauge::with_opts(opts(8))?,
             upstreams: IntGauge::with_opts(opts(9))?,
@@ -90,8 +90,8 @@
         r.register(Box::new(self.attempts.clone()))?;
         r.register(Box::new(self.tokens.clone()))?;
         r.register(Box::new(self.open.clone()))?;
-        r.register(Box::new(self.first.clone()))?;
-        r.register(Box::new(self.gap.clone()))?;
+        r.register(Box::new(self.first_token.clone()))?;
+        r.register(Box::new(self.token_gap.clone()))?;
         r.register(Box::new(self.config.clone()))?;
         r.register(Box::new(self.members.clone()))?;
         r.register(Box::new(self.upstreams.clone()))?;
@@ -102,12 +102,12 @@
         r.register(Box::new(self.bytes.clone()))
     }
 
-    /// All metrics in the text format.
-    pub(crate) fn text(&self) -> Vec<u8> {
+    /// All metrics in the Prometheus text format.
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let mut text = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         if let Err(e) = encoded {
-            log::error!("metrics could not be written: {e}");
+            log::error!("cannot encode metrics: {e}");
         }
         text
     }
--- a/crates/heathpitchd/src/node.rs
+++ b/crates/heathpitchd/src/node.rs
@@ -11,19 +11,19 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::{Notify, watch};
 
-use crate::control::{self, Addresses, Edges};
+use crate::control::{self, Addresses, Clients};
 use crate::event::Event;
 use crate::metrics::Metrics;
 use crate::shared::Shared;
 use crate::traffic::{self, Traffic};
 use crate::{StartError, admin, clock};
 
-/// Time between two looks at whether requests are still open.
-const LOOK: Duration = Duration::from_millis(20);
-/// Connections of operators and probes at once.
-const ADMIN_CONNECTIONS: usize = 64;
+/// Interval for polling the number of open requests.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of admin connections.
+const MAX_ADMIN_CONNECTIONS: usize = 64;
 /// Time for connections to close once no request is open.
-const CLOSE: Duration = Duration::from_millis(500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A node that serves until it is drained.
 ///
@@ -51,7 +51,7 @@
     peer: SocketAddr,
 }
 
-/// # Life
+/// # Lifecycle
 impl Node {
     /// Binds every listener and starts all threads.
     ///
@@ -78,7 +78,7 @@
         let client = Client::new();
         let platform = Arc::new(HttpPlatform::new(client.clone(), &shared.settings.platform));
         let engine = Arc::new(HttpEngine::new(client.clone()));
-        let edges = Edges { engine, platform, client };
+        let clients = Clients { engine, platform, client };
         let client = Client::new();
         let engine = Arc::new(HttpEngine::new(client.clone()));
         let (stop_traffic, traffic_stopped) = watch::channel(false);
@@ -86,7 +86,7 @@
         let addresses = Addresses { caller: listen.into(), admin: admin.into(), peer: peer.into() };
         let peers = peers.into_socket().into_std()?;
         let stopped = control_stopped.clone();
-        let control = control::spawn(shared.clone(), edges, addresses, peers, inbox, stopped)?;
+        let control = control::spawn(shared.clone(), clients, addresses, peers, inbox, stopped)?;
 
         let traffic = Arc::new(Traffic::new(shared.clone(), engine, client));
         let bounds = Bounds { connections: shared.settings.max_connections, ..Bounds::default() };
@@ -95,7 +95,7 @@
         }));
         let drain = Arc::new(Notify::new());
         let (s, d) = (shared.clone(), drain.clone());
-        let bounds = Bounds { connections: ADMIN_CONNECTIONS, ..Bounds::default() };
+        let bounds = Bounds { connections: MAX_ADMIN_CONNECTIONS, ..Bounds::default() };
         runtime.spawn(serve(operators, bounds, control_stopped, move |request| {
             let response = admin::handle(&s, &d, &request);
             async move { response }
@@ -122,42 +122,43 @@
         })
     }
 
-    /// Waits for SIGTERM, SIGINT or an operator's word to drain.
+    /// Waits for SIGTERM, SIGINT or `POST /drain`.
     pub fn wait(&self) {
         self.runtime.block_on(async {
             tokio::select! {
                 () = self.drain.notified() => {}
-                () = signalled() => {}
+                () = terminated() => {}
             }
         });
     }
 
-    /// Stops without cutting off a request.
+    /// Drains the node and stops it.
     ///
-    /// Says at once that it is not ready, goes on accepting while the balancer takes notice, then
-    /// lets every open request end within the settings' time. Gives the number of requests cut off.
+    /// Reports not ready at once, keeps accepting requests while load balancers take notice, then
+    /// waits up to the drain time of the settings for open requests to end. Returns the number of
+    /// requests cut off.
     pub fn drain(self) -> usize {
         let shared = self.shared.clone();
         shared.draining.store(true, Relaxed);
         Event::Draining { open: shared.open.load(Relaxed) }.log();
         let timing = &shared.settings.timing;
-        let (notice, most) = (timing.notice_ms, timing.drain_ms);
+        let (notice_ms, max_drain_ms) = (timing.notice_ms, timing.drain_ms);
         let cut = self.runtime.block_on(async {
-            tokio::time::sleep(Duration::from_millis(notice)).await;
+            tokio::time::sleep(Duration::from_millis(notice_ms)).await;
             self.stop_traffic.send_replace(true);
-            let limit = Duration::from_millis(most);
+            let limit = Duration::from_millis(max_drain_ms);
             let idle = async {
                 while shared.open.load(Relaxed) > 0 {
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
                 }
             };
             let ended = tokio::time::timeout(limit, idle).await.is_ok();
-            let _ = tokio::time::timeout(CLOSE, self.served).await;
+            let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.served).await;
             if ended { 0 } else { shared.open.load(Relaxed) }
         });
         self.stop_control.send_replace(true);
         if self.control.join().is_err() {
-            log::error!("the control thread ended in a panic");
+            log::error!("the control thread panicked");
         }
         self.runtime.shutdown_background();
         Event::Stopped { cut }.log();
@@ -183,7 +184,7 @@
     }
 }
 
-async fn signalled() {
+async fn terminated() {
     use tokio::signal::unix::{SignalKind, signal};
     match (signal(SignalKind::terminate()), signal(SignalKind::interrupt())) {
         (Ok(mut term), Ok(mut int)) => {
--- a/crates/heathpitchd/src/shared.rs
+++ b/crates/heathpitchd/src/shared.rs
@@ -1,4 +1,4 @@
-//! What control and traffic threads share: snapshots, counters and one bounded channel.
+//! State shared by control and traffic threads: snapshots, counters and one bounded channel.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
@@ -12,32 +12,32 @@
 use crate::metrics::Metrics;
 use crate::snapshot::View;
 
-/// Messages that wait for the control thread.
-pub(crate) const CONTROL_ROOM: usize = 4_096;
+/// Capacity of the queue to the control thread.
+pub(crate) const CONTROL_QUEUE: usize = 4_096;
 
-/// A message of a traffic thread to the control thread.
+/// Message of a traffic thread to the control thread.
 #[derive(Debug)]
-pub(crate) enum ToControl {
+pub(crate) enum ControlMessage {
     /// Claim a key.
     Claim {
         /// Digest of account and key.
         digest: Name,
         /// Digest of the body.
         body: u64,
-        /// Where the verdict goes.
+        /// Receives the verdict.
         reply: oneshot::Sender<Verdict>,
     },
-    /// A request failed at an upstream.
+    /// A request failed on this upstream.
     Failed(Name),
-    /// A request came of an account that has limits.
+    /// A request of an account with limits arrived.
     Demand(u64),
 }
 
-/// Shared by all threads of a node.
+/// State shared by all threads of a node.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    pub(crate) life: Incarnation,
+    pub(crate) incarnation: Incarnation,
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
     pub(crate) index: ArcSwap<Index>,
@@ -46,22 +46,22 @@
     pub(crate) prefixes: ArcSwap<PrefixIndex>,
     pub(crate) draining: AtomicBool,
     pub(crate) open: AtomicUsize,
-    pub(crate) beat: AtomicU64,
-    control: mpsc::Sender<ToControl>,
+    pub(crate) control_heartbeat: AtomicU64,
+    control: mpsc::Sender<ControlMessage>,
     serial: AtomicU64,
 }
 
 impl Shared {
-    /// Shared state of a node that knows nothing yet.
+    /// Initial state, and the receiving end of the queue to the control thread.
     pub(crate) fn new(
         settings: Settings,
-        life: Incarnation,
+        incarnation: Incarnation,
         metrics: Metrics,
-    ) -> (Arc<Self>, mpsc::Receiver<ToControl>) {
-        let (control, inbox) = mpsc::channel(CONTROL_ROOM);
+    ) -> (Arc<Self>, mpsc::Receiver<ControlMessage>) {
+        let (control, inbox) = mpsc::channel(CONTROL_QUEUE);
         let shared = Self {
             settings,
-            life,
+            incarnation,
             clock: Clock::start(),
             metrics,
             index: ArcSwap::default(),
@@ -70,7 +70,7 @@
             prefixes: ArcSwap::default(),
             draining: AtomicBool::new(false),
             open: AtomicUsize::new(0),
-            beat: AtomicU64::new(0),
+            control_heartbeat: AtomicU64::new(0),
             control,
             serial: AtomicU64::new(0),
         };
@@ -78,26 +78,26 @@
     }
 
     /// A new request id.
-    pub(crate) fn mint(&self) -> RequestId {
-        RequestId { node: self.life, serial: self.serial.fetch_add(1, Relaxed) + 1 }
+    pub(crate) fn new_request_id(&self) -> RequestId {
+        RequestId { node: self.incarnation, serial: self.serial.fetch_add(1, Relaxed) + 1 }
     }
 
-    /// Whether new requests are taken.
+    /// Whether the node accepts new requests.
     pub(crate) fn ready(&self) -> bool {
         self.index.load().revision.0 > 0 && !self.draining.load(Relaxed)
     }
 
-    /// Now, on the node's clock.
+    /// Current time of the node's clock.
     pub(crate) fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Sends a message to the control thread; false if it has no room.
-    pub(crate) fn tell(&self, message: ToControl) -> bool {
-        let told = self.control.try_send(message).is_ok();
-        if !told {
+    /// Sends a message to the control thread; returns false if its queue is full.
+    pub(crate) fn notify_control(&self, message: ControlMessage) -> bool {
+        let sent = self.control.try_send(message).is_ok();
+        if !sent {
             self.metrics.dropped.inc();
         }
-        told
+        sent
     }
 }
--- a/crates/heathpitchd/src/snapshot.rs
+++ b/crates/heathpitchd/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes about nodes.
+//! Snapshots of nodes and upstreams that the control thread publishes.
 
 use std::collections::HashMap;
 
@@ -11,16 +11,15 @@
 pub(crate) struct View {
     /// Other nodes that are alive.
     pub(crate) members: Vec<Member>,
-    /// Nodes of the fleet that can be reached, itself among them; at least 1.
+    /// Reachable nodes of the fleet including this one; at least 1.
     pub(crate) nodes: u32,
-    /// Share of its limits that each account with demand has on this node.
+    /// Share of each account's limits that applies on this node, for accounts with demand.
     pub(crate) shares: HashMap<u64, f64>,
     /// Health status of each listed upstream.
     pub(crate) upstreams: Vec<(Name, HealthStatus)>,
-    /// Number of the list of VMs.
-    pub(crate) list: Revision,
+    /// Revision of the VM list.
+    pub(crate) vm_list: Revision,
 }
-
 /// Answer to `GET /status`.
 #[derive(Debug, Serialize)]
 pub(crate) struct Status {
@@ -50,7 +49,8 @@
 #[derive(Debug, Serialize)]
 pub(crate) struct UpstreamStatus {
     pub(crate) name: Name,
-    pub(crate) standing: &'static str,
+    #[serde(rename = "standing")]
+    pub(crate) status: &'static str,
 }
 
 impl From<&Member> for MemberStatus {
@@ -66,13 +66,13 @@
 }
 
 impl From<&(Name, HealthStatus)> for UpstreamStatus {
-    fn from((name, standing): &(Name, HealthStatus)) -> Self {
-        let standing = match standing {
+    fn from((name, status): &(Name, HealthStatus)) -> Self {
+        let status = match status {
             HealthStatus::Up => "up",
             HealthStatus::New => "new",
             HealthStatus::Down => "down",
             HealthStatus::Leaving => "leaving",
         };
-        Self { name: name.clone(), standing }
+        Self { name: name.clone(), status }
     }
 }
--- a/crates/heathpitchd/src/start_error.rs
+++ b/crates/heathpitchd/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a node did not start.
+//! Errors at the start of a node.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,39 +6,39 @@
 
 use heathpitch_core::ConfigError;
 
-/// Why a node did not start.
+/// Error at the start of a node.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The settings file cannot be read.
     #[error("cannot read settings {path}: {source}")]
     Read {
-        /// File.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// I/O error.
         source: io::Error,
     },
-    /// The settings file is wrong.
+    /// The settings file is invalid.
     #[error("settings {path}: {source}")]
     Settings {
-        /// File.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Validation error.
         source: ConfigError,
     },
     /// A listener cannot be bound.
     #[error("cannot listen on {address} ({listener}): {source}")]
     Bind {
-        /// Key of the address in the settings.
+        /// Settings key of the address.
         listener: &'static str,
         /// Address.
         address: SocketAddr,
-        /// What the system says.
+        /// I/O error.
         source: io::Error,
     },
     /// A thread or runtime cannot be started.
     #[error("cannot start threads: {0}")]
     Threads(#[from] io::Error),
-    /// The log cannot be set up.
+    /// Logging cannot be initialized.
     #[error(transparent)]
     Log(#[from] crate::LogError),
 }
--- a/crates/heathpitchd/src/traffic.rs
+++ b/crates/heathpitchd/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Traffic threads: the caller listener and the chains behind it.
+//! Traffic threads: request dispatch of the caller listener.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,31 +11,31 @@
 use parking_lot::Mutex;
 use serde_json::{Value, json};
 
-use crate::filters::{self, AskKind, Context, Refusal, RefusalKind};
+use crate::filters::{self, Context, Endpoint, Refusal, RefusalKind};
 use crate::shared::Shared;
 
 /// Limits of accounts and of this node.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
     pub(crate) limiter: AccountLimiter,
-    pub(crate) gates: HashMap<Name, AdmissionControl>,
+    pub(crate) admission: HashMap<Name, AdmissionControl>,
     pub(crate) budget: RetryBudget,
 }
 
-/// What traffic threads share among themselves.
+/// State shared by traffic threads.
 pub(crate) struct Traffic {
     pub(crate) shared: Arc<Shared>,
     pub(crate) engine: Arc<dyn EngineClient>,
     pub(crate) client: Client,
     pub(crate) limits: Mutex<Limits>,
-    pub(crate) ledger: Mutex<IdempotencyTable>,
+    pub(crate) idempotency: Mutex<IdempotencyTable>,
 }
 
 impl Traffic {
-    /// Traffic that has seen no request.
+    /// Initial state.
     pub(crate) fn new(shared: Arc<Shared>, engine: Arc<dyn EngineClient>, client: Client) -> Self {
-        let (limits, ledger) = (Mutex::default(), Mutex::default());
-        Self { shared, engine, client, limits, ledger }
+        let (limits, idempotency) = (Mutex::default(), Mutex::default());
+        Self { shared, engine, client, limits, idempotency }
     }
 }
 
@@ -44,13 +44,13 @@
     let method = request.method().clone();
     match (method, request.uri().path()) {
         (Method::POST, "/v1/completions") => {
-            filters::generate(&traffic, AskKind::Completion, request).await
+            filters::generate(&traffic, Endpoint::Completion, request).await
         }
         (Method::POST, "/v1/chat/completions") => {
-            filters::generate(&traffic, AskKind::Chat, request).await
+            filters::generate(&traffic, Endpoint::Chat, request).await
         }
         (Method::GET, "/v1/models") => Response::new(json(&models(&traffic))),
-        (Method::POST, "/v1/tickets") => Response::new(json(&mint(&traffic))),
+        (Method::POST, "/v1/tickets") => Response::new(json(&issue_ticket(&traffic))),
         (_, path) if path.starts_with("/services/") => filters::service(&traffic, request).await,
         (method, path) => {
             let message = format!("{method} {path} is not part of this API");
@@ -68,13 +68,13 @@
     json!({ "object": "list", "data": names.iter().map(model).collect::<Vec<_>>() })
 }
 
-/// Mints a ticket: a key that only this life of this node may use.
-fn mint(traffic: &Traffic) -> Value {
-    let id = traffic.shared.mint();
+/// Issues a ticket: a key that only this incarnation of this node may run.
+fn issue_ticket(traffic: &Traffic) -> Value {
+    let id = traffic.shared.new_request_id();
     let node = traffic.shared.settings.node.clone();
     let ticket = Ticket { node, life: id.node, serial: id.serial }.to_string();
     if let Ok(key) = ticket.parse() {
-        traffic.ledger.lock().add_unused(key);
+        traffic.idempotency.lock().add_unused(key);
     }
     json!({ "ticket": ticket })
 }
