--- a/crates/heathpitchd/src/control/placement.rs
+++ b/crates/heathpitchd/src/control/placement.rs
@@ -108,10 +108,10 @@
         self.expire_loads(&engines, now);
         let index = control.replica.borrow().index();
         let demands = model_demands(&index, &engines);
-        let placement_engine: Vec<PlacementEngine> =
+        let candidates: Vec<PlacementEngine> =
             engines.iter().map(|(_, r)| self.placement_engine(r)).collect();
         let free_loads = MAX_LOADS.saturating_sub(self.loading.len());
-        for step in plan_placement(&demands, &placement_engine).into_iter().take(free_loads) {
+        for step in plan_placement(&demands, &candidates).into_iter().take(free_loads) {
             let Some((vm, _)) = engines.iter().find(|(vm, _)| vm.name == step.engine) else {
                 continue;
             };
--- a/crates/heathpitchd/src/filters/parse.rs
+++ b/crates/heathpitchd/src/filters/parse.rs
@@ -132,9 +132,7 @@
     let prompt = match (endpoint, body.prompt, body.messages) {
         (Endpoint::Completion, Some(Prompt::One(p)), _) => p,
         (Endpoint::Completion, Some(Prompt::Many(mut p)), _) if p.len() == 1 => p.remove(0),
-        (Endpoint::Completion, Some(_), _) => {
-            return Err(malformed("only one prompt per request is supported"));
-        }
+        (Endpoint::Completion, Some(_), _) => return Err(malformed("only one prompt is allowed")),
         (Endpoint::Completion, None, _) => return Err(malformed("prompt is missing")),
         (Endpoint::Chat, _, Some(m)) if !m.is_empty() => chat_prompt(&m),
         (Endpoint::Chat, ..) => return Err(malformed("messages are missing")),
--- a/crates/heathpitchd/src/filters/run/attempt.rs
+++ b/crates/heathpitchd/src/filters/run/attempt.rs
@@ -31,9 +31,7 @@
         let start = self.cx.traffic.shared.now();
         loop {
             match self.find_path(retry) {
-                Some(path) if !retry || self.probe_path(&path).await => {
-                    return RelayEvent::Chosen(path);
-                }
+                Some(path) if !retry || self.probe(&path).await => return RelayEvent::Chosen(path),
                 None if !retry => return RelayEvent::NoPath,
                 Some(_) | None => {}
             }
@@ -50,7 +48,7 @@
     }
 
     /// Probes every engine of a path and marks those that do not answer as suspect.
-    pub(super) async fn probe_path(&mut self, path: &Path) -> bool {
+    pub(super) async fn probe(&mut self, path: &Path) -> bool {
         let suspects =
             probe::find_suspects(self.cx.traffic.clone(), probe::path_targets(path)).await;
         suspects.iter().for_each(|name| self.mark_suspect(name));
@@ -112,7 +110,7 @@
         let first_ms = settings.first_ms.max(predicted_limit_ms);
         self.stall_detector = StallDetector::new(settings.stall_ms, first_ms, shared.now())
             .expecting(predicted_limit_ms);
-        self.probe = None;
+        self.probe_task = None;
         self.probe_after = 0;
         let call = self.generate_call(attempt, &path);
         let address = path.head().address.clone();
--- a/crates/heathpitchd/src/filters/run/failure.rs
+++ b/crates/heathpitchd/src/filters/run/failure.rs
@@ -39,7 +39,7 @@
                 .observe(seconds(now.saturating_sub(self.stall_detector.last()))),
         }
         self.stall_detector.token(now);
-        self.probe = None;
+        self.probe_task = None;
         self.probe_after = 0;
     }
 
@@ -82,7 +82,7 @@
 
     /// Abandons the path if one of its engines did not answer; otherwise keeps waiting.
     pub(super) fn handle_probe(&mut self, suspects: Vec<Name>) -> Option<RelayEvent> {
-        self.probe = None;
+        self.probe_task = None;
         let now = self.cx.traffic.shared.now();
         self.probe_after = now + self.matched.route.settings.stall_ms;
         suspects.iter().for_each(|name| self.mark_suspect(name));
--- a/crates/heathpitchd/src/filters/run/mod.rs
+++ b/crates/heathpitchd/src/filters/run/mod.rs
@@ -75,7 +75,7 @@
     current_path: Option<Path>,
     open_counts: Option<OpenCounts>,
     stall_detector: StallDetector,
-    probe: Option<JoinHandle<Vec<Name>>>,
+    probe_task: Option<JoinHandle<Vec<Name>>>,
     probe_after: Millis,
     token_text: String,
     prompt_len: u32,
@@ -121,7 +121,7 @@
             current_path: None,
             open_counts: None,
             stall_detector: StallDetector::new(0, 0, cx.start),
-            probe: None,
+            probe_task: None,
             probe_after: 0,
             token_text: String::new(),
             prompt_len,
@@ -178,7 +178,7 @@
         loop {
             let clock = self.cx.traffic.shared.clock;
             let stall = self.stall_detector.stalls_at();
-            let timer = if self.probe.is_some() {
+            let timer = if self.probe_task.is_some() {
                 stall
             } else {
                 self.probe_after.max(self.stall_detector.warns_at())
@@ -193,7 +193,7 @@
                     }
                 }
                 () = self.writer.caller_gone(), if !self.has_key => return RelayEvent::Abandoned,
-                suspects = Self::probe_result(&mut self.probe) => {
+                suspects = Self::probe_result(&mut self.probe_task) => {
                     if let Some(event) = self.handle_probe(suspects) {
                         return event;
                     }
@@ -207,14 +207,16 @@
                     return RelayEvent::Expired;
                 }
                 _ if now >= stall => return self.stall(Vec::new()),
-                _ if now >= timer && self.probe.is_none() => self.probe = Some(self.start_probe()),
+                _ if now >= timer && self.probe_task.is_none() => {
+                    self.probe_task = Some(self.start_probe())
+                }
                 _ => {}
             }
         }
     }
 
-    async fn probe_result(probe: &mut Option<JoinHandle<Vec<Name>>>) -> Vec<Name> {
-        match probe {
+    async fn probe_result(task: &mut Option<JoinHandle<Vec<Name>>>) -> Vec<Name> {
+        match task {
             Some(handle) => handle.await.unwrap_or_default(),
             None => std::future::pending().await,
         }
--- a/crates/heathpitchd/src/metrics.rs
+++ b/crates/heathpitchd/src/metrics.rs
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// The error of the library for an invalid or duplicate name; the names here are valid and unique.
+    /// The error of the library for an invalid or duplicate name; none of these are.
     pub(crate) fn new() -> Result<Self, prometheus::Error> {
         let opts = |i: usize| Opts::new(METRICS[i].0, METRICS[i].1);
         let histogram = |i: usize, buckets: &[f64]| {
--- a/crates/heathpitchd/src/snapshot.rs
+++ b/crates/heathpitchd/src/snapshot.rs
@@ -20,6 +20,7 @@
     /// Revision of the VM list.
     pub(crate) vm_list: Revision,
 }
+
 /// Answer to `GET /status`.
 #[derive(Debug, Serialize)]
 pub(crate) struct Status {
