--- a/crates/heathpitchd/src/event.rs
+++ b/crates/heathpitchd/src/event.rs
@@ -6,8 +6,8 @@
 
 /// A log event.
 ///
-/// Written as one line of JSON with the name under `event`. Events never contain prompts, answers or
-/// keys.
+/// Written as one line of JSON with the name under `event`. Events never contain prompts, answers
+/// or keys.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
--- a/crates/heathpitchd/src/filters/response_writer.rs
+++ b/crates/heathpitchd/src/filters/response_writer.rs
@@ -30,7 +30,7 @@
     stream: bool,
     text: String,
     keep_text: bool,
-    disconnected: bool,
+    closed: bool,
 }
 
 /// # Construction
@@ -43,15 +43,7 @@
         keep_text: bool,
     ) -> Self {
         let text = String::new();
-        Self {
-            renderer,
-            head: Some(head),
-            chunks: None,
-            stream,
-            text,
-            keep_text,
-            disconnected: false,
-        }
+        Self { renderer, head: Some(head), chunks: None, stream, text, keep_text, closed: false }
     }
 }
 
@@ -139,10 +131,8 @@
     }
 
     async fn send(&mut self, chunk: Bytes) -> bool {
-        let Some(chunks) = self.chunks.as_ref().filter(|_| !self.disconnected) else {
-            return false;
-        };
-        self.disconnected = chunks.send_timeout(Ok(chunk), WRITE_TIMEOUT).await.is_err();
-        !self.disconnected
+        let Some(chunks) = self.chunks.as_ref().filter(|_| !self.closed) else { return false };
+        self.closed = chunks.send_timeout(Ok(chunk), WRITE_TIMEOUT).await.is_err();
+        !self.closed
     }
 }
--- a/crates/heathpitchd/tests/bad_input.rs
+++ b/crates/heathpitchd/tests/bad_input.rs
@@ -1,6 +1,6 @@
-//! Bad input gets a clear, typed error.
+//! Invalid settings and requests get typed errors.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 mod common;
 
@@ -9,13 +9,13 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use common::{assert_right, deployment, desk, name, wait};
+use common::{assert_complete, deployment, desk, name, wait_until};
 use heathpitch_fakes::{Caller, Deployment};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-fn node(settings: &str, arguments: &[&str]) -> Output {
+fn run_node(settings: &str, arguments: &[&str]) -> Output {
     let folder = std::env::temp_dir().join(format!("heathpitch-bad-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join(format!("{:x}.json", settings.len() * 31 + arguments.len()));
@@ -37,63 +37,63 @@
     )
 }
 
-fn said(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn settings_with_a_mistyped_key_name_its_path_and_the_nearest_word() {
-    let got = node(&settings(r#","timing":{"platfrom_ms":5}"#), &["--check"]);
+fn error_for_mistyped_key_names_its_path_and_nearest_match() {
+    let got = run_node(&settings(r#","timing":{"platfrom_ms":5}"#), &["--check"]);
     assert_eq!(got.status.code(), Some(2));
-    let said = said(&got);
-    assert!(said.contains("timing"), "{said}");
-    assert!(said.contains("did you mean `platform_ms`?"), "{said}");
+    let stderr = stderr(&got);
+    assert!(stderr.contains("timing"), "{stderr}");
+    assert!(stderr.contains("did you mean `platform_ms`?"), "{stderr}");
 }
 
 #[test]
-fn settings_out_of_range_name_their_bounds() {
-    let got = node(&settings(r#","threads":900"#), &["--check"]);
+fn error_for_value_out_of_range_names_the_bounds() {
+    let got = run_node(&settings(r#","threads":900"#), &["--check"]);
     assert_eq!(got.status.code(), Some(2));
-    assert!(said(&got).contains("threads: 900 is outside 1 to 64"));
+    assert!(stderr(&got).contains("threads: 900 is outside 1 to 64"));
 }
 
 #[test]
-fn settings_that_are_not_json_or_not_there_are_refused() {
-    assert_eq!(node("{", &["--check"]).status.code(), Some(2));
+fn malformed_or_missing_settings_are_rejected() {
+    assert_eq!(run_node("{", &["--check"]).status.code(), Some(2));
     let missing = Command::new(env!("CARGO_BIN_EXE_heathpitchd"))
         .args(["--settings", "no-such-file.json"])
         .output()
         .unwrap();
     assert_eq!(missing.status.code(), Some(2));
-    assert!(said(&missing).contains("no-such-file.json"));
+    assert!(stderr(&missing).contains("no-such-file.json"));
 }
 
 #[test]
-fn a_port_in_use_is_named() {
+fn error_for_port_in_use_names_the_address() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let text = settings("").replacen("127.0.0.1:0", &address, 1);
-    let got = node(&text, &[]);
+    let got = run_node(&text, &[]);
     assert_eq!(got.status.code(), Some(3));
-    assert!(said(&got).contains(&format!("cannot listen on {address} (listen)")));
+    assert!(stderr(&got).contains(&format!("cannot listen on {address} (listen)")));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_whose_platform_cannot_be_reached_says_it_is_not_ready() {
+async fn node_without_platform_is_not_ready() {
     let mut d = Deployment::open(Path::new(env!("CARGO_BIN_EXE_heathpitchd"))).unwrap();
     d.node("n1", "memphis", |s| s["platform"] = json!(["127.0.0.1:1"])).unwrap();
     let got = desk().post(d.nodes[0].listen, "/v1/completions", &[], "{}").await.unwrap();
     assert_eq!(got.json["error"]["kind"], "malformed");
-    let ask = json!({ "model": "tickets", "prompt": "x" }).to_string();
-    let got = desk().post(d.nodes[0].listen, "/v1/completions", &[], ask).await.unwrap();
+    let request = json!({ "model": "tickets", "prompt": "x" }).to_string();
+    let got = desk().post(d.nodes[0].listen, "/v1/completions", &[], request).await.unwrap();
     assert_eq!((got.status, &got.json["error"]["kind"]), (503, &json!("not_ready")));
     assert!(got.retry_after.is_some());
 }
 
-/// Requests that are wrong in one way each, and the kind of error they get.
+/// Each request is invalid in one way and gets the matching error kind.
 #[tokio::test(flavor = "multi_thread")]
-async fn wrong_requests_get_their_kind() {
-    let d = deployment_small().await;
+async fn invalid_bodies_get_their_error_kind() {
+    let d = small_deployment().await;
     let node = d.nodes[0].listen;
     let big = format!(r#"{{"model":"tickets","prompt":"{}"}}"#, "x".repeat(2 << 20));
     let bodies: [(&str, u16, &str); 9] = [
@@ -119,10 +119,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn wrong_headers_paths_and_accounts_get_their_kind() {
-    let d = deployment_small().await;
+async fn invalid_headers_paths_and_accounts_get_their_error_kind() {
+    let d = small_deployment().await;
     let node = d.nodes[0].listen;
-    let ask = json!({ "model": "tickets", "prompt": "x", "max_tokens": 1 }).to_string();
+    let request = json!({ "model": "tickets", "prompt": "x", "max_tokens": 1 }).to_string();
     let headers: [(&str, &str, u16, &str); 5] = [
         ("x-heathpitch-priority", "urgent", 400, "malformed"),
         ("x-heathpitch-deadline-ms", "soon", 400, "malformed"),
@@ -132,21 +132,21 @@
     ];
     for (name, value, status, kind) in headers {
         let sent = [(name, value)];
-        let got = desk().post(node, "/v1/completions", &sent, ask.clone()).await.unwrap();
+        let got = desk().post(node, "/v1/completions", &sent, request.clone()).await.unwrap();
         assert_eq!((got.status, &got.json["error"]["kind"]), (status, &json!(kind)), "{name}");
     }
     let stranger = Caller::new(name("nobody"));
-    let got = stranger.post(node, "/v1/completions", &[], ask.clone()).await.unwrap();
+    let got = stranger.post(node, "/v1/completions", &[], request.clone()).await.unwrap();
     assert_eq!((got.status, &got.json["error"]["kind"]), (401, &json!("unknown_account")));
-    let got = desk().post(node, "/v2/completions", &[], ask).await.unwrap();
+    let got = desk().post(node, "/v2/completions", &[], request).await.unwrap();
     assert_eq!((got.status, &got.json["error"]["kind"]), (404, &json!("unknown_path")));
     let got = desk().post(node, "/services/no-such/x", &[], "").await.unwrap();
     assert_eq!((got.status, &got.json["error"]["kind"]), (404, &json!("no_route")));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_oversized_head_is_refused() {
-    let d = deployment_small().await;
+async fn oversized_request_head_is_rejected() {
+    let d = small_deployment().await;
     let mut socket = TcpStream::connect(d.nodes[0].listen).await.unwrap();
     let head = format!("GET /v1/models HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(64 << 10));
     socket.write_all(head.as_bytes()).await.unwrap();
@@ -156,47 +156,48 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_hangs_up_frees_the_engines() {
+async fn caller_that_disconnects_frees_the_engines() {
     let d = deployment(1, 1).await;
-    hang_up(d.nodes[0].listen).await;
-    wait("nothing is open", || async { d.nodes[0].status().await["open"] == 0 }).await;
+    read_and_disconnect(d.nodes[0].listen).await;
+    wait_until("no request is open", || async { d.nodes[0].status().await["open"] == 0 }).await;
     let got = desk().stream(d.nodes[0].listen, &name("tickets"), "next", 5).await.unwrap();
-    assert_right(&got, "next", 5);
+    assert_complete(&got, "next", 5);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_reads_slowly_does_not_hold_up_others() {
+async fn slow_readers_do_not_delay_other_callers() {
     let d = deployment(1, 1).await;
     let node = d.nodes[0].listen;
     let mut slow = Vec::new();
     for _ in 0..5 {
-        slow.push(begin(node, 2_000).await);
+        slow.push(start_stream(node, 2_000).await);
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     let got = desk().stream(node, &name("tickets"), "quick", 10).await.unwrap();
-    assert_right(&got, "quick", 10);
+    assert_complete(&got, "quick", 10);
 }
 
-async fn hang_up(node: SocketAddr) {
-    let mut socket = begin(node, 500).await;
+async fn read_and_disconnect(node: SocketAddr) {
+    let mut socket = start_stream(node, 500).await;
     let mut some = [0; 256];
     assert!(socket.read(&mut some).await.unwrap() > 0);
     drop(socket);
 }
 
-async fn begin(node: SocketAddr, tokens: u32) -> TcpStream {
-    let ask = json!({ "model": "tickets", "prompt": "x", "max_tokens": tokens, "stream": true });
-    let ask = ask.to_string();
+async fn start_stream(node: SocketAddr, tokens: u32) -> TcpStream {
+    let request =
+        json!({ "model": "tickets", "prompt": "x", "max_tokens": tokens, "stream": true });
+    let request = request.to_string();
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: h\r\nx-heathpitch-account: memphis-desk\r\n\
-         content-length: {}\r\n\r\n{ask}",
-        ask.len()
+         content-length: {}\r\n\r\n{request}",
+        request.len()
     );
     let mut socket = TcpStream::connect(node).await.unwrap();
     socket.write_all(head.as_bytes()).await.unwrap();
     socket
 }
 
-async fn deployment_small() -> Deployment {
+async fn small_deployment() -> Deployment {
     deployment(1, 1).await
 }
--- a/crates/heathpitchd/tests/common/mod.rs
+++ b/crates/heathpitchd/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Set-up that the process tests share.
+//! Setup shared by the tests that run nodes as processes.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
-#![allow(clippy::unwrap_used, reason = "a set-up that fails fails its test")]
+#![allow(dead_code, reason = "each test file uses only some of it")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -12,15 +12,15 @@
 
 /// Layers of the sample models.
 pub(crate) const LAYERS: u32 = 12;
-/// Time in which a deployment must become ready, and anything else must happen.
+/// Time limit for a deployment to become ready and for any other awaited condition.
 pub(crate) const LIMIT: Duration = Duration::from_secs(20);
 
-/// Nodes `n1`, `n2`, … before `replicas` whole paths of three engines and two services.
+/// Nodes `n1`, `n2`, … in front of `replicas` complete paths of three engines, and two services.
 pub(crate) async fn deployment(nodes: usize, replicas: u32) -> Deployment {
     deployment_with(nodes, replicas, |_| {}).await
 }
 
-/// The same, with the nodes' settings adjusted.
+/// Like [`deployment`], with adjusted node settings.
 pub(crate) async fn deployment_with(
     nodes: usize,
     replicas: u32,
@@ -37,7 +37,7 @@
     let revision = d.configure(&sample(LAYERS).unwrap()).await.unwrap();
     let upstreams = d.engines.len() + d.services.len();
     assert!(d.ready(revision, upstreams, LIMIT).await, "the nodes did not become ready");
-    wait("the nodes know each other", || async {
+    wait_until("the nodes know each other", || async {
         for node in &d.nodes {
             let status = node.status().await;
             if status["members"].as_array().map_or(0, Vec::len) + 1 != d.nodes.len() {
@@ -50,51 +50,50 @@
     d
 }
 
-/// A name.
 pub(crate) fn name(text: &str) -> Name {
     text.parse().unwrap()
 }
 
-/// The desk's caller.
+/// Caller of the account `memphis-desk`.
 pub(crate) fn desk() -> Caller {
     Caller::new(name("memphis-desk"))
 }
 
-/// Text of the right answer.
-pub(crate) fn right(prompt: &str, wanted: u32) -> Vec<String> {
-    let right = answer(&name("tickets"), &name("v1"), LAYERS, prompt, wanted);
-    right.tokens.iter().map(|t| piece(*t)).collect()
+/// Text pieces of the expected answer.
+pub(crate) fn expected_pieces(prompt: &str, wanted: u32) -> Vec<String> {
+    let answer = answer(&name("tickets"), &name("v1"), LAYERS, prompt, wanted);
+    answer.tokens.iter().map(|t| piece(*t)).collect()
 }
 
-/// Checks that an answer is whole and the right one.
-pub(crate) fn assert_right(got: &Answer, prompt: &str, wanted: u32) {
+/// Asserts that an answer is complete and as expected.
+pub(crate) fn assert_complete(got: &Answer, prompt: &str, wanted: u32) {
     assert_eq!(got.error, None);
-    assert!(got.whole, "the answer has no end: {got:?}");
-    assert_eq!(got.pieces, right(prompt, wanted));
+    assert!(got.whole, "the answer is incomplete: {got:?}");
+    assert_eq!(got.pieces, expected_pieces(prompt, wanted));
 }
 
-/// Streams an answer while `meanwhile` happens after `delay`.
+/// Streams an answer and calls `action` after `delay`.
 pub(crate) async fn stream_while(
     d: &Deployment,
     prompt: &str,
     wanted: u32,
     delay: Duration,
-    meanwhile: impl FnOnce(),
+    action: impl FnOnce(),
 ) -> Answer {
     let node = d.nodes[0].listen;
-    let asked = prompt.to_owned();
+    let sent = prompt.to_owned();
     let task =
-        tokio::spawn(async move { desk().stream(node, &name("tickets"), &asked, wanted).await });
+        tokio::spawn(async move { desk().stream(node, &name("tickets"), &sent, wanted).await });
     tokio::time::sleep(delay).await;
-    meanwhile();
+    action();
     task.await.unwrap().unwrap()
 }
 
-/// Waits until `holds`.
-pub(crate) async fn wait<F: Future<Output = bool>>(what: &str, holds: impl Fn() -> F) {
-    let end = Instant::now() + LIMIT;
-    while !holds().await {
-        assert!(Instant::now() < end, "it never came to this: {what}");
+/// Waits until `condition` holds.
+pub(crate) async fn wait_until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
+    let deadline = Instant::now() + LIMIT;
+    while !condition().await {
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
 }
--- a/crates/heathpitchd/tests/configuration.rs
+++ b/crates/heathpitchd/tests/configuration.rs
@@ -1,17 +1,17 @@
-//! Configuration: in force everywhere, and never reverting, whatever happens to the store.
+//! Configuration changes reach every node and never revert, whatever happens to the store.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 mod common;
 
 use std::time::Duration;
 
-use common::{LAYERS, LIMIT, assert_right, deployment, desk, name, wait};
+use common::{LAYERS, LIMIT, assert_complete, deployment, desk, name, wait_until};
 use heathpitch_core::Revision;
 use heathpitch_fakes::{Deployment, PlatformFault, sample};
 
-/// Stores a document in which the desk's weight is `weight`.
-async fn change(d: &Deployment, weight: u32) -> Revision {
+/// Stores a document that sets the weight of the first account.
+async fn store_weight(d: &Deployment, weight: u32) -> Revision {
     let mut document = sample(LAYERS).unwrap();
     document.accounts[0].weight = weight;
     d.configure(&document).await.unwrap()
@@ -26,27 +26,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_comes_to_every_node() {
+async fn change_reaches_every_node() {
     let d = deployment(3, 1).await;
     for weight in 5..9 {
-        let revision = change(&d, weight).await;
+        let revision = store_weight(&d, weight).await;
         assert!(d.ready(revision, 1, LIMIT).await);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_seen_by_one_node_comes_to_all_although_the_store_goes_down() {
+async fn change_seen_by_one_node_reaches_all_during_store_outage() {
     let d = deployment(3, 1).await;
-    let revision = change(&d, 7).await;
-    wait("one node has it", || async { revisions(&d).await.contains(&revision.0) }).await;
+    let revision = store_weight(&d, 7).await;
+    wait_until("one node has the revision", || async { revisions(&d).await.contains(&revision.0) })
+        .await;
     d.platform.fault(PlatformFault::Down);
     assert!(d.ready(revision, 1, LIMIT).await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_replaced_during_an_outage_starts_from_a_peer_and_serves() {
+async fn node_started_during_store_outage_gets_configuration_from_peer() {
     let mut d = deployment(2, 1).await;
-    let revision = change(&d, 7).await;
+    let revision = store_weight(&d, 7).await;
     assert!(d.ready(revision, 1, LIMIT).await);
     d.platform.fault(PlatformFault::Down);
     d.nodes[0].kill();
@@ -55,13 +56,13 @@
     assert!(d.ready(revision, d.engines.len(), LIMIT).await);
     let node = d.nodes[new].listen;
     let got = desk().stream(node, &name("tickets"), "after the outage", 8).await.unwrap();
-    assert_right(&got, "after the outage", 8);
+    assert_complete(&got, "after the outage", 8);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stale_read_never_brings_back_an_older_revision() {
+async fn stale_read_never_restores_an_older_revision() {
     let d = deployment(2, 1).await;
-    let revision = change(&d, 7).await;
+    let revision = store_weight(&d, 7).await;
     assert!(d.ready(revision, 1, LIMIT).await);
     d.platform.fault(PlatformFault::Stale(true));
     for _ in 0..20 {
@@ -71,7 +72,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_go_on_while_the_store_is_down_or_slow() {
+async fn requests_are_served_while_store_is_down_or_slow() {
     let d = deployment(1, 1).await;
     for fault in [PlatformFault::Down, PlatformFault::Slow(5_000)] {
         d.platform.fault(fault);
@@ -80,7 +81,7 @@
             let prompt = format!("order {i}");
             let node = d.nodes[0].listen;
             let got = desk().stream(node, &name("tickets"), &prompt, 6).await.unwrap();
-            assert_right(&got, &prompt, 6);
+            assert_complete(&got, &prompt, 6);
         }
     }
 }
--- a/crates/heathpitchd/tests/overload.rs
+++ b/crates/heathpitchd/tests/overload.rs
@@ -1,19 +1,19 @@
-//! More than can be served: refused at once, with when to come back; priorities and shares kept.
+//! Overload: excess requests are refused at once with a retry delay; priorities are respected.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::{deployment_with, desk, name, wait};
+use common::{deployment_with, desk, name, wait_until};
 use heathpitch_fakes::{Caller, Deployment, Reply};
 use serde_json::json;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Answers of `count` requests sent at once.
+/// Sends `count` requests concurrently and returns the replies.
 async fn burst(
     d: &Deployment,
     caller: &Caller,
@@ -25,34 +25,39 @@
         let (caller, node) = (caller.clone(), d.nodes[i % d.nodes.len()].listen);
         tasks.spawn(async move {
             let prompt = format!("{priority} {i}");
-            let ask = json!({ "model": "tickets", "prompt": prompt, "max_tokens": 30 });
+            let request = json!({ "model": "tickets", "prompt": prompt, "max_tokens": 30 });
             let headers = [("x-heathpitch-priority", priority)];
-            caller.post(node, "/v1/completions", &headers, ask.to_string()).await.unwrap()
+            caller.post(node, "/v1/completions", &headers, request.to_string()).await.unwrap()
         });
     }
     tasks.join_all().await
 }
 
-fn served(replies: &[Reply]) -> usize {
+fn served_count(replies: &[Reply]) -> usize {
     replies.iter().filter(|r| r.status == 200).count()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_burst_is_refused_at_once_with_when_to_come_back() {
+async fn burst_is_refused_at_once_with_spread_retry_delays() {
     let d = deployment_with(1, 1, |_| {}).await;
     let start = Instant::now();
     let replies = burst(&d, &desk(), "normal", 400).await;
-    assert!(served(&replies) > 0);
+    assert!(served_count(&replies) > 0);
     let refused: Vec<&Reply> = replies.iter().filter(|r| r.status != 200).collect();
     assert!(!refused.is_empty());
     for r in &refused {
         assert_eq!(r.json["error"]["outcome"], "not_run", "{r:?}");
         assert!(r.retry_after.is_some(), "{r:?}");
     }
-    let back: std::collections::BTreeSet<u64> =
+    let retry_delays: std::collections::BTreeSet<u64> =
         refused.iter().filter_map(|r| r.json["error"]["retry_after_ms"].as_u64()).collect();
-    assert!(back.len() > refused.len() / 4, "the times to come back are not spread");
-    println!("{} refused, {} served in {:?}", refused.len(), served(&replies), start.elapsed());
+    assert!(retry_delays.len() > refused.len() / 4, "the retry delays are not spread");
+    println!(
+        "{} refused, {} served in {:?}",
+        refused.len(),
+        served_count(&replies),
+        start.elapsed()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -66,14 +71,14 @@
             self::burst(&d, &desk, "high", 10).await
         };
         let (low, high) = tokio::join!(burst, high);
-        assert_eq!(served(&high), 10);
+        assert_eq!(served_count(&high), 10);
         low
     };
-    assert!(served(&low) < 300);
+    assert!(served_count(&low) < 300);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_flood_of_bad_requests_leaves_the_node_answering() {
+async fn node_stays_responsive_under_invalid_requests() {
     let d = deployment_with(1, 1, |_| {}).await;
     let mut tasks = JoinSet::new();
     for _ in 0..500 {
@@ -82,20 +87,20 @@
     }
     let all = tasks.join_all().await;
     assert!(all.iter().flatten().all(|r| r.status == 400));
-    assert_eq!(served(&burst(&d, &desk(), "normal", 3).await), 3);
-    wait("nothing is open", || async { d.nodes[0].status().await["open"] == 0 }).await;
+    assert_eq!(served_count(&burst(&d, &desk(), "normal", 3).await), 3);
+    wait_until("no request is open", || async { d.nodes[0].status().await["open"] == 0 }).await;
 }
 
-/// Callers that ask for long answers and never read them.
+/// The callers request long answers and never read them.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_thousand_slow_callers_leave_the_node_answering() {
+async fn node_stays_responsive_with_a_thousand_slow_callers() {
     let d = deployment_with(1, 1, |_| {}).await;
-    let ask = json!({ "model": "tickets", "prompt": "x", "max_tokens": 4_000, "stream": true });
-    let ask = ask.to_string();
+    let request = json!({ "model": "tickets", "prompt": "x", "max_tokens": 4_000, "stream": true });
+    let request = request.to_string();
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: h\r\nx-heathpitch-account: memphis-desk\r\n\
-         content-length: {}\r\n\r\n{ask}",
-        ask.len()
+         content-length: {}\r\n\r\n{request}",
+        request.len()
     );
     let mut slow = Vec::new();
     for _ in 0..1_000 {
@@ -108,6 +113,6 @@
     let status = d.nodes[0].status().await;
     assert!(status["open"].as_u64().is_some_and(|open| (1..1_000).contains(&open)), "{status}");
     drop(slow);
-    wait("nothing is open", || async { d.nodes[0].status().await["open"] == 0 }).await;
-    assert_eq!(served(&burst(&d, &desk(), "normal", 3).await), 3);
+    wait_until("no request is open", || async { d.nodes[0].status().await["open"] == 0 }).await;
+    assert_eq!(served_count(&burst(&d, &desk(), "normal", 3).await), 3);
 }
--- a/crates/heathpitchd/tests/reference.rs
+++ b/crates/heathpitchd/tests/reference.rs
@@ -1,6 +1,6 @@
-//! The references of settings, events and metrics name all there are.
+//! The reference pages document every setting, event and metric.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -21,8 +21,8 @@
     fs::read_to_string(root().join(path)).unwrap()
 }
 
-/// Words between backquotes.
-fn named(text: &str) -> BTreeSet<String> {
+/// Names in backquotes.
+fn documented(text: &str) -> BTreeSet<String> {
     text.split('`').skip(1).step_by(2).map(|w| w.trim_start_matches('.').to_owned()).collect()
 }
 
@@ -32,21 +32,21 @@
 }
 
 #[test]
-fn every_setting_has_a_row() {
-    let named = named(&read("docs/operate/settings.md"));
+fn every_node_setting_is_documented() {
+    let documented = documented(&read("docs/operate/settings.md"));
     let sample = parse_settings(&read("samples/byhand/n1.json")).unwrap();
     let node = keys(&sample).into_iter().filter(|k| k != "timing" && k != "peer");
     let timing = keys(&Timing::default()).into_iter().map(|k| format!("timing.{k}"));
     let route = keys(&RouteSettings::default());
     let route = route.into_iter().map(|k| format!("routes[].settings.{k}"));
     let missing: Vec<String> =
-        node.chain(timing).chain(route).filter(|k| !named.contains(k)).collect();
+        node.chain(timing).chain(route).filter(|k| !documented.contains(k)).collect();
     assert_eq!(missing, Vec::<String>::new());
 }
 
 #[test]
-fn every_setting_of_a_gateway_has_a_row() {
-    let named = named(&read("docs/operate/settings.md"));
+fn every_gateway_setting_is_documented() {
+    let documented = documented(&read("docs/operate/settings.md"));
     let text = r#"{ "node": "n", "domain": "d", "listen": "127.0.0.1:1", "ready": "127.0.0.1:2",
         "metrics": "127.0.0.1:3", "store": "127.0.0.1:4" }"#;
     let settings = GatewaySettings::parse(text).unwrap();
@@ -54,14 +54,15 @@
     let bounds =
         keys(&PlatformBounds::default()).into_iter().map(|k| format!("gateway.bounds.{k}"));
     let vm = keys(&VmCapacity::default()).into_iter().map(|k| format!("gateway.vm.{k}"));
-    let missing: Vec<String> = top.chain(bounds).chain(vm).filter(|k| !named.contains(k)).collect();
+    let missing: Vec<String> =
+        top.chain(bounds).chain(vm).filter(|k| !documented.contains(k)).collect();
     assert_eq!(missing, Vec::<String>::new());
 }
 
 #[test]
-fn the_template_of_the_deployment_yields_settings() {
+fn deployment_template_yields_valid_settings() {
     let text = read("deploy/settings.template.json");
-    let gap = |name: &str| match name {
+    let placeholder = |name: &str| match name {
         "nodeName" | "zone" => "name".to_owned(),
         "ip" => "10.0.0.1".to_owned(),
         address if address.starts_with("listen.") || address.ends_with("address") => {
@@ -69,7 +70,7 @@
         }
         "bounds.retryBudgetRatio" => "0.2".to_owned(),
         "firstStart" => "true".to_owned(),
-        // A list of one entry.
+        // A list with one entry.
         "." => "10.0.0.1:80".to_owned(),
         "#seeds" | "," | "/seeds" => String::new(),
         _ => "1000".to_owned(),
@@ -79,7 +80,7 @@
     while let Some((before, after)) = rest.split_once("{{") {
         let (name, after) = after.split_once("}}").unwrap();
         filled.push_str(before);
-        filled.push_str(&gap(name));
+        filled.push_str(&placeholder(name));
         rest = after;
     }
     filled.push_str(rest);
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn every_default_of_a_route_is_the_one_written_down() {
+fn documented_route_defaults_match_the_code() {
     let text = read("docs/operate/settings.md").replace('\u{a0}', " ");
     let defaults = serde_json::to_value(RouteSettings::default()).unwrap();
     for (key, value) in defaults.as_object().unwrap() {
@@ -103,12 +104,12 @@
 }
 
 #[test]
-fn every_event_and_metric_has_a_row() {
-    let named = named(&read("docs/operate/logs-and-metrics.md"));
+fn every_event_and_metric_is_documented() {
+    let documented = documented(&read("docs/operate/logs-and-metrics.md"));
     let events = Event::NAMES.iter().chain(GatewayEvent::NAMES.iter());
     let metrics = METRICS.iter().chain(GATEWAY_METRICS.iter()).map(|(n, _)| n);
     let all = events.chain(metrics);
-    let missing: Vec<&&str> = all.filter(|n| !named.contains(**n)).collect();
+    let missing: Vec<&&str> = all.filter(|n| !documented.contains(**n)).collect();
     assert_eq!(missing, Vec::<&&str>::new());
 }
 
