--- a/crates/heathpitchd/src/filters/limit.rs
+++ b/crates/heathpitchd/src/filters/limit.rs
@@ -60,8 +60,8 @@
 
 /// Requests this node may have open for the model: its share of the slots on complete paths.
 fn capacity(fleet: &Fleet, matched: &RouteMatch, nodes: u32) -> u32 {
-    let held = fleet.engines_for(&matched.model.name).iter();
-    let usable = held.filter(|u| matched.index.admits(&matched.route, u.labels()));
+    let engines = fleet.engines_for(&matched.model.name).iter();
+    let usable = engines.filter(|u| matched.index.admits(&matched.route, u.labels()));
     let slots: u64 =
         usable.map(|u| u64::from(u.report.slots) * u64::from(u.report.layers.count())).sum();
     let paths = slots as f64 / f64::from(matched.model.layers.max(1));
--- a/crates/heathpitchd/src/filters/run/attempt.rs
+++ b/crates/heathpitchd/src/filters/run/attempt.rs
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Probes every engine of a path and marks those that do not answer as suspect.
+    /// Probes every engine of a path and marks those that do not answer as suspect; returns whether
+    /// all answered.
     pub(super) async fn probe(&mut self, path: &Path) -> bool {
         let suspects =
             probe::find_suspects(self.cx.traffic.clone(), probe::path_targets(path)).await;
--- a/crates/heathpitchd/src/main.rs
+++ b/crates/heathpitchd/src/main.rs
@@ -20,7 +20,7 @@
 /// Exit code if draining cut off requests.
 const EXIT_REQUESTS_CUT: u8 = 4;
 
-/// Command-line arguments.
+/// Command-line arguments of the node.
 #[derive(Debug, Options)]
 struct Arguments {
     /// Prints this help.
