--- a/crates/heathpitchd/src/main.rs
+++ b/crates/heathpitchd/src/main.rs
@@ -9,7 +9,7 @@
 
 use heathpitch_core::{ConfigError, GatewaySettings, parse_settings};
 use heathpitch_net::Client;
-use heathpitch_platform::{HttpOrders, HttpStore, PlatformDialect};
+use heathpitch_platform::{HttpEngineControl, HttpStore, PlatformDialect};
 use heathpitchd::{Edges, Gateway, Node, StartError, init_logs};
 use log::LevelFilter;
 
@@ -86,7 +86,7 @@
     let edges = Edges {
         store: Arc::new(HttpStore::new(settings.store)),
         dialect: Arc::new(PlatformDialect),
-        orders: Arc::new(HttpOrders::new(Client::new())),
+        orders: Arc::new(HttpEngineControl::new(Client::new())),
     };
     let gateway = Gateway::spawn(settings, edges)?;
     gateway.serve(path)?;
--- a/crates/heathpitchd/tests/gateway/mod.rs
+++ b/crates/heathpitchd/tests/gateway/mod.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime};
 
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Proxy, RouteSpec, Site, Store};
+use heathpitch_standin::{Caller, Engine, GatewayProcess, Proxy, RouteSpec, Store, TestConfig};
 use hyper::Method;
 use serde_json::{Value, json};
 
@@ -21,14 +21,14 @@
 /// A store with a configuration, and a node before it.
 pub(crate) struct World {
     pub(crate) store: Store,
-    pub(crate) site: Site,
+    pub(crate) site: TestConfig,
 }
 
 impl World {
     /// A store with the usual configuration.
     pub(crate) fn new() -> Self {
         let store = Store::spawn().unwrap();
-        let site = Site {
+        let site = TestConfig {
             version: 3,
             routes: vec![
                 RouteSpec::idempotent("/get/", "api"),
--- a/crates/heathpitchd/tests/gateway_calls.rs
+++ b/crates/heathpitchd/tests/gateway_calls.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World, wait};
-use heathpitch_standin::{CALL_ID, CALL_TIME, Caller, Play, RawEngine};
+use heathpitch_standin::{Behavior, CALL_DEADLINE, CALL_ID, Caller, RawEngine};
 use hyper::Method;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -64,7 +64,7 @@
     let world = World::new();
     let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
-    for play in [Play::Lose, Play::OtherId, Play::Unstamped] {
+    for play in [Behavior::DropConnection, Behavior::WrongId, Behavior::NoDigest] {
         a.play(play);
         b.play(play);
         let before = a.seen().len() + b.seen().len();
@@ -81,19 +81,25 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.play(Play::Refuse);
+    engine.play(Behavior::Refuse);
     let caller = Caller::new(node.listen).key(KEY);
     let reply = caller.call(Method::POST, "/book/x", "1").await.unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some());
-    engine.play(Play::Fail(500));
+    engine.play(Behavior::Fail(500));
     let reply = caller.call(Method::POST, "/book/x", "1").await.unwrap();
     assert_eq!((reply.status, reply.stamp()), (500, Some("stamp-a")));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idempotent_call_is_tried_at_another_engine() {
-    for play in [Play::Lose, Play::OtherId, Play::Unstamped, Play::Refuse, Play::Fail(500)] {
+    for play in [
+        Behavior::DropConnection,
+        Behavior::WrongId,
+        Behavior::NoDigest,
+        Behavior::Refuse,
+        Behavior::Fail(500),
+    ] {
         let world = World::new();
         let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
         let node = world.node().await;
@@ -133,7 +139,7 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.play(Play::Hang);
+    engine.play(Behavior::Hang);
     let start = Instant::now();
     let reply = Caller::new(node.listen).key(KEY).call(Method::GET, "/short/x", "").await.unwrap();
     assert_eq!(reply.status, 504);
@@ -174,7 +180,7 @@
         "POST /book/x HTTP/1.1\r\nhost: desk.example\r\nauthorization: Bearer key-of-desk\r\n";
     for (rest, status) in [
         (format!("{CALL_ID}: 1\r\ncontent-length: 3\r\ncontent-length: 5\r\n\r\nabc"), "400"),
-        (format!("{CALL_ID}: 1\r\n{CALL_TIME}: soon\r\ncontent-length: 0\r\n\r\n"), "400"),
+        (format!("{CALL_ID}: 1\r\n{CALL_DEADLINE}: soon\r\ncontent-length: 0\r\n\r\n"), "400"),
         ("content-length: 0\r\n\r\n".to_owned(), "400"),
         (format!("{CALL_ID}: 1\r\nx-pad: {}\r\n\r\n", "y".repeat(60_000)), "431"),
     ] {
@@ -193,7 +199,7 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.play(Play::Lose);
+    engine.play(Behavior::DropConnection);
     let caller = Caller::new(node.listen).key(KEY);
     caller.call(Method::POST, "/book/x", "1").await.unwrap();
     let request = engine.seen()[0].id().unwrap().to_owned();
--- a/crates/heathpitchd/tests/gateway_crashing_requests.rs
+++ b/crates/heathpitchd/tests/gateway_crashing_requests.rs
@@ -1,6 +1,6 @@
 //! Requests under which engines end.
 //!
-//! Seen: one request ended nine to seventeen engines, one after the other, each with all streams that ran
+//! ReceivedRequest: one request ended nine to seventeen engines, one after the other, each with all streams that ran
 //! there; between two of them a failure domain had no first layers. It came about because the request ended
 //! the engine that began to run it, was sent to a second one, and came back by its caller, with another
 //! id and at another node. The cause: what a node learned from the loss of an engine ended with the
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World, fed, wait, wall_ms};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Play, Reply};
+use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, Reply};
 use hyper::Method;
 use serde_json::{Value, json};
 
@@ -29,7 +29,7 @@
 fn engines(world: &World, count: usize) -> Vec<Engine> {
     let engine = |i: usize| {
         let engine = world.engine(&format!("e{i}"), "one");
-        engine.play(Play::Stream(40, Duration::from_millis(25)));
+        engine.play(Behavior::Stream(40, Duration::from_millis(25)));
         engine.end_by(FATAL);
         engine
     };
@@ -252,13 +252,13 @@
 async fn engines_that_break_answers_off_have_not_ended() {
     let world = World::new();
     let engines = engines(&world, 6);
-    engines.iter().for_each(|e| e.play(Play::CutAfter(0)));
+    engines.iter().for_each(|e| e.play(Behavior::TruncateAfter(0)));
     let node = world.node().await;
     for _ in 0..8 {
         tell(&node, "proper").await;
     }
     assert_eq!(node.events("engine_ended").len(), 0);
-    engines.iter().for_each(|e| e.play(Play::Stream(3, Duration::from_millis(2))));
+    engines.iter().for_each(|e| e.play(Behavior::Stream(3, Duration::from_millis(2))));
     assert_eq!(tell(&node, "proper").await.status, 200);
 }
 
@@ -299,7 +299,7 @@
     };
     tokio::join!(call, fault);
     let gone = engines.iter().find(|e| e.ended()).unwrap();
-    engines.iter().for_each(|e| e.play(Play::Stream(2, Duration::from_millis(2))));
+    engines.iter().for_each(|e| e.play(Behavior::Stream(2, Duration::from_millis(2))));
     for node in &nodes {
         let left = |e: &Value| e["engine"] == gone.id.as_str() && e["why"] == "it has ended";
         wait("it is left", async || node.events("engine_doubted").iter().any(left)).await;
--- a/crates/heathpitchd/tests/gateway_dead_links.rs
+++ b/crates/heathpitchd/tests/gateway_dead_links.rs
@@ -1,6 +1,6 @@
 //! Links to the store that lose connections without a word.
 //!
-//! Seen: a node sent streams to an engine 2.3 s after the store had taken its word that it leaves;
+//! ReceivedRequest: a node sent streams to an engine 2.3 s after the store had taken its word that it leaves;
 //! 2.0 s are agreed. The node's failure domain had been cut off for 6 s, and its link had been back for
 //! 2.6 s. How it came about: its watch of the engines had been asked just before the cut, on a
 //! connection that did not come back with the network; a proof of the configuration on a new connection
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World, fed, reachable, wait, wall_ms};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Link, Proxy};
+use heathpitch_standin::{Caller, Engine, GatewayProcess, LinkMode, Proxy};
 use hyper::Method;
 use serde_json::json;
 
@@ -41,10 +41,10 @@
 /// Cuts a node off from the store until it knows; its connections don't come back with the link. Gives
 /// when the link was sound again, once the store answers.
 async fn cut_off(node: &GatewayProcess, link: &Proxy) -> Instant {
-    link.set(Link::Silent);
+    link.set(LinkMode::Blackhole);
     wait("the node knows", async || reachable(node) == Some(false)).await;
     link.lose();
-    link.set(Link::Pass);
+    link.set(LinkMode::Pass);
     let sound = Instant::now();
     wait("the store answers", async || reachable(node) == Some(true)).await;
     sound
--- a/crates/heathpitchd/tests/gateway_feed.rs
+++ b/crates/heathpitchd/tests/gateway_feed.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use gateway::{KEY, World, fed, reachable, status, wait, wall_ms};
-use heathpitch_standin::{Caller, GatewayProcess, Link, Mode, Play, Proxy, RouteSpec};
+use heathpitch_standin::{Behavior, Caller, GatewayProcess, LinkMode, Proxy, RouteSpec, StoreMode};
 use hyper::Method;
 use serde_json::json;
 
@@ -47,7 +47,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_the_store_turns_away_hears_everything_from_the_planner() {
-    for spoilt in [Link::Reset, Link::Silent, Link::OneWay] {
+    for spoilt in [LinkMode::Reset, LinkMode::Blackhole, LinkMode::OneWay] {
         let mut world = World::new();
         world.engine("a", "api");
         let (_planner, other, link) = pair(&world).await;
@@ -73,7 +73,7 @@
     let mut world = World::new();
     world.engine("a", "api");
     let (_planner, other, link) = pair(&world).await;
-    link.set(Link::Silent);
+    link.set(LinkMode::Blackhole);
     let caller = Caller::new(other.listen).key(KEY);
     assert_eq!(status(&caller, "/get/x").await, 200);
     world.site.version = 9;
@@ -104,13 +104,13 @@
     let world = World::new();
     world.engine("a", "api");
     let (planner, link, other) = world.planner_and_follower().await;
-    link.set(Link::Silent);
+    link.set(LinkMode::Blackhole);
     wait("the feed is lost", async || fed(&other) == Some(false)).await;
     wait("the second node plans", async || {
         other.events("domain_planner").iter().any(|e| e["active"] == true)
     })
     .await;
-    link.set(Link::Pass);
+    link.set(LinkMode::Pass);
     wait("the first one is fed", async || fed(&planner) == Some(true)).await;
 }
 
@@ -122,7 +122,7 @@
     b.hold(4, 8);
     c.hold(0, 4);
     for e in [&a, &b, &c] {
-        e.play(Play::Stream(5, Duration::from_millis(2)));
+        e.play(Behavior::Stream(5, Duration::from_millis(2)));
     }
     let (planner, other, _link) = pair(&world).await;
     for (slow, quick) in [(&a, &c), (&c, &a)] {
@@ -178,10 +178,10 @@
         world.store.list_engine(&format!("z{i}"), "api", "mem", ([127, 0, 0, 1], 9).into());
     }
     let (planner, other, _link) = pair(&world).await;
-    world.store.behave(Mode::Busy);
+    world.store.behave(StoreMode::Unavailable);
     wait("both know", async || reachable(&planner) == Some(false) && fed(&other) == Some(false))
         .await;
-    world.store.behave(Mode::Up);
+    world.store.behave(StoreMode::Up);
     // From now on entries that are missing are waited for.
     wait("the planner knows", async || reachable(&planner) == Some(true)).await;
     let mut left = Vec::new();
@@ -244,7 +244,7 @@
     let [a, b] = ["a", "b"].map(|id| world.engine(id, "llm"));
     a.hold(0, 4);
     b.hold(4, 8);
-    a.play(Play::Stream(3, Duration::from_millis(5)));
+    a.play(Behavior::Stream(3, Duration::from_millis(5)));
     let _here = world.node().await;
     let there = world.start_in("far", "n9");
     there.wait_ready().await.unwrap();
--- a/crates/heathpitchd/tests/gateway_layers.rs
+++ b/crates/heathpitchd/tests/gateway_layers.rs
@@ -5,7 +5,7 @@
 mod gateway;
 
 use gateway::{KEY, World, wait};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Play};
+use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess};
 use hyper::Method;
 use serde_json::json;
 
@@ -30,7 +30,7 @@
     for engine in &engines {
         let (from, end) = engine.layers();
         assert!(end - from <= 4, "{from}..{end}");
-        engine.play(Play::Stream(2, std::time::Duration::from_millis(1)));
+        engine.play(Behavior::Stream(2, std::time::Duration::from_millis(1)));
     }
     let caller = Caller::new(node.listen).key(KEY);
     wait("streams are served", async || {
@@ -51,7 +51,7 @@
     wait("every layer is held again", async || whole(&engines)).await;
 }
 
-/// An engine's entry may outlive it, as long as the store is away or for good. Seen once: an order to one that had
+/// An engine's entry may outlive it, as long as the store is away or for good. ReceivedRequest once: an order to one that had
 /// ended was counted as taken, so that a layer which it was to hold had no other engine any more, and no
 /// stream was served until the end.
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/heathpitchd/tests/gateway_limits.rs
+++ b/crates/heathpitchd/tests/gateway_limits.rs
@@ -1,6 +1,6 @@
 //! Engines that name how many requests a second they take from all nodes together.
 //!
-//! Seen: two engines in need named limits of 4.9 and 3.6 requests a second in their answers, and got 38 and 37 requests
+//! ReceivedRequest: two engines in need named limits of 4.9 and 3.6 requests a second in their answers, and got 38 and 37 requests
 //! within four seconds, of nodes that had passed such answers on. It came about because each of three nodes went on choosing the
 //! engine by what it knew of its load, about three a second each. The cause: no node read the limit, and a sum over all
 //! nodes is kept by none that keeps it for itself. Proof: on that code the first test here counts 236 to 459 where 26 are
@@ -14,7 +14,7 @@
 
 use futures::future::join_all;
 use gateway::{KEY, World, wait};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Mode, Play, Reply};
+use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, Reply, StoreMode};
 use hyper::Method;
 use serde_json::json;
 
@@ -117,7 +117,7 @@
             world.engine("behind", way.service).hold(4, 8);
         }
         if way.service != "api" {
-            let play = Play::Stream(3, Duration::from_millis(1));
+            let play = Behavior::Stream(3, Duration::from_millis(1));
             [&limited, &other].iter().for_each(|e| e.play(play));
         }
         let none = serde_json::json!({});
@@ -224,7 +224,7 @@
 async fn rights_are_handed_out_while_the_store_is_away() {
     let way = Way { target: "/open/x", ..plain() };
     let fleet = Fleet::of(&way).await;
-    fleet.world.store.behave(Mode::Silent);
+    fleet.world.store.behave(StoreMode::Hang);
     let (most, rate) =
         under(&fleet, &way, Duration::from_secs(11), Duration::from_secs(3), async {}).await;
     assert!(most <= allowed(LIMIT.0), "{most}");
@@ -271,7 +271,7 @@
     let [first, behind] = ["a", "b"].map(|id| world.engine(id, "llm"));
     first.hold(0, 4);
     behind.hold(4, 8);
-    first.play(Play::Stream(3, Duration::from_millis(1)));
+    first.play(Behavior::Stream(3, Duration::from_millis(1)));
     let node = world.node().await;
     let tell = async || caller(&node).call(Method::POST, "/tell/x", "body").await.unwrap().status;
     assert_eq!(tell().await, 200);
@@ -362,7 +362,7 @@
     let [first, behind] = ["a", "b"].map(|id| world.engine(id, "llm"));
     first.hold(0, 4);
     behind.hold(4, 8);
-    first.play(Play::Stream(3, Duration::from_millis(1)));
+    first.play(Behavior::Stream(3, Duration::from_millis(1)));
     let tell = async |node: &GatewayProcess| {
         caller(node).call(Method::POST, "/tell/x", "body").await.unwrap().status
     };
--- a/crates/heathpitchd/tests/gateway_lives.rs
+++ b/crates/heathpitchd/tests/gateway_lives.rs
@@ -5,7 +5,7 @@
 mod gateway;
 
 use gateway::{KEY, World, fed, status, wait};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, bad_entries};
+use heathpitch_standin::{Caller, Engine, GatewayProcess, invalid_entries};
 use serde_json::json;
 
 /// Layers of the model that the engines hold.
@@ -100,7 +100,7 @@
 async fn entries_of_another_writer_name_no_engine_and_the_others_hold() {
     let world = World::new();
     let (good, bad) = (world.engine("good", "api"), world.engine("bad", "api"));
-    let entries = bad_entries(&bad.entry("ready"));
+    let entries = invalid_entries(&bad.entry("ready"));
     bad.unlist();
     let put_bad = || {
         for (number, entry) in entries.iter().enumerate() {
--- a/crates/heathpitchd/tests/gateway_stop.rs
+++ b/crates/heathpitchd/tests/gateway_stop.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use gateway::{KEY, LIMIT, World, wait};
-use heathpitch_standin::{Caller, Play};
+use heathpitch_standin::{Behavior, Caller};
 use http_body_util::BodyExt;
 use hyper::Method;
 
@@ -17,7 +17,7 @@
     let engine = world.engine("one", "one");
     world.engine("a", "api");
     let mut node = world.node().await;
-    engine.play(Play::Stream(100, Duration::from_millis(40)));
+    engine.play(Behavior::Stream(100, Duration::from_millis(40)));
     let caller = Caller::new(node.listen).key(KEY);
     let (reply, rest) = caller.open(Method::POST, "/whole/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 200);
--- a/crates/heathpitchd/tests/gateway_store.rs
+++ b/crates/heathpitchd/tests/gateway_store.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use gateway::{KEY, KEY_2, World, status, wait};
-use heathpitch_standin::{CONFIG, Caller, GatewayProcess, Mode, RouteSpec};
+use heathpitch_standin::{CONFIG_KEY, Caller, GatewayProcess, RouteSpec, StoreMode};
 use serde_json::json;
 
 /// Takes the store away, or brings it back, and waits until the node knows.
 async fn store_goes(world: &World, node: &GatewayProcess, up: bool) {
-    world.store.behave(if up { Mode::Up } else { Mode::Busy });
+    world.store.behave(if up { StoreMode::Up } else { StoreMode::Unavailable });
     wait("the node knows of the store", async || {
         node.events("store_reachable").iter().any(|e| e["reachable"] == up)
     })
@@ -50,7 +50,7 @@
     world.store.configure(&json!({ "version": 12, "routes": [{ "name": "r" }] }));
     wait("it is rejected", async || !node.events("config_rejected").is_empty()).await;
     let error = node.events("config_rejected")[0]["error"].as_str().unwrap().to_owned();
-    assert!(error.starts_with(CONFIG) && error.contains("routes[0]"), "{error}");
+    assert!(error.starts_with(CONFIG_KEY) && error.contains("routes[0]"), "{error}");
     assert_eq!(status(&Caller::new(node.listen).key(KEY), "/get/x").await, 200);
 }
 
@@ -70,7 +70,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_fresh_proof_no_key_is_believed() {
-    for mode in [Mode::Silent, Mode::Busy] {
+    for mode in [StoreMode::Hang, StoreMode::Unavailable] {
         let world = World::new();
         let engine = world.engine("a", "api");
         let node = world.node_with(&json!({ "revoke_ms": 2_500 })).await;
@@ -84,7 +84,7 @@
         // What needs no key is served on, and what is not known is put off, not denied.
         assert_eq!(status(&Caller::new(node.listen), "/open/x").await, 200);
         assert_eq!(status(&caller, "/nowhere/x").await, 503);
-        world.store.behave(Mode::Up);
+        world.store.behave(StoreMode::Up);
         wait("keys are believed again", async || status(&caller, "/get/x").await == 200).await;
     }
 }
@@ -151,10 +151,10 @@
 async fn a_lost_answer_of_the_store_leaves_one_planner() {
     let world = World::new();
     world.engine("a", "api");
-    world.store.behave(Mode::Lost);
+    world.store.behave(StoreMode::LoseWriteResponses);
     let first = world.start("n1", &json!({}));
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    world.store.behave(Mode::Up);
+    world.store.behave(StoreMode::Up);
     first.wait_ready().await.unwrap();
     let second = world.start("n2", &json!({}));
     second.wait_ready().await.unwrap();
--- a/crates/heathpitchd/tests/gateway_streams.rs
+++ b/crates/heathpitchd/tests/gateway_streams.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use gateway::{KEY, World, wait};
-use heathpitch_standin::{Caller, Engine, Play};
+use heathpitch_standin::{Behavior, Caller, Engine};
 use http_body_util::BodyExt;
 use hyper::Method;
 
@@ -20,7 +20,7 @@
     b.hold(4, 8);
     c.hold(0, 4);
     for e in [&a, &b, &c] {
-        e.play(Play::Stream(20, SHORT));
+        e.play(Behavior::Stream(20, SHORT));
     }
     [a, b, c]
 }
@@ -54,8 +54,8 @@
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     for (broken, other) in [(&a, &c), (&c, &a)] {
-        broken.play(Play::CutAfter(7));
-        other.play(Play::Stream(20, SHORT));
+        broken.play(Behavior::TruncateAfter(7));
+        other.play(Behavior::Stream(20, SHORT));
         for _ in 0..4 {
             let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
             assert_eq!((reply.status, reply.whole), (200, true));
@@ -82,7 +82,7 @@
     let world = World::new();
     let engine = world.engine("only", "one");
     let node = world.node().await;
-    engine.play(Play::CutAfter(3));
+    engine.play(Behavior::TruncateAfter(3));
     let caller = Caller::new(node.listen).key(KEY);
     let reply = caller.call(Method::POST, "/whole/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 200);
@@ -95,7 +95,7 @@
     let world = World::new();
     let engine = world.engine("only", "one");
     let node = world.node().await;
-    engine.play(Play::Stream(10_000, SHORT));
+    engine.play(Behavior::Stream(10_000, SHORT));
     let caller = Caller::new(node.listen).key(KEY);
     let (reply, rest) = caller.open(Method::POST, "/whole/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 200);
@@ -127,7 +127,7 @@
     let node = world.node().await;
     // The stream falls silent after its first event, as if the engine behind were gone.
     for head in [&a, &d] {
-        head.play(Play::Stream(3, Duration::from_millis(1_500)));
+        head.play(Behavior::Stream(3, Duration::from_millis(1_500)));
     }
     let caller = Caller::new(node.listen).key(KEY);
     let (_, rest) = caller.open(Method::POST, "/tell/x", "prompt").await.unwrap();
@@ -160,7 +160,7 @@
     d.hold(5, 8);
     e.hold(5, 8);
     let node = world.node().await;
-    a.play(Play::Stream(3, Duration::from_millis(4_000)));
+    a.play(Behavior::Stream(3, Duration::from_millis(4_000)));
     // More than half of the room beside three layers: one that holds the stream looks full to it.
     let caller = Caller::new(node.listen).key(KEY).sized("300000,10");
     let (_, rest) = caller.open(Method::POST, "/tell/x", "prompt").await.unwrap();
@@ -186,12 +186,12 @@
     a.hold(0, 4);
     b.hold(4, 8);
     let node = world.node().await;
-    a.play(Play::Stream(4, Duration::from_millis(600)));
+    a.play(Behavior::Stream(4, Duration::from_millis(600)));
     let caller = Caller::new(node.listen).key(KEY);
     let (_, rest) = caller.open(Method::POST, "/tell/x", "prompt").await.unwrap();
     // The first engine takes no more connections, but its stream goes on; the other refuses.
     let d = world.engine("d", "llm");
-    d.play(Play::Refuse);
+    d.play(Behavior::Refuse);
     d.hold(0, 4);
     a.close();
     let body = rest.collect().await.unwrap().to_bytes();
@@ -209,7 +209,7 @@
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     for refusing in [&b, &c] {
-        a.play(Play::Blame(refusing.address));
+        a.play(Behavior::RefuseVia(refusing.address));
         let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
         assert_eq!((reply.status, reply.whole), (200, true));
         assert_eq!(reply.events(), (1..=20).collect::<Vec<_>>());
@@ -226,7 +226,7 @@
     b.hold(4, 8);
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
-    a.play(Play::Stream(3, Duration::from_millis(5)));
+    a.play(Behavior::Stream(3, Duration::from_millis(5)));
     // Room for 125 000 tokens beside four layers.
     b.fill(124_000);
     wait("the engine's report is known", async || {
--- a/crates/heathpitchd/tests/gateway_suspended.rs
+++ b/crates/heathpitchd/tests/gateway_suspended.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World, fed, status, wait};
-use heathpitch_standin::{Caller, Link, Play};
+use heathpitch_standin::{Behavior, Caller, LinkMode};
 use hyper::Method;
 use serde_json::json;
 
@@ -21,7 +21,7 @@
     node.wait_ready().await.unwrap();
     let caller = Caller::new(node.listen).key(KEY);
     wait("calls are served", async || status(&caller, "/get/x").await == 200).await;
-    link.set(Link::Silent);
+    link.set(LinkMode::Blackhole);
     node.signal("USR2").unwrap();
     wait("it knows", async || !node.events("vm_suspended").is_empty()).await;
     assert_eq!(status(&caller, "/get/x").await, 503);
@@ -30,7 +30,7 @@
     let refused = node.events("call_refused");
     assert_eq!(refused[0]["kind"], "stale_keys");
     assert!(refused[0]["proof_ms"].as_u64().unwrap() >= 10_000);
-    link.set(Link::Pass);
+    link.set(LinkMode::Pass);
     wait("it is told and serves again", async || status(&caller, "/get/x").await == 200).await;
 }
 
@@ -39,7 +39,7 @@
     let world = World::new();
     world.engine("a", "api");
     let (planner, link, other) = world.planner_and_follower().await;
-    link.set(Link::Silent);
+    link.set(LinkMode::Blackhole);
     planner.signal("USR2").unwrap();
     let begun = Instant::now();
     wait("it gives its planner up", async || fed(&other) == Some(false)).await;
@@ -52,8 +52,8 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let stream = world.engine("b", "one");
-    engine.play(Play::Hang);
-    stream.play(Play::Stream(10_000, Duration::from_millis(50)));
+    engine.play(Behavior::Hang);
+    stream.play(Behavior::Stream(10_000, Duration::from_millis(50)));
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     let begun = Instant::now();
--- a/crates/heathpitchd/tests/gateway_wishes.rs
+++ b/crates/heathpitchd/tests/gateway_wishes.rs
@@ -1,6 +1,6 @@
 //! Engines that ask for rest, or say in their answers that they leave.
 //!
-//! Seen: an engine turned a node away with a time for which it wanted nothing from it, and got eight requests
+//! ReceivedRequest: an engine turned a node away with a time for which it wanted nothing from it, and got eight requests
 //! from that node within it; another node sent it five. It came about because it had the least load of its
 //! service, as it turned everybody away at once, so that call after call was sent there: of one node's
 //! seventeen calls in six seconds eleven. The cause: a node took from such an answer that the call had not run,
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Play, Reply};
+use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, Reply};
 use hyper::Method;
 
 /// Rest that engines ask for, and as they write it.
@@ -80,7 +80,7 @@
             world.engine("behind", service).hold(4, 8);
         }
         if service != "api" {
-            let play = Play::Stream(3, Duration::from_millis(1));
+            let play = Behavior::Stream(3, Duration::from_millis(1));
             [&a, &b].iter().for_each(|e| e.play(play));
         }
         let node = world.node().await;
@@ -100,7 +100,7 @@
         let pair = Pair::of(&method, target, service).await;
         let [tired, other] = &pair.engines;
         tired.rest(REST.1);
-        tired.play(Play::Refuse);
+        tired.play(Behavior::Refuse);
         let replies = call_for(&pair.caller(), REST.0, method, target).await;
         let served = replies.iter().filter(|r| r.status == 200).count();
         assert!(other.seen().len() >= served);
--- a/crates/heathpitchd/tests/gateway_wishes_bind.rs
+++ b/crates/heathpitchd/tests/gateway_wishes_bind.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World, status, wait};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Link, Play, Reply};
+use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, LinkMode, Reply};
 use hyper::Method;
 use serde_json::Value;
 
@@ -25,7 +25,7 @@
 /// Turns away what comes, and asks for this rest.
 fn tire(engine: &Engine, rest: &str) {
     engine.rest(rest);
-    engine.play(Play::Refuse);
+    engine.play(Behavior::Refuse);
 }
 
 fn is(event: &Value, engine: &Engine) -> bool {
@@ -55,7 +55,7 @@
     assert!(backs.iter().any(|b| *b != backs[0]), "not all at once: {backs:?}");
     let came: usize = engines.iter().map(|e| e.seen().len()).sum();
     assert_eq!(came, 2, "each turned one away");
-    engines.iter().for_each(|e| e.play(Play::Whole));
+    engines.iter().for_each(|e| e.play(Behavior::Echo));
     wait("an engine is taken up again", async || get(&node).await.status == 200).await;
     assert!(begun.elapsed() >= Duration::from_millis(1_200), "{:?}", begun.elapsed());
 }
@@ -91,12 +91,12 @@
     for nonsense in ["soon", "-3", "NaN", "Fri, 04 Dec 2026 00:00:00 GMT"] {
         tire(&engine, nonsense);
         get(&node).await;
-        engine.play(Play::Whole);
+        engine.play(Behavior::Echo);
         assert_eq!(get(&node).await.status, 200, "{nonsense}");
     }
     tire(&engine, "1e300");
     get(&node).await;
-    engine.play(Play::Whole);
+    engine.play(Behavior::Echo);
     assert_eq!(get(&node).await.status, 503);
     engine.restart();
     engine.list("ready");
@@ -140,7 +140,7 @@
     let far = world.start_in("atl", "n3");
     far.wait_ready().await.unwrap();
     wait("planners know each other", async || !far.events("neighbour_changed").is_empty()).await;
-    link.set(Link::Silent);
+    link.set(LinkMode::Blackhole);
     leaving.leave(true);
     wait("the follower has heard it", async || {
         assert_eq!(status(&caller(&follower), "/open/x").await, 200);
@@ -210,7 +210,7 @@
     [&b, &c].iter().for_each(|e| e.hold(4, 8));
     let node = world.node().await;
     let heads = [&a, &d];
-    heads.iter().for_each(|e| e.play(Play::Blame(b.address)));
+    heads.iter().for_each(|e| e.play(Behavior::RefuseVia(b.address)));
     heads.iter().for_each(|e| e.rest("30"));
     let tell = async || caller(&node).call(Method::POST, "/tell/x", "prompt").await.unwrap();
     let through = |engine: &Engine| {
@@ -231,7 +231,7 @@
 async fn running_streams_go_on_at_an_engine_that_asks_for_rest_or_leaves() {
     let world = World::new();
     let (a, b) = (world.engine("a", "one"), world.engine("b", "one"));
-    [&a, &b].iter().for_each(|e| e.play(Play::Stream(40, Duration::from_millis(20))));
+    [&a, &b].iter().for_each(|e| e.play(Behavior::Stream(40, Duration::from_millis(20))));
     let node = world.node().await;
     let long = async || caller(&node).call(Method::POST, "/whole/x", "long").await.unwrap();
     let wish = async {
@@ -254,7 +254,7 @@
 async fn an_engine_that_turns_calls_away_without_a_time_is_passed_over_for_a_moment() {
     let world = World::new();
     let (away, _other) = (world.engine("a", "api"), world.engine("b", "api"));
-    away.play(Play::Refuse);
+    away.play(Behavior::Refuse);
     let node = world.node().await;
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_millis(1_000) {
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use heathpitch_standin::{Reply, Seen};
+use heathpitch_standin::{ReceivedRequest, Reply};
 
 use crate::load::{Kind, Told};
 use crate::world::{EVENTS, FATAL};
@@ -85,7 +85,7 @@
     /// Calls.
     pub told: Vec<Told>,
     /// Requests that reached engines.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<ReceivedRequest>,
     /// Keys that were taken away.
     pub revoked: Vec<Revoked>,
     /// Time after which such a key may not work.
@@ -104,7 +104,7 @@
 impl Evidence {
     /// Every promise that was broken.
     pub fn judge(&self) -> Vec<Breach> {
-        let mut runs: HashMap<&str, Vec<&Seen>> = HashMap::new();
+        let mut runs: HashMap<&str, Vec<&ReceivedRequest>> = HashMap::new();
         for seen in self.seen.iter().filter(|s| s.ran) {
             runs.entry(seen.id().unwrap_or_default()).or_default().push(seen);
         }
@@ -134,11 +134,12 @@
     /// The fatal request reached engines more often than agreed after it had ended three, from nodes that
     /// nothing disturbed meanwhile; or a proper one was held back with it.
     fn repeated(&self) -> Vec<Breach> {
-        let fatal = |s: &&Seen| &s.body[..] == FATAL.as_bytes();
-        let mut seen: Vec<&Seen> = self.seen.iter().filter(fatal).collect();
+        let fatal = |s: &&ReceivedRequest| &s.body[..] == FATAL.as_bytes();
+        let mut seen: Vec<&ReceivedRequest> = self.seen.iter().filter(fatal).collect();
         seen.sort_by_key(|s| s.at);
         let third = seen.iter().filter(|s| s.ran).nth(2).map(|s| s.at);
-        let node = |s: &Seen| self.told.iter().find(|t| s.id() == Some(&t.id)).map(|t| t.node);
+        let node =
+            |s: &ReceivedRequest| self.told.iter().find(|t| s.id() == Some(&t.id)).map(|t| t.node);
         let later = seen.into_iter().filter(|s| third.is_some_and(|at| s.at > at + IN_TOUCH));
         let more = later.filter(|s| !self.disturbed(node(s), s.at)).skip(AGAIN).map(|s| Breach {
             promise: "a request that ended three engines reaches three more at most",
@@ -163,12 +164,12 @@
     /// disturbed meanwhile; that the node which tells them was disturbed is no excuse.
     fn misled(&self) -> Vec<Breach> {
         let nodes = self.nodes();
-        let late = |s: &&Seen| {
+        let late = |s: &&ReceivedRequest| {
             let left = self.left.iter().find(|l| s.engine() == Some(&l.engine));
             let node = s.id().and_then(|id| nodes.get(id)).copied();
             left.is_some_and(|l| s.at > l.at + DRAIN) && !self.disturbed(node, s.at)
         };
-        let breach = |s: &Seen| Breach {
+        let breach = |s: &ReceivedRequest| Breach {
             promise: "an engine that left gets no work",
             id: s.id().map(str::to_owned),
             what: format!("at {:?}", s.engine()),
@@ -180,7 +181,7 @@
     /// any long after it said that it leaves. What disturbed the node or held requests up meanwhile excuses it.
     fn unheeded(&self) -> Vec<Breach> {
         let nodes = self.nodes();
-        let mut visits: HashMap<(&str, usize), Vec<&Seen>> = HashMap::new();
+        let mut visits: HashMap<(&str, usize), Vec<&ReceivedRequest>> = HashMap::new();
         for seen in &self.seen {
             let node = seen.id().and_then(|id| nodes.get(id)).copied();
             if let (Some(engine), Some(node)) = (seen.engine(), node) {
@@ -191,13 +192,14 @@
         for ((engine, node), seen) in visits {
             for asked in &seen {
                 let later = |from: Duration| {
-                    let excused = |s: &&&Seen| self.excused(engine, node, asked.at, s.at);
+                    let excused =
+                        |s: &&&ReceivedRequest| self.excused(engine, node, asked.at, s.at);
                     seen.iter().filter(move |s| s.at > asked.at + from).filter(move |s| !excused(s))
                 };
                 let rest = asked.rest.unwrap_or_default();
                 let within = later(UNDER_WAY).filter(|s| s.at < asked.at + rest).nth(IN_REST);
                 let after = later(DRAIN).next().filter(|_| asked.leaves);
-                let breach = |promise, s: &Seen| Breach {
+                let breach = |promise, s: &ReceivedRequest| Breach {
                     promise,
                     id: s.id().map(str::to_owned),
                     what: format!("at {engine}, {} ms later", (s.at - asked.at).as_millis()),
@@ -214,7 +216,7 @@
     /// not. What was disturbed itself is not counted; that the store was, or the node that hands out rights, is no excuse.
     fn exceeded(&self) -> Vec<Breach> {
         let nodes = self.nodes();
-        let mut visits: HashMap<&str, Vec<&Seen>> = HashMap::new();
+        let mut visits: HashMap<&str, Vec<&ReceivedRequest>> = HashMap::new();
         for seen in &self.seen {
             visits.entry(seen.engine().unwrap_or_default()).or_default().push(seen);
         }
@@ -223,13 +225,13 @@
             seen.sort_by_key(|s| s.at);
             for named in seen.split(|s| s.limit.is_none()).filter(|named| !named.is_empty()) {
                 let since = named[0].at + IN_TOUCH;
-                let counts = |s: &&&Seen| {
+                let counts = |s: &&&ReceivedRequest| {
                     let node = s.id().and_then(|id| nodes.get(id));
                     let from = s.at.checked_sub(IN_TOUCH).unwrap_or(s.at);
                     s.at >= since && !node.is_some_and(|n| self.excused(engine, *n, from, s.at))
                 };
-                let counted: Vec<&&Seen> = named.iter().filter(counts).collect();
-                let over = |(i, first): (usize, &&&Seen)| {
+                let counted: Vec<&&ReceivedRequest> = named.iter().filter(counts).collect();
+                let over = |(i, first): (usize, &&&ReceivedRequest)| {
                     let span = counted[i..].iter().take_while(|s| s.at < first.at + SPAN);
                     let most = span.clone().filter_map(|s| s.limit).fold(0.0, f64::max);
                     let allowed = OVER.0 * most * SPAN.as_secs_f64() + OVER.1;
@@ -267,11 +269,11 @@
     fn strange(&self) -> Vec<Breach> {
         let bodies: HashMap<&str, &str> =
             self.told.iter().map(|t| (t.id.as_str(), t.body.as_str())).collect();
-        let strange = |s: &&Seen| {
+        let strange = |s: &&ReceivedRequest| {
             let sent = s.id().and_then(|id| bodies.get(id));
             sent.map(|b| b.as_bytes()) != Some(&s.body[..]) || s.account() != Some(ACCOUNT)
         };
-        let breach = |s: &Seen| Breach {
+        let breach = |s: &ReceivedRequest| Breach {
             promise: "engines run what callers sent",
             id: s.id().map(str::to_owned),
             what: format!("{} {} for {:?}", s.method, s.target, s.account()),
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-use heathpitch_standin::{Link, Mode};
+use heathpitch_standin::{LinkMode, StoreMode};
 use parking_lot::Mutex;
 use tokio::task::JoinSet;
 
@@ -152,19 +152,19 @@
             Fault::StoreLink(node, link, time) => {
                 world.store_link(node, link);
                 tokio::time::sleep(time).await;
-                world.store_link(node, Link::Pass);
+                world.store_link(node, LinkMode::Pass);
             }
             Fault::StoreLoss(node) => world.lose_store(node),
             Fault::Store(mode, time) => {
                 world.store_mode(mode);
                 tokio::time::sleep(time).await;
-                world.store_mode(Mode::Up);
+                world.store_mode(StoreMode::Up);
             }
             Fault::Forget => world.store.forget(),
             Fault::EngineLink(engine, link, time) => {
                 world.engine_link(engine, link);
                 tokio::time::sleep(time).await;
-                world.engine_link(engine, Link::Pass);
+                world.engine_link(engine, LinkMode::Pass);
             }
             Fault::Engine(engine, play, time) => {
                 world.engine_play(engine, Some(play));
--- a/crates/soak/src/script.rs
+++ b/crates/soak/src/script.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use heathpitch_standin::{Link, Mode, Play};
+use heathpitch_standin::{Behavior, LinkMode, StoreMode};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -26,17 +26,17 @@
     /// A node reads its settings again.
     Reload(usize),
     /// A node's link to the store is spoilt.
-    StoreLink(usize, Link, Duration),
+    StoreLink(usize, LinkMode, Duration),
     /// A node's connections to the store fall silent for good; new ones work.
     StoreLoss(usize),
     /// The store misbehaves for all.
-    Store(Mode, Duration),
+    Store(StoreMode, Duration),
     /// The store forgets its history.
     Forget,
     /// The link to an engine is spoilt.
-    EngineLink(usize, Link, Duration),
+    EngineLink(usize, LinkMode, Duration),
     /// An engine treats requests in another way.
-    Engine(usize, Play, Duration),
+    Engine(usize, Behavior, Duration),
     /// A plain engine leaves and another one comes.
     Replace(usize),
     /// A route comes or goes.
@@ -246,31 +246,31 @@
     Some(Step { at: step.at + time + later, fault: Fault::Replace(rng.random_range(0..PLAIN)) })
 }
 
-fn link(rng: &mut StdRng) -> Link {
+fn link(rng: &mut StdRng) -> LinkMode {
     match rng.random_range(0..4) {
-        0 => Link::Delay(Duration::from_millis(rng.random_range(5..400))),
-        1 => Link::OneWay,
-        2 => Link::Silent,
-        _ => Link::Reset,
+        0 => LinkMode::Delay(Duration::from_millis(rng.random_range(5..400))),
+        1 => LinkMode::OneWay,
+        2 => LinkMode::Blackhole,
+        _ => LinkMode::Reset,
     }
 }
 
-fn mode(rng: &mut StdRng) -> Mode {
+fn mode(rng: &mut StdRng) -> StoreMode {
     match rng.random_range(0..3) {
-        0 => Mode::Busy,
-        1 => Mode::Silent,
-        _ => Mode::Lost,
+        0 => StoreMode::Unavailable,
+        1 => StoreMode::Hang,
+        _ => StoreMode::LoseWriteResponses,
     }
 }
 
-fn play(rng: &mut StdRng, engine: usize) -> Play {
+fn play(rng: &mut StdRng, engine: usize) -> Behavior {
     match rng.random_range(0..6) {
-        0 => Play::Refuse,
-        1 => Play::Lose,
-        2 => Play::Fail(500),
-        3 if engine >= PLAIN => Play::CutAfter(rng.random_range(0..15)),
-        3 => Play::OtherId,
-        4 => Play::Unstamped,
-        _ => Play::Hang,
+        0 => Behavior::Refuse,
+        1 => Behavior::DropConnection,
+        2 => Behavior::Fail(500),
+        3 if engine >= PLAIN => Behavior::TruncateAfter(rng.random_range(0..15)),
+        3 => Behavior::WrongId,
+        4 => Behavior::NoDigest,
+        _ => Behavior::Hang,
     }
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, Instant};
 
 use heathpitch_standin::{
-    Caller, Engine, GatewayProcess, Link, Mode, Play, Proxy, RouteSpec, Site, StandInError, Store,
+    Behavior, Caller, Engine, GatewayProcess, LinkMode, Proxy, RouteSpec, StandInError, Store,
+    StoreMode, TestConfig,
 };
 use parking_lot::Mutex;
 use serde_json::json;
@@ -62,7 +63,7 @@
 pub(crate) struct World {
     binary: PathBuf,
     pub(crate) store: Store,
-    site: Mutex<Site>,
+    site: Mutex<TestConfig>,
     links: Vec<Proxy>,
     nodes: Vec<Mutex<Option<GatewayProcess>>>,
     stations: Mutex<Vec<Station>>,
@@ -220,7 +221,7 @@
     }
 
     /// Treats a node's bytes to and from the store in this way.
-    pub(crate) fn store_link(&self, index: usize, link: Link) {
+    pub(crate) fn store_link(&self, index: usize, link: LinkMode) {
         self.links[index].set(link);
     }
 
@@ -235,17 +236,17 @@
     }
 
     /// Has the store behave in this way.
-    pub(crate) fn store_mode(&self, mode: Mode) {
+    pub(crate) fn store_mode(&self, mode: StoreMode) {
         self.store.behave(mode);
     }
 
     /// Treats an engine's bytes in this way.
-    pub(crate) fn engine_link(&self, index: usize, link: Link) {
+    pub(crate) fn engine_link(&self, index: usize, link: LinkMode) {
         self.stations.lock()[index].link.set(link);
     }
 
     /// Has an engine treat requests in this way; none: as usual.
-    pub(crate) fn engine_play(&self, index: usize, play: Option<Play>) {
+    pub(crate) fn engine_play(&self, index: usize, play: Option<Behavior>) {
         self.engine(index).play(play.unwrap_or(usual(index)));
     }
 
@@ -254,7 +255,7 @@
         let new = self.station(index, life)?;
         let old = std::mem::replace(&mut self.stations.lock()[index], new);
         // What its link held back comes before its word, not after.
-        old.link.set(Link::Pass);
+        old.link.set(LinkMode::Pass);
         old.engine.list("draining");
         self.left.lock().push(Left { engine: old.engine.id.clone(), at: Instant::now() });
         self.former.lock().push(old.engine);
@@ -285,7 +286,7 @@
             Some(rest) => engine.rest(rest),
             None => engine.name_no_rest(),
         }
-        engine.play(rest.map_or(usual(index), |_| Play::Refuse));
+        engine.play(rest.map_or(usual(index), |_| Behavior::Refuse));
     }
 
     /// The engine in a place.
@@ -349,7 +350,7 @@
     }
 
     /// Changes the configuration.
-    pub(crate) fn configure(&self, change: impl FnOnce(&mut Site)) {
+    pub(crate) fn configure(&self, change: impl FnOnce(&mut TestConfig)) {
         let mut site = self.site.lock();
         change(&mut site);
         site.version += 3;
@@ -378,13 +379,13 @@
     }
 }
 
-fn usual(index: usize) -> Play {
-    if index < PLAIN { Play::Whole } else { Play::Stream(EVENTS, PAUSE) }
+fn usual(index: usize) -> Behavior {
+    if index < PLAIN { Behavior::Echo } else { Behavior::Stream(EVENTS, PAUSE) }
 }
 
-fn site() -> Site {
+fn site() -> TestConfig {
     let plain = PLAIN_LIMIT.as_millis() as u64;
-    Site {
+    TestConfig {
         version: 3,
         routes: vec![
             RouteSpec::idempotent("/get/", "api").timeout(plain),
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use heathpitch_soak::{Evidence, HeldUp, Kind, Left, Revoked, Told, Trouble};
-use heathpitch_standin::{Reply, Seen};
+use heathpitch_standin::{ReceivedRequest, Reply};
 
 fn told(kind: Kind, status: u16, body: &str) -> Told {
     Told {
@@ -20,11 +20,11 @@
     }
 }
 
-fn seen(body: &str, account: &str) -> Seen {
-    Seen::of("c1", account, body)
+fn seen(body: &str, account: &str) -> ReceivedRequest {
+    ReceivedRequest::of("c1", account, body)
 }
 
-fn broken(told: Told, seen: Vec<Seen>) -> Vec<&'static str> {
+fn broken(told: Told, seen: Vec<ReceivedRequest>) -> Vec<&'static str> {
     let evidence = Evidence { told: vec![told], seen, ..Evidence::default() };
     evidence.judge().iter().map(|b| b.promise).collect()
 }
@@ -39,7 +39,7 @@
     assert_eq!(broken(told(Kind::Book, 200, "body"), vec![one()]), [""; 0]);
     assert_eq!(broken(told(Kind::Get, 200, "body"), vec![one(), one()]), [""; 0]);
     assert_eq!(broken(told(Kind::Tell, 200, &stream(1..=20)), vec![one()]), [""; 0]);
-    let refused = Seen { ran: false, ..one() };
+    let refused = ReceivedRequest { ran: false, ..one() };
     assert_eq!(broken(told(Kind::Book, 503, ""), vec![refused]), [""; 0]);
 }
 
@@ -116,13 +116,13 @@
 #[test]
 fn requests_against_what_an_engine_asked_for_are_found() {
     let now = Instant::now() + Duration::from_secs(10);
-    let visit = |ms: u64| Seen {
+    let visit = |ms: u64| ReceivedRequest {
         at: now + Duration::from_millis(ms),
         ran: false,
         ..seen("body", "desk").at_engine("e1")
     };
-    let asked = |ms, rest| Seen { rest: Some(Duration::from_millis(rest)), ..visit(ms) };
-    let judged = |seen: &[Seen], held_up: &[HeldUp], troubles: &[Trouble]| {
+    let asked = |ms, rest| ReceivedRequest { rest: Some(Duration::from_millis(rest)), ..visit(ms) };
+    let judged = |seen: &[ReceivedRequest], held_up: &[HeldUp], troubles: &[Trouble]| {
         let evidence = Evidence {
             told: vec![told(Kind::Get, 503, "")],
             seen: seen.to_vec(),
@@ -144,7 +144,7 @@
     let trouble = |node| Trouble { node: Some(node), from, until };
     assert_eq!(judged(&three, &[], &[trouble(0)]), 0, "the node was disturbed");
     assert_eq!(judged(&three, &[], &[trouble(1)]), 1, "another one was");
-    let leaves = Seen { leaves: true, ..visit(0) };
+    let leaves = ReceivedRequest { leaves: true, ..visit(0) };
     assert_eq!(judged(&[leaves.clone(), visit(2_100)], &[], &[]), 0);
     assert_eq!(judged(&[leaves, visit(2_300)], &[], &[]), 1);
 }
@@ -152,12 +152,12 @@
 #[test]
 fn more_than_a_limit_allows_of_all_nodes_together_is_found() {
     let now = Instant::now() + Duration::from_secs(20);
-    let visit = |ms: u64, limit: Option<f64>| Seen {
+    let visit = |ms: u64, limit: Option<f64>| ReceivedRequest {
         at: now + Duration::from_millis(ms),
         limit,
         ..seen("body", "desk").at_engine("e1")
     };
-    let judged = |seen: &[Seen], troubles: &[Trouble]| {
+    let judged = |seen: &[ReceivedRequest], troubles: &[Trouble]| {
         let evidence = Evidence {
             told: vec![told(Kind::Get, 200, "body")],
             seen: seen.to_vec(),
@@ -177,10 +177,11 @@
     assert_eq!(judged(&since(3_000, 11, one).collect::<Vec<_>>(), &[]), 0);
     assert_eq!(judged(&since(1_000, 12, one).collect::<Vec<_>>(), &[]), 0, "nodes hear of it");
     assert_eq!(judged(&since(3_000, 12, None).collect::<Vec<_>>(), &[]), 0);
-    let higher: Vec<Seen> = since(3_000, 11, one).chain([visit(4_200, Some(2.0))]).collect();
+    let higher: Vec<ReceivedRequest> =
+        since(3_000, 11, one).chain([visit(4_200, Some(2.0))]).collect();
     assert_eq!(judged(&higher, &[]), 0, "a higher one was named meanwhile");
     let (from, until) = (now + Duration::from_millis(2_900), now + Duration::from_millis(3_000));
-    let many: Vec<Seen> = since(3_000, 12, one).collect();
+    let many: Vec<ReceivedRequest> = since(3_000, 12, one).collect();
     assert_eq!(judged(&many, &[Trouble { node: Some(0), from, until }]), 0, "it was disturbed");
     assert_eq!(judged(&many, &[Trouble { node: Some(1), from, until }]), 1);
     assert_eq!(judged(&many, &[Trouble { node: None, from, until }]), 1, "the store is no excuse");
