--- a/crates/heathpitchd/tests/gateway/mod.rs
+++ b/crates/heathpitchd/tests/gateway/mod.rs
@@ -32,7 +32,7 @@
             version: 3,
             routes: vec![
                 RouteSpec::idempotent("/get/", "api"),
-                RouteSpec::once("/book/", "api"),
+                RouteSpec::at_most_once("/book/", "api"),
                 RouteSpec::stream("/tell/", "llm"),
                 RouteSpec::stream("/whole/", "one"),
                 RouteSpec::idempotent("/open/", "api").public(),
@@ -49,7 +49,7 @@
 
     /// Writes the configuration.
     pub(crate) fn configure(&self) {
-        self.store.configure(&self.site.json());
+        self.store.put_config(&self.site.json());
     }
 
     /// An engine of a service.
--- a/crates/heathpitchd/tests/gateway_calls.rs
+++ b/crates/heathpitchd/tests/gateway_calls.rs
@@ -21,15 +21,15 @@
         Caller::new(node.listen).key(KEY).call(Method::POST, "/book/x?a=%2F", "buy 100").await;
     let reply = reply.unwrap();
     assert_eq!((reply.status, &reply.body[..]), (200, &b"buy 100"[..]));
-    assert_eq!(reply.stamp(), Some("stamp-e1"));
-    let seen = engine.seen().remove(0);
+    assert_eq!(reply.digest(), Some("stamp-e1"));
+    let seen = engine.requests().remove(0);
     assert_eq!((seen.method.as_str(), seen.target.as_str()), ("POST", "/book/x?a=%2F"));
     assert_eq!(&seen.body[..], b"buy 100");
     assert_eq!(seen.account(), Some("desk"));
     assert_eq!(seen.header("authorization"), None);
     assert_eq!(seen.engine(), Some("e1"));
-    assert_eq!(seen.sizes(), Some("100,50"));
-    let left: u64 = seen.left_ms().unwrap();
+    assert_eq!(seen.token_counts(), Some("100,50"));
+    let left: u64 = seen.remaining_ms().unwrap();
     assert!(left <= 5_000 && left > 3_000, "{left}");
 }
 
@@ -43,14 +43,14 @@
     assert_eq!(status(&caller.clone().key(KEY), "/nowhere/").await, 404);
     assert_eq!(status(&caller, "/get/x").await, 401);
     assert_eq!(status(&caller.clone().key("wrong"), "/get/x").await, 401);
-    assert_eq!(engine.seen().len(), 0);
+    assert_eq!(engine.requests().len(), 0);
     assert_eq!(status(&caller, "/open/x").await, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_without_a_configuration_puts_calls_off() {
     let world = World::new();
-    world.store.unconfigure();
+    world.store.remove_config();
     world.engine("e1", "api");
     let node = world.start("n1", &json!({}));
     let reply = Caller::new(node.listen).key(KEY).call(Method::GET, "/get/x", "").await.unwrap();
@@ -65,14 +65,14 @@
     let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
     for play in [Behavior::DropConnection, Behavior::WrongId, Behavior::NoDigest] {
-        a.play(play);
-        b.play(play);
-        let before = a.seen().len() + b.seen().len();
+        a.set_behavior(play);
+        b.set_behavior(play);
+        let before = a.requests().len() + b.requests().len();
         let reply =
             Caller::new(node.listen).key(KEY).call(Method::POST, "/book/x", "1").await.unwrap();
         assert_eq!(reply.status, 502, "{play:?}");
-        assert_eq!(reply.stamp(), None);
-        assert_eq!(a.seen().len() + b.seen().len() - before, 1, "{play:?}");
+        assert_eq!(reply.digest(), None);
+        assert_eq!(a.requests().len() + b.requests().len() - before, 1, "{play:?}");
     }
 }
 
@@ -81,14 +81,14 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.play(Behavior::Refuse);
+    engine.set_behavior(Behavior::Refuse);
     let caller = Caller::new(node.listen).key(KEY);
     let reply = caller.call(Method::POST, "/book/x", "1").await.unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some());
-    engine.play(Behavior::Fail(500));
+    engine.set_behavior(Behavior::Fail(500));
     let reply = caller.call(Method::POST, "/book/x", "1").await.unwrap();
-    assert_eq!((reply.status, reply.stamp()), (500, Some("stamp-a")));
+    assert_eq!((reply.status, reply.digest()), (500, Some("stamp-a")));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -103,14 +103,14 @@
         let world = World::new();
         let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
         let node = world.node().await;
-        a.play(play);
+        a.set_behavior(play);
         let caller = Caller::new(node.listen).key(KEY);
         for _ in 0..6 {
             let reply = caller.call(Method::GET, "/get/x", "").await.unwrap();
             assert_eq!(reply.status, 200, "{play:?}");
-            assert_eq!(reply.stamp(), Some("stamp-b"), "{play:?}");
+            assert_eq!(reply.digest(), Some("stamp-b"), "{play:?}");
         }
-        assert_eq!(b.seen().len(), 6);
+        assert_eq!(b.requests().len(), 6);
     }
 }
 
@@ -118,12 +118,12 @@
 async fn an_answer_that_comes_late_is_never_given_to_another_call() {
     let world = World::new();
     let raw = RawEngine::spawn(|id| {
-        let answer = RawEngine::whole_answer;
+        let answer = RawEngine::complete_response;
         // A second answer follows each one, as if to the call that comes next.
         format!("{}{}", answer(id, &format!("for {id}")), answer(id, "once more")).into_bytes()
     });
     let address = raw.await.unwrap().address;
-    world.store.list_engine("raw", "api", "mem", address);
+    world.store.register_engine("raw", "api", "mem", address);
     let node = world.node().await;
     for _ in 0..20 {
         let reply =
@@ -139,7 +139,7 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.play(Behavior::Hang);
+    engine.set_behavior(Behavior::Hang);
     let start = Instant::now();
     let reply = Caller::new(node.listen).key(KEY).call(Method::GET, "/short/x", "").await.unwrap();
     assert_eq!(reply.status, 504);
@@ -150,9 +150,9 @@
 async fn an_engine_that_is_another_one_is_left() {
     let world = World::new();
     let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
-    a.unlist();
+    a.deregister();
     // The entry of an engine that is gone leads to the address of another one.
-    world.store.list_engine("gone", "api", "mem", b.address);
+    world.store.register_engine("gone", "api", "mem", b.address);
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     for _ in 0..12 {
@@ -191,7 +191,7 @@
         let answer = String::from_utf8_lossy(&answer).into_owned();
         assert_eq!(answer, format!("HTTP/1.1 {status}"), "{}", &rest[..40.min(rest.len())]);
     }
-    assert_eq!(engine.seen().len(), 0);
+    assert_eq!(engine.requests().len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -199,10 +199,10 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.play(Behavior::DropConnection);
+    engine.set_behavior(Behavior::DropConnection);
     let caller = Caller::new(node.listen).key(KEY);
     caller.call(Method::POST, "/book/x", "1").await.unwrap();
-    let request = engine.seen()[0].id().unwrap().to_owned();
+    let request = engine.requests()[0].id().unwrap().to_owned();
     let about = |event: &str| {
         let lines = node.events(event);
         lines.into_iter().find(|l| l["request"] == request.as_str())
--- a/crates/heathpitchd/tests/gateway_crashing_requests.rs
+++ b/crates/heathpitchd/tests/gateway_crashing_requests.rs
@@ -29,8 +29,8 @@
 fn engines(world: &World, count: usize) -> Vec<Engine> {
     let engine = |i: usize| {
         let engine = world.engine(&format!("e{i}"), "one");
-        engine.play(Behavior::Stream(40, Duration::from_millis(25)));
-        engine.end_by(FATAL);
+        engine.set_behavior(Behavior::Stream(40, Duration::from_millis(25)));
+        engine.exit_on_body(FATAL);
         engine
     };
     (0..count).map(engine).collect()
@@ -58,12 +58,12 @@
 
 /// Times at which the fatal request reached an engine.
 fn sends(engines: &[Engine]) -> Vec<Instant> {
-    let seen = engines.iter().flat_map(Engine::seen);
+    let seen = engines.iter().flat_map(Engine::requests);
     seen.filter(|s| &s.body[..] == FATAL.as_bytes()).map(|s| s.at).collect()
 }
 
 fn ended(engines: &[Engine]) -> usize {
-    engines.iter().filter(|e| e.ended()).count()
+    engines.iter().filter(|e| e.has_exited()).count()
 }
 
 /// Has the request come, at one node after the other, until it has ended three engines.
@@ -156,7 +156,7 @@
             // As callers do, it comes back after a failure.
             for _ in 0..8 {
                 match caller.call(Method::POST, "/whole/x", &body).await {
-                    Ok(reply) if reply.status == 200 && reply.whole => return (held, true),
+                    Ok(reply) if reply.status == 200 && reply.complete => return (held, true),
                     Ok(reply) => {
                         held +=
                             usize::from(String::from_utf8_lossy(&reply.body).contains("held_back"));
@@ -224,7 +224,7 @@
     for node in &begun {
         wait("it is let through", async || !node.events("request_let_through").is_empty()).await;
     }
-    engines.iter().for_each(|e| e.end_by("nothing any more"));
+    engines.iter().for_each(|e| e.exit_on_body("nothing any more"));
     wait("it is served", async || tell(&begun[0], FATAL).await.status == 200).await;
 }
 
@@ -232,7 +232,7 @@
 async fn plain_calls_that_may_run_once_are_held_back_too() {
     let world = World::new();
     let engines: Vec<_> = (0..8).map(|i| world.engine(&format!("e{i}"), "api")).collect();
-    engines.iter().for_each(|e| e.end_by(FATAL));
+    engines.iter().for_each(|e| e.exit_on_body(FATAL));
     let nodes = nodes(&world).await;
     let mut ran = 0;
     for node in nodes.iter().cycle().take(9) {
@@ -252,13 +252,13 @@
 async fn engines_that_break_answers_off_have_not_ended() {
     let world = World::new();
     let engines = engines(&world, 6);
-    engines.iter().for_each(|e| e.play(Behavior::TruncateAfter(0)));
+    engines.iter().for_each(|e| e.set_behavior(Behavior::TruncateAfter(0)));
     let node = world.node().await;
     for _ in 0..8 {
         tell(&node, "proper").await;
     }
     assert_eq!(node.events("engine_ended").len(), 0);
-    engines.iter().for_each(|e| e.play(Behavior::Stream(3, Duration::from_millis(2))));
+    engines.iter().for_each(|e| e.set_behavior(Behavior::Stream(3, Duration::from_millis(2))));
     assert_eq!(tell(&node, "proper").await.status, 200);
 }
 
@@ -273,8 +273,10 @@
         let fault = async {
             tokio::time::sleep(Duration::from_millis(500)).await;
             let runs = |e: &&Engine| {
-                !e.ended()
-                    && e.seen().last().is_some_and(|s| s.at.elapsed() < Duration::from_millis(700))
+                !e.has_exited()
+                    && e.requests()
+                        .last()
+                        .is_some_and(|s| s.at.elapsed() < Duration::from_millis(700))
             };
             engines.iter().filter(runs).for_each(Engine::crash);
         };
@@ -293,13 +295,13 @@
     let nodes = nodes(&world).await;
     let call = tell(&nodes[0], "proper");
     let fault = async {
-        wait("it runs", async || engines.iter().any(|e| !e.seen().is_empty())).await;
+        wait("it runs", async || engines.iter().any(|e| !e.requests().is_empty())).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
-        engines.iter().filter(|e| !e.seen().is_empty()).for_each(Engine::crash);
+        engines.iter().filter(|e| !e.requests().is_empty()).for_each(Engine::crash);
     };
     tokio::join!(call, fault);
-    let gone = engines.iter().find(|e| e.ended()).unwrap();
-    engines.iter().for_each(|e| e.play(Behavior::Stream(2, Duration::from_millis(2))));
+    let gone = engines.iter().find(|e| e.has_exited()).unwrap();
+    engines.iter().for_each(|e| e.set_behavior(Behavior::Stream(2, Duration::from_millis(2))));
     for node in &nodes {
         let left = |e: &Value| e["engine"] == gone.id.as_str() && e["why"] == "it has ended";
         wait("it is left", async || node.events("engine_doubted").iter().any(left)).await;
--- a/crates/heathpitchd/tests/gateway_dead_links.rs
+++ b/crates/heathpitchd/tests/gateway_dead_links.rs
@@ -41,10 +41,10 @@
 /// Cuts a node off from the store until it knows; its connections don't come back with the link. Gives
 /// when the link was sound again, once the store answers.
 async fn cut_off(node: &GatewayProcess, link: &Proxy) -> Instant {
-    link.set(LinkMode::Blackhole);
+    link.set_mode(LinkMode::Blackhole);
     wait("the node knows", async || reachable(node) == Some(false)).await;
-    link.lose();
-    link.set(LinkMode::Pass);
+    link.blackhole_open();
+    link.set_mode(LinkMode::Pass);
     let sound = Instant::now();
     wait("the store answers", async || reachable(node) == Some(true)).await;
     sound
@@ -53,11 +53,11 @@
 /// Requests of a node that reach an engine, of as many as show whether any does.
 async fn reach(node: &GatewayProcess, engine: &Engine) -> usize {
     let caller = Caller::new(node.listen).key(KEY);
-    let before = engine.seen().len();
+    let before = engine.requests().len();
     for _ in 0..CALLS {
         assert_eq!(caller.call(Method::GET, "/get/x", "").await.unwrap().status, 200);
     }
-    engine.seen().len() - before
+    engine.requests().len() - before
 }
 
 /// Waits until a node in touch since `sound` must know of what happened at `told`.
@@ -73,7 +73,7 @@
     let (node, link) = planner(&world).await;
     assert!(reach(&node, &a).await > 0);
     let sound = cut_off(&node, &link).await;
-    a.list("draining");
+    a.register("draining");
     must_know(sound, Instant::now()).await;
     assert_eq!(reach(&node, &a).await, 0);
 }
@@ -83,9 +83,9 @@
     let world = World::new();
     let (a, _b) = (world.engine("a", "api"), world.engine("b", "api"));
     let (node, link) = planner(&world).await;
-    link.lose();
+    link.blackhole_open();
     let sound = Instant::now();
-    a.list("draining");
+    a.register("draining");
     must_know(sound, Instant::now()).await;
     assert_eq!(reach(&node, &a).await, 0);
 }
@@ -98,8 +98,8 @@
     let other = world.start("n2", &json!({}));
     other.wait_ready().await.unwrap();
     wait("the second node is told", async || fed(&other) == Some(true)).await;
-    link.lose();
-    a.list("draining");
+    link.blackhole_open();
+    a.register("draining");
     // The second node's own links are sound all the time.
     must_know(Instant::now() - IN_TOUCH, Instant::now()).await;
     assert_eq!(reach(&other, &a).await, 0, "the second node");
--- a/crates/heathpitchd/tests/gateway_feed.rs
+++ b/crates/heathpitchd/tests/gateway_feed.rs
@@ -35,7 +35,7 @@
     };
     let before = made().await;
     for i in 0..20 {
-        world.store.list_engine("b", "api", &format!("z{i}"), ([127, 0, 0, 1], 9).into());
+        world.store.register_engine("b", "api", &format!("z{i}"), ([127, 0, 0, 1], 9).into());
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     assert_eq!(made().await, before, "no proof of its own");
@@ -51,7 +51,7 @@
         let mut world = World::new();
         world.engine("a", "api");
         let (_planner, other, link) = pair(&world).await;
-        link.set(spoilt);
+        link.set_mode(spoilt);
         let caller = Caller::new(other.listen).key(KEY);
         // Longer than keys are taken for valid without a proof.
         tokio::time::sleep(Duration::from_millis(3_000)).await;
@@ -62,7 +62,7 @@
         wait("the new route is served", async || status(&caller, "/added/x").await == 200).await;
         let second = world.engine("b", "api");
         wait("the new engine is used", async || {
-            status(&caller, "/get/x").await == 200 && !second.seen().is_empty()
+            status(&caller, "/get/x").await == 200 && !second.requests().is_empty()
         })
         .await;
     }
@@ -73,7 +73,7 @@
     let mut world = World::new();
     world.engine("a", "api");
     let (_planner, other, link) = pair(&world).await;
-    link.set(LinkMode::Blackhole);
+    link.set_mode(LinkMode::Blackhole);
     let caller = Caller::new(other.listen).key(KEY);
     assert_eq!(status(&caller, "/get/x").await, 200);
     world.site.version = 9;
@@ -104,13 +104,13 @@
     let world = World::new();
     world.engine("a", "api");
     let (planner, link, other) = world.planner_and_follower().await;
-    link.set(LinkMode::Blackhole);
+    link.set_mode(LinkMode::Blackhole);
     wait("the feed is lost", async || fed(&other) == Some(false)).await;
     wait("the second node plans", async || {
         other.events("domain_planner").iter().any(|e| e["active"] == true)
     })
     .await;
-    link.set(LinkMode::Pass);
+    link.set_mode(LinkMode::Pass);
     wait("the first one is fed", async || fed(&planner) == Some(true)).await;
 }
 
@@ -118,25 +118,25 @@
 async fn an_engine_that_says_it_is_slow_gets_no_new_streams_from_any_node() {
     let world = World::new();
     let [a, b, c] = ["a", "b", "c"].map(|id| world.engine(id, "llm"));
-    a.hold(0, 4);
-    b.hold(4, 8);
-    c.hold(0, 4);
+    a.set_layers(0, 4);
+    b.set_layers(4, 8);
+    c.set_layers(0, 4);
     for e in [&a, &b, &c] {
-        e.play(Behavior::Stream(5, Duration::from_millis(2)));
+        e.set_behavior(Behavior::Stream(5, Duration::from_millis(2)));
     }
     let (planner, other, _link) = pair(&world).await;
     for (slow, quick) in [(&a, &c), (&c, &a)] {
-        slow.slow(20.0);
-        quick.slow(1.0);
+        slow.set_slowdown(20.0);
+        quick.set_slowdown(1.0);
         for node in [&planner, &other] {
             let caller = Caller::new(node.listen).key(KEY);
             wait("streams avoid the slow engine", async || {
-                let before = slow.seen().len();
+                let before = slow.requests().len();
                 for _ in 0..24 {
                     let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
-                    assert_eq!((reply.status, reply.whole), (200, true));
+                    assert_eq!((reply.status, reply.complete), (200, true));
                 }
-                slow.seen().len() == before
+                slow.requests().len() == before
             })
             .await;
         }
@@ -163,7 +163,7 @@
         follower.events("feed_changed").last().is_some_and(|e| e["planner"] == new)
     })
     .await;
-    assert_eq!(planner.wait_end(Duration::from_secs(10)), Some(0));
+    assert_eq!(planner.wait_exit(Duration::from_secs(10)), Some(0));
 }
 
 /// Suspected beside requests that reached a leaving engine: entries that go around an outage are waited
@@ -173,15 +173,15 @@
 async fn engines_that_go_just_after_an_outage_are_off_every_node_s_list_in_time() {
     let world = World::new();
     world.engine("a", "api");
-    world.engine("b", "llm").hold(0, 8);
+    world.engine("b", "llm").set_layers(0, 8);
     for i in 0..80 {
-        world.store.list_engine(&format!("z{i}"), "api", "mem", ([127, 0, 0, 1], 9).into());
+        world.store.register_engine(&format!("z{i}"), "api", "mem", ([127, 0, 0, 1], 9).into());
     }
     let (planner, other, _link) = pair(&world).await;
-    world.store.behave(StoreMode::Unavailable);
+    world.store.set_mode(StoreMode::Unavailable);
     wait("both know", async || reachable(&planner) == Some(false) && fed(&other) == Some(false))
         .await;
-    world.store.behave(StoreMode::Up);
+    world.store.set_mode(StoreMode::Up);
     // From now on entries that are missing are waited for.
     wait("the planner knows", async || reachable(&planner) == Some(true)).await;
     let mut left = Vec::new();
@@ -210,7 +210,7 @@
     let world = World::new();
     world.engine("a", "api");
     let (planner, other, link) = pair(&world).await;
-    link.lose();
+    link.blackhole_open();
     planner.signal("KILL").unwrap();
     let killed = wall_ms();
     let plans = || other.events("domain_planner").into_iter().find(|e| e["active"] == true);
@@ -227,10 +227,10 @@
     let engine = world.engine("a", "api");
     world.engine("b", "api");
     let (planner, other, link) = pair(&world).await;
-    link.lose();
+    link.blackhole_open();
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     planner.signal("KILL").unwrap();
-    engine.list("draining");
+    engine.register("draining");
     let told = wall_ms();
     let heard = || other.events("engine_listed").into_iter().find(|e| e["leaving"] == true);
     wait("the second node knows", async || heard().is_some()).await;
@@ -242,9 +242,9 @@
 async fn planners_tell_each_other_what_their_engines_hold() {
     let world = World::new();
     let [a, b] = ["a", "b"].map(|id| world.engine(id, "llm"));
-    a.hold(0, 4);
-    b.hold(4, 8);
-    a.play(Behavior::Stream(3, Duration::from_millis(5)));
+    a.set_layers(0, 4);
+    b.set_layers(4, 8);
+    a.set_behavior(Behavior::Stream(3, Duration::from_millis(5)));
     let _here = world.node().await;
     let there = world.start_in("far", "n9");
     there.wait_ready().await.unwrap();
@@ -252,18 +252,18 @@
         there.events("neighbour_changed").iter().any(|e| e["error"].is_null())
     })
     .await;
-    a.fill(124_000);
+    a.set_held_tokens(124_000);
     let caller = Caller::new(there.listen).key(KEY);
-    let asked = a.seen().len();
+    let asked = a.requests().len();
     wait("a node there knows that the engines here are full", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 503
     })
     .await;
     wait("the refusal is logged", async || !there.events("call_refused").is_empty()).await;
     let detail = there.events("call_refused").pop().unwrap()["detail"].to_string();
-    assert!(detail.contains("by its report"), "{detail}; {} asked", a.seen().len() - asked);
+    assert!(detail.contains("by its report"), "{detail}; {} asked", a.requests().len() - asked);
     // That it holds nothing any more is told once, and reports that say so again are not.
-    a.fill(0);
+    a.set_held_tokens(0);
     wait("a node there knows that there is room again", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 200
     })
--- a/crates/heathpitchd/tests/gateway_layers.rs
+++ b/crates/heathpitchd/tests/gateway_layers.rs
@@ -30,7 +30,7 @@
     for engine in &engines {
         let (from, end) = engine.layers();
         assert!(end - from <= 4, "{from}..{end}");
-        engine.play(Behavior::Stream(2, std::time::Duration::from_millis(1)));
+        engine.set_behavior(Behavior::Stream(2, std::time::Duration::from_millis(1)));
     }
     let caller = Caller::new(node.listen).key(KEY);
     wait("streams are served", async || {
@@ -47,7 +47,7 @@
     wait("every layer is held", async || whole(&engines)).await;
     let lost = engines.remove(0);
     lost.crash();
-    lost.unlist();
+    lost.deregister();
     wait("every layer is held again", async || whole(&engines)).await;
 }
 
@@ -59,13 +59,13 @@
     let world = World::new();
     let [ended, first, second, third] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
     ended.crash();
-    first.hold(0, 4);
-    [&second, &third].iter().for_each(|e| e.hold(4, 8));
+    first.set_layers(0, 4);
+    [&second, &third].iter().for_each(|e| e.set_layers(4, 8));
     let node = world.node().await;
     let ordered = |e: &serde_json::Value| e["engine"] == "a";
     wait("it is ordered", async || node.events("layers_ordered").iter().any(ordered)).await;
     first.crash();
-    first.unlist();
+    first.deregister();
     wait("living engines hold every layer", async || whole(&[second.clone(), third.clone()])).await;
 }
 
@@ -84,7 +84,7 @@
     wait("the other node plans", async || planner(&nodes).is_some()).await;
     let lost = engines.remove(0);
     lost.crash();
-    lost.unlist();
+    lost.deregister();
     wait("every layer is held again", async || whole(&engines)).await;
 }
 
@@ -92,9 +92,9 @@
 async fn layers_that_engines_hold_already_are_left_where_they_are() {
     let world = World::new();
     let engines: Vec<_> = (0..3).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
-    engines[0].hold(0, 4);
-    engines[1].hold(4, 8);
-    engines[2].hold(0, 4);
+    engines[0].set_layers(0, 4);
+    engines[1].set_layers(4, 8);
+    engines[2].set_layers(0, 4);
     let _node = world.node().await;
     tokio::time::sleep(std::time::Duration::from_millis(2_500)).await;
     assert!(engines.iter().all(|e| e.orders().is_empty()));
--- a/crates/heathpitchd/tests/gateway_limits.rs
+++ b/crates/heathpitchd/tests/gateway_limits.rs
@@ -38,7 +38,7 @@
 
 /// When an engine was asked for anything that takes a slot there, from `since` on.
 fn asked(engine: &Engine, since: Instant) -> Vec<Instant> {
-    let seen = engine.seen().into_iter().map(|s| s.at).chain(engine.checks());
+    let seen = engine.requests().into_iter().map(|s| s.at).chain(engine.health_checks());
     let mut asked: Vec<Instant> = seen.filter(|at| *at >= since).collect();
     asked.sort_unstable();
     asked
@@ -113,12 +113,12 @@
         let world = World::new();
         let [limited, other] = ["a", "b"].map(|name| world.engine(name, way.service));
         if way.service == "llm" {
-            [&limited, &other].iter().for_each(|e| e.hold(0, 4));
-            world.engine("behind", way.service).hold(4, 8);
+            [&limited, &other].iter().for_each(|e| e.set_layers(0, 4));
+            world.engine("behind", way.service).set_layers(4, 8);
         }
         if way.service != "api" {
             let play = Behavior::Stream(3, Duration::from_millis(1));
-            [&limited, &other].iter().for_each(|e| e.play(play));
+            [&limited, &other].iter().for_each(|e| e.set_behavior(play));
         }
         let none = serde_json::json!({});
         let first = world.start("n1", &none);
@@ -139,7 +139,7 @@
 async fn all_nodes_together_keep_the_limit_that_an_engine_names_and_use_it() {
     let found = ways().map(async |way| {
         let fleet = Fleet::of(&way).await;
-        fleet.limited.limit(&[LIMIT.1]);
+        fleet.limited.set_limits(&[LIMIT.1]);
         let begun = Instant::now();
         let replies = call_all(&fleet.nodes, CONTACT + HELD, &way).await;
         let asked = asked(&fleet.limited, begun + CONTACT);
@@ -167,7 +167,7 @@
     since: Duration,
     trouble: impl Future<Output = ()>,
 ) -> (usize, f64) {
-    fleet.limited.limit(&[LIMIT.1]);
+    fleet.limited.set_limits(&[LIMIT.1]);
     let begun = Instant::now();
     tokio::join!(call_all(&fleet.nodes, time, way), trouble);
     let end = begun + time;
@@ -206,12 +206,12 @@
 async fn a_limit_is_kept_when_the_node_that_hands_out_rights_is_told_to_stop() {
     let way = plain();
     let mut fleet = Fleet::of(&way).await;
-    fleet.limited.limit(&[LIMIT.1]);
+    fleet.limited.set_limits(&[LIMIT.1]);
     let begun = Instant::now();
     call_all(&fleet.nodes, Duration::from_secs(5), &way).await;
     fleet.nodes[0].signal("TERM").unwrap();
     call_all(&fleet.nodes[1..], Duration::from_secs(12), &way).await;
-    assert!(fleet.nodes[0].wait_end(gateway::LIMIT).is_some());
+    assert!(fleet.nodes[0].wait_exit(gateway::LIMIT).is_some());
     let after = asked(&fleet.limited, begun + Duration::from_secs(10));
     let rate = after.len() as f64 / 7.0;
     let most = most(&asked(&fleet.limited, begun + CONTACT));
@@ -224,7 +224,7 @@
 async fn rights_are_handed_out_while_the_store_is_away() {
     let way = Way { target: "/open/x", ..plain() };
     let fleet = Fleet::of(&way).await;
-    fleet.world.store.behave(StoreMode::Hang);
+    fleet.world.store.set_mode(StoreMode::Hang);
     let (most, rate) =
         under(&fleet, &way, Duration::from_secs(11), Duration::from_secs(3), async {}).await;
     assert!(most <= allowed(LIMIT.0), "{most}");
@@ -237,7 +237,7 @@
     let way = plain();
     let fleet = Fleet::of(&way).await;
     let [first, second, far] = &fleet.nodes;
-    fleet.limited.limit(&["0.5"]);
+    fleet.limited.set_limits(&["0.5"]);
     let told = |node: &GatewayProcess, limit: serde_json::Value| {
         node.events("engine_limited").last().is_some_and(|e| e["limit"] == limit)
     };
@@ -253,7 +253,7 @@
     wait("all know", async || [first, far].iter().all(|n| told(n, 0.5.into()))).await;
     assert!(begun.elapsed() < CONTACT, "{:?}", begun.elapsed());
     assert!(first.events("engine_limited").iter().any(|e| e["by"] == "another node"));
-    fleet.limited.limit(&[]);
+    fleet.limited.set_limits(&[]);
     wait("its end is found by calls", async || {
         call(second).await;
         told(second, serde_json::Value::Null)
@@ -269,22 +269,26 @@
 async fn a_limit_of_an_engine_behind_the_first_holds_and_ends() {
     let world = World::new();
     let [first, behind] = ["a", "b"].map(|id| world.engine(id, "llm"));
-    first.hold(0, 4);
-    behind.hold(4, 8);
-    first.play(Behavior::Stream(3, Duration::from_millis(1)));
+    first.set_layers(0, 4);
+    behind.set_layers(4, 8);
+    first.set_behavior(Behavior::Stream(3, Duration::from_millis(1)));
     let node = world.node().await;
     let tell = async || caller(&node).call(Method::POST, "/tell/x", "body").await.unwrap().status;
     assert_eq!(tell().await, 200);
-    behind.limit(&["0"]);
+    behind.set_limits(&["0"]);
     wait("its limit is known", async || tell().await == 503).await;
-    let came = first.seen().len();
+    let came = first.requests().len();
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_secs(3) {
         tell().await;
         tokio::time::sleep(PAUSE).await;
     }
-    assert!(first.seen().len() <= came + 2, "{} in three seconds", first.seen().len() - came);
-    behind.limit(&[]);
+    assert!(
+        first.requests().len() <= came + 2,
+        "{} in three seconds",
+        first.requests().len() - came
+    );
+    behind.set_limits(&[]);
     let begun = Instant::now();
     wait("it is over", async || [tell().await, tell().await, tell().await] == [200; 3]).await;
     assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
@@ -297,7 +301,7 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.limit(&["0"]);
+    engine.set_limits(&["0"]);
     let get = async || caller(&node).call(Method::GET, "/get/x", "").await.unwrap();
     assert_eq!(get().await.status, 200, "nothing is known yet");
     let begun = Instant::now();
@@ -312,8 +316,8 @@
     let back = refused.header("retry-after").unwrap().parse::<f64>().unwrap();
     assert!((0.1..=1.5).contains(&back), "{back}");
     wait("it is asked", async || get().await.status == 200).await;
-    assert!(engine.seen().len() <= 3, "{}", engine.seen().len());
-    engine.limit(&[]);
+    assert!(engine.requests().len() <= 3, "{}", engine.requests().len());
+    engine.set_limits(&[]);
     wait("it is used again", async || {
         let served = [get().await, get().await, get().await];
         served.iter().all(|r| r.status == 200)
@@ -330,11 +334,11 @@
         caller(node).call(Method::GET, "/get/x", "").await.unwrap().status
     };
     let node = world.node().await;
-    engine.limit(&["0"]);
+    engine.set_limits(&["0"]);
     assert_eq!(get(&node).await, 200, "nothing is known yet");
     wait("the store holds it", async || !node.events("limits_stored").is_empty()).await;
     drop(node);
-    let came = engine.seen().len();
+    let came = engine.requests().len();
     let nodes = [world.start("n1", &json!({})), world.start("n2", &json!({}))];
     for node in &nodes {
         node.wait_ready().await.unwrap();
@@ -342,8 +346,8 @@
         let known = node.events("engine_limited");
         assert!(known.iter().any(|e| e["by"] == "the store" && e["limit"] == 0.0), "{known:?}");
     }
-    assert_eq!(engine.seen().len(), came);
-    engine.limit(&[]);
+    assert_eq!(engine.requests().len(), came);
+    engine.set_limits(&[]);
     wait("it is over", async || {
         [get(&nodes[0]).await, get(&nodes[0]).await, get(&nodes[0]).await] == [200; 3]
     })
@@ -360,17 +364,17 @@
 async fn a_limit_of_an_engine_behind_the_first_ends_after_all_nodes_were_killed() {
     let world = World::new();
     let [first, behind] = ["a", "b"].map(|id| world.engine(id, "llm"));
-    first.hold(0, 4);
-    behind.hold(4, 8);
-    first.play(Behavior::Stream(3, Duration::from_millis(1)));
+    first.set_layers(0, 4);
+    behind.set_layers(4, 8);
+    first.set_behavior(Behavior::Stream(3, Duration::from_millis(1)));
     let tell = async |node: &GatewayProcess| {
         caller(node).call(Method::POST, "/tell/x", "body").await.unwrap().status
     };
     let node = world.node().await;
-    behind.limit(&["0"]);
+    behind.set_limits(&["0"]);
     wait("the store holds it", async || !node.events("limits_stored").is_empty()).await;
     drop(node);
-    behind.limit(&[]);
+    behind.set_limits(&[]);
     let node = world.start("n1", &json!({}));
     node.wait_ready().await.unwrap();
     wait("it is known", async || {
@@ -392,23 +396,23 @@
     let node = world.node().await;
     let get = async || caller(&node).call(Method::GET, "/get/x", "").await.unwrap().status;
     for nonsense in ["-1", "few", "NaN", ""] {
-        engine.limit(&[nonsense]);
+        engine.set_limits(&[nonsense]);
         for _ in 0..3 {
             assert_eq!(get().await, 200, "{nonsense}");
         }
     }
-    engine.limit(&["1e9"]);
+    engine.set_limits(&["1e9"]);
     for _ in 0..20 {
         assert_eq!(get().await, 200, "far more than is asked for");
     }
-    engine.limit(&["1e9", "0"]);
+    engine.set_limits(&["1e9", "0"]);
     assert_eq!(get().await, 200, "it says so");
     // One right may be saved up.
     let statuses = [get().await, get().await];
     assert_eq!(statuses[1], 503, "{statuses:?}");
-    engine.limit(&[]);
+    engine.set_limits(&[]);
     engine.restart();
-    engine.list("ready");
+    engine.register("ready");
     wait("its new life is used", async || get().await == 200).await;
     assert_eq!([get().await, get().await], [200, 200]);
 }
--- a/crates/heathpitchd/tests/gateway_lives.rs
+++ b/crates/heathpitchd/tests/gateway_lives.rs
@@ -50,10 +50,10 @@
     let node = world.node().await;
     covered(&[&a, &b]).await;
     a.restart();
-    a.list("ready");
+    a.register("ready");
     covered(&[&a, &b]).await;
     assert_eq!(heard(&node, "a").await, ["its entry"]);
-    assert_eq!(a.counted(), Some(0), "orders are counted anew");
+    assert_eq!(a.last_expected_orders(), Some(0), "orders are counted anew");
 }
 
 /// Its entry may stay as it was: heartbeats change nothing else, and it was never away.
@@ -82,15 +82,15 @@
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     assert_eq!(status(&caller, "/get/x").await, 200);
-    a.list("draining");
+    a.register("draining");
     wait("it is left alone", async || status(&caller, "/get/x").await == 503).await;
     // The same life does not come back.
-    a.list("ready");
+    a.register("ready");
     let other = world.engine("b", "one");
     listed(&node, &other).await;
     assert_eq!(status(&caller, "/get/x").await, 503);
     a.restart();
-    a.list("ready");
+    a.register("ready");
     wait("its new life takes work", async || status(&caller, "/get/x").await == 200).await;
 }
 
@@ -101,7 +101,7 @@
     let world = World::new();
     let (good, bad) = (world.engine("good", "api"), world.engine("bad", "api"));
     let entries = invalid_entries(&bad.entry("ready"));
-    bad.unlist();
+    bad.deregister();
     let put_bad = || {
         for (number, entry) in entries.iter().enumerate() {
             world.store.put(&format!("servers/bad-{number}"), entry);
@@ -122,12 +122,12 @@
         }
     }
     // The same as changes, and one that takes the place of an engine's own.
-    bad.list("ready");
+    bad.register("ready");
     wait("both send it requests", async || {
         for caller in &callers {
             assert_eq!(status(caller, "/get/x").await, 200);
         }
-        bad.seen().len() > 4
+        bad.requests().len() > 4
     })
     .await;
     put_bad();
@@ -135,12 +135,12 @@
     let gone =
         |node: &GatewayProcess| node.events("engine_gone").iter().any(|e| e["engine"] == "bad");
     wait("both take it off", async || gone(&planner) && gone(&follower)).await;
-    let seen = bad.seen().len();
+    let seen = bad.requests().len();
     for caller in &callers {
         for _ in 0..10 {
             assert_eq!(status(caller, "/get/x").await, 200);
         }
     }
-    assert_eq!(bad.seen().len(), seen, "an engine without an entry got a request");
-    assert!(!good.seen().is_empty());
+    assert_eq!(bad.requests().len(), seen, "an engine without an entry got a request");
+    assert!(!good.requests().is_empty());
 }
--- a/crates/heathpitchd/tests/gateway_stop.rs
+++ b/crates/heathpitchd/tests/gateway_stop.rs
@@ -17,7 +17,7 @@
     let engine = world.engine("one", "one");
     world.engine("a", "api");
     let mut node = world.node().await;
-    engine.play(Behavior::Stream(100, Duration::from_millis(40)));
+    engine.set_behavior(Behavior::Stream(100, Duration::from_millis(40)));
     let caller = Caller::new(node.listen).key(KEY);
     let (reply, rest) = caller.open(Method::POST, "/whole/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 200);
@@ -28,7 +28,7 @@
     assert_eq!((reply.status, reply.header("connection")), (200, Some("close")));
     let body = rest.collect().await.unwrap().to_bytes();
     assert!(body.ends_with(b"data: 100 of one\n\n"));
-    assert_eq!(node.wait_end(LIMIT), Some(0));
+    assert_eq!(node.wait_exit(LIMIT), Some(0));
     wait("the log tells the end", async || !node.events("gateway_stopped").is_empty()).await;
     assert_eq!(node.events("gateway_stopped")[0]["cut"], 0);
 }
--- a/crates/heathpitchd/tests/gateway_store_eras.rs
+++ b/crates/heathpitchd/tests/gateway_store_eras.rs
@@ -37,11 +37,11 @@
     let mut world = World::new();
     world.engine("a", "api");
     let node = world.node().await;
-    world.store.copy();
+    world.store.take_snapshot();
     (0..GROWN).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
     add_route(&mut world, "/lost/");
     in_force(&node, "/lost/x").await;
-    world.store.come_back(&[], 0);
+    world.store.restore_snapshot(&[], 0);
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(status(&caller(&node, KEY), "/lost/x").await, 200, "it does not go back");
     world.configure();
@@ -58,22 +58,22 @@
     let mut world = World::new();
     let (leaving, _other) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
-    world.store.copy();
+    world.store.take_snapshot();
     (0..GROWN / 2).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
     tokio::time::sleep(Duration::from_millis(700)).await;
     world.site.routes.push(RouteSpec::idempotent("/next/", "api"));
     world.site.version += 1;
     let config = Store::config_entry(&world.site.json());
-    world.store.come_back(&[leaving.keyed_entry("draining"), config], GROWN);
+    world.store.restore_snapshot(&[leaving.key_and_entry("draining"), config], GROWN);
     let written = Instant::now();
     in_force(&node, "/next/x").await;
     assert!(written.elapsed() < AGREED, "{:?}", written.elapsed());
     tokio::time::sleep(AGREED.saturating_sub(written.elapsed())).await;
-    let came = leaving.seen().len();
+    let came = leaving.requests().len();
     for _ in 0..20 {
         assert_eq!(status(&caller(&node, KEY), "/get/x").await, 200);
     }
-    assert_eq!(leaving.seen().len(), came);
+    assert_eq!(leaving.requests().len(), came);
 }
 
 /// It left, and ended, after the copy was made; so its entry is back, and says that it is ready.
@@ -83,24 +83,24 @@
     let engines = ["says-so", "goes", "other"].map(|id| world.engine(id, "api"));
     let [says_so, goes, _] = &engines;
     let node = world.node().await;
-    world.store.copy();
+    world.store.take_snapshot();
     (0..GROWN).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
-    says_so.list("draining");
-    goes.unlist();
+    says_so.register("draining");
+    goes.deregister();
     let known = async |event: &str, id: &str| {
         wait("it is known", async || node.events(event).iter().any(|e| e["engine"] == id)).await;
     };
     known("engine_gone", "goes").await;
-    says_so.unlist();
+    says_so.deregister();
     known("engine_gone", "says-so").await;
-    let came = says_so.seen().len() + goes.seen().len();
-    world.store.come_back(&[], 0);
+    let came = says_so.requests().len() + goes.requests().len();
+    world.store.restore_snapshot(&[], 0);
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(3_000) {
         assert_eq!(status(&caller(&node, KEY), "/get/x").await, 200);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(says_so.seen().len() + goes.seen().len(), came);
+    assert_eq!(says_so.requests().len() + goes.requests().len(), came);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -108,7 +108,7 @@
     let mut world = World::new();
     world.engine("a", "api");
     let (planner, _link, follower) = world.planner_and_follower().await;
-    world.store.copy();
+    world.store.take_snapshot();
     (0..GROWN).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
     world.site.tenants[0].1.retain(|key| key != KEY_2);
     world.site.version += 1;
@@ -117,7 +117,7 @@
         wait("it is taken away", async || status(&caller(node, KEY_2), "/get/x").await == 401)
             .await;
     }
-    world.store.come_back(&[], GROWN / 4);
+    world.store.restore_snapshot(&[], GROWN / 4);
     let begun = world.start("n3", &serde_json::json!({}));
     begun.wait_ready().await.unwrap();
     let back = Instant::now();
@@ -150,7 +150,7 @@
 async fn a_failure_domain_has_one_planner_again_and_all_is_served() {
     let world = World::new();
     world.engine("a", "api");
-    world.store.copy();
+    world.store.take_snapshot();
     let (planner, _link, follower) = world.planner_and_follower().await;
     let calls = async || {
         for node in [&planner, &follower] {
@@ -161,9 +161,9 @@
         }
     };
     calls().await;
-    world.store.come_back(&[], GROWN);
+    world.store.restore_snapshot(&[], GROWN);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    world.store.come_back(&[], GROWN / 4);
+    world.store.restore_snapshot(&[], GROWN / 4);
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(5_000) {
         calls().await;
--- a/crates/heathpitchd/tests/gateway_streams.rs
+++ b/crates/heathpitchd/tests/gateway_streams.rs
@@ -16,11 +16,11 @@
 /// Two engines that hold the model between them, and a copy of the first.
 fn engines(world: &World) -> [Engine; 3] {
     let [a, b, c] = ["a", "b", "c"].map(|id| world.engine(id, "llm"));
-    a.hold(0, 4);
-    b.hold(4, 8);
-    c.hold(0, 4);
+    a.set_layers(0, 4);
+    b.set_layers(4, 8);
+    c.set_layers(0, 4);
     for e in [&a, &b, &c] {
-        e.play(Behavior::Stream(20, SHORT));
+        e.set_behavior(Behavior::Stream(20, SHORT));
     }
     [a, b, c]
 }
@@ -33,11 +33,11 @@
     let caller = Caller::new(node.listen).key(KEY);
     for _ in 0..6 {
         let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
-        assert_eq!((reply.status, reply.whole), (200, true));
+        assert_eq!((reply.status, reply.complete), (200, true));
         assert_eq!(reply.events(), (1..=20).collect::<Vec<_>>());
     }
-    assert_eq!(b.seen().len(), 0);
-    for (engine, seen) in [a.seen(), c.seen()].concat().into_iter().map(|s| {
+    assert_eq!(b.requests().len(), 0);
+    for (engine, seen) in [a.requests(), c.requests()].concat().into_iter().map(|s| {
         let path = s.path().unwrap().to_owned();
         (path, s)
     }) {
@@ -54,17 +54,17 @@
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     for (broken, other) in [(&a, &c), (&c, &a)] {
-        broken.play(Behavior::TruncateAfter(7));
-        other.play(Behavior::Stream(20, SHORT));
+        broken.set_behavior(Behavior::TruncateAfter(7));
+        other.set_behavior(Behavior::Stream(20, SHORT));
         for _ in 0..4 {
             let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
-            assert_eq!((reply.status, reply.whole), (200, true));
+            assert_eq!((reply.status, reply.complete), (200, true));
             assert_eq!(reply.events(), (1..=20).collect::<Vec<_>>());
         }
     }
-    let resumed = [a.seen(), c.seen()].concat();
+    let resumed = [a.requests(), c.requests()].concat();
     assert!(resumed.iter().any(|s| s.after() == Some(7)));
-    assert_eq!(b.seen().len(), 0);
+    assert_eq!(b.requests().len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -82,11 +82,11 @@
     let world = World::new();
     let engine = world.engine("only", "one");
     let node = world.node().await;
-    engine.play(Behavior::TruncateAfter(3));
+    engine.set_behavior(Behavior::TruncateAfter(3));
     let caller = Caller::new(node.listen).key(KEY);
     let reply = caller.call(Method::POST, "/whole/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 200);
-    assert!(!reply.whole);
+    assert!(!reply.complete);
     assert_eq!(reply.events(), [1, 2, 3]);
 }
 
@@ -95,43 +95,43 @@
     let world = World::new();
     let engine = world.engine("only", "one");
     let node = world.node().await;
-    engine.play(Behavior::Stream(10_000, SHORT));
+    engine.set_behavior(Behavior::Stream(10_000, SHORT));
     let caller = Caller::new(node.listen).key(KEY);
     let (reply, rest) = caller.open(Method::POST, "/whole/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 200);
     drop(rest);
-    wait("the engine sees that its reader left", async || engine.left() == 1).await;
+    wait("the engine sees that its reader left", async || engine.abandoned_streams() == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_every_layer_a_stream_is_refused_at_once() {
     let world = World::new();
     let a = world.engine("a", "llm");
-    a.hold(0, 4);
+    a.set_layers(0, 4);
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some());
-    assert_eq!(a.seen().len(), 0);
+    assert_eq!(a.requests().len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_running_stream_is_moved_off_an_engine_that_dies() {
     let world = World::new();
     let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
-    a.hold(0, 4);
-    b.hold(4, 8);
-    c.hold(4, 8);
-    d.hold(0, 4);
+    a.set_layers(0, 4);
+    b.set_layers(4, 8);
+    c.set_layers(4, 8);
+    d.set_layers(0, 4);
     let node = world.node().await;
     // The stream falls silent after its first event, as if the engine behind were gone.
     for head in [&a, &d] {
-        head.play(Behavior::Stream(3, Duration::from_millis(1_500)));
+        head.set_behavior(Behavior::Stream(3, Duration::from_millis(1_500)));
     }
     let caller = Caller::new(node.listen).key(KEY);
     let (_, rest) = caller.open(Method::POST, "/tell/x", "prompt").await.unwrap();
-    let seen = [a.seen(), d.seen()].concat().remove(0);
+    let seen = [a.requests(), d.requests()].concat().remove(0);
     let path = seen.path().unwrap().to_owned();
     let (dead, other) = match path.contains(&b.address.to_string()) {
         true => (&b, &c),
@@ -154,17 +154,17 @@
     let world = World::new();
     let [a, b, c, d, e] = ["a", "b", "c", "d", "e"].map(|id| world.engine(id, "llm"));
     // Room for 1 250 000 tokens at the first engine, 500 000 at each other one.
-    a.hold(0, 2);
-    b.hold(2, 5);
-    c.hold(2, 5);
-    d.hold(5, 8);
-    e.hold(5, 8);
+    a.set_layers(0, 2);
+    b.set_layers(2, 5);
+    c.set_layers(2, 5);
+    d.set_layers(5, 8);
+    e.set_layers(5, 8);
     let node = world.node().await;
-    a.play(Behavior::Stream(3, Duration::from_millis(4_000)));
+    a.set_behavior(Behavior::Stream(3, Duration::from_millis(4_000)));
     // More than half of the room beside three layers: one that holds the stream looks full to it.
-    let caller = Caller::new(node.listen).key(KEY).sized("300000,10");
+    let caller = Caller::new(node.listen).key(KEY).token_counts("300000,10");
     let (_, rest) = caller.open(Method::POST, "/tell/x", "prompt").await.unwrap();
-    let path = a.seen().remove(0).path().unwrap().to_owned();
+    let path = a.requests().remove(0).path().unwrap().to_owned();
     let on = |engine: &Engine| path.contains(&format!("{}=", engine.address));
     let (dead, other) = if on(&b) { (&b, &c) } else { (&c, &b) };
     let kept = if on(&d) { &d } else { &e };
@@ -183,37 +183,37 @@
 async fn a_silent_stream_goes_on_if_no_other_engine_takes_it() {
     let world = World::new();
     let [a, b] = ["a", "b"].map(|id| world.engine(id, "llm"));
-    a.hold(0, 4);
-    b.hold(4, 8);
+    a.set_layers(0, 4);
+    b.set_layers(4, 8);
     let node = world.node().await;
-    a.play(Behavior::Stream(4, Duration::from_millis(600)));
+    a.set_behavior(Behavior::Stream(4, Duration::from_millis(600)));
     let caller = Caller::new(node.listen).key(KEY);
     let (_, rest) = caller.open(Method::POST, "/tell/x", "prompt").await.unwrap();
     // The first engine takes no more connections, but its stream goes on; the other refuses.
     let d = world.engine("d", "llm");
-    d.play(Behavior::Refuse);
-    d.hold(0, 4);
-    a.close();
+    d.set_behavior(Behavior::Refuse);
+    d.set_layers(0, 4);
+    a.stop_accepting();
     let body = rest.collect().await.unwrap().to_bytes();
     assert!(body.ends_with(b"data: 4 of a\n\n"), "{body:?}");
-    assert_eq!(d.seen().len(), 1, "the other engine was asked");
+    assert_eq!(d.requests().len(), 1, "the other engine was asked");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_goes_around_an_engine_that_refuses_its_part() {
     let world = World::new();
     let [a, b, c] = ["a", "b", "c"].map(|id| world.engine(id, "llm"));
-    a.hold(0, 4);
-    b.hold(4, 8);
-    c.hold(4, 8);
+    a.set_layers(0, 4);
+    b.set_layers(4, 8);
+    c.set_layers(4, 8);
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     for refusing in [&b, &c] {
-        a.play(Behavior::RefuseVia(refusing.address));
+        a.set_behavior(Behavior::RefuseVia(refusing.address));
         let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
-        assert_eq!((reply.status, reply.whole), (200, true));
+        assert_eq!((reply.status, reply.complete), (200, true));
         assert_eq!(reply.events(), (1..=20).collect::<Vec<_>>());
-        let last = a.seen().pop().unwrap().path().unwrap().to_owned();
+        let last = a.requests().pop().unwrap().path().unwrap().to_owned();
         assert!(!last.contains(&format!("{}=", refusing.address)), "{last}");
     }
 }
@@ -222,21 +222,21 @@
 async fn a_stream_that_no_path_has_room_for_is_refused_at_once() {
     let world = World::new();
     let [a, b] = ["a", "b"].map(|id| world.engine(id, "llm"));
-    a.hold(0, 4);
-    b.hold(4, 8);
+    a.set_layers(0, 4);
+    b.set_layers(4, 8);
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
-    a.play(Behavior::Stream(3, Duration::from_millis(5)));
+    a.set_behavior(Behavior::Stream(3, Duration::from_millis(5)));
     // Room for 125 000 tokens beside four layers.
-    b.fill(124_000);
+    b.set_held_tokens(124_000);
     wait("the engine's report is known", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 503
     })
     .await;
-    let (sent, start) = (a.seen().len(), std::time::Instant::now());
+    let (sent, start) = (a.requests().len(), std::time::Instant::now());
     let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
     assert!(start.elapsed() < Duration::from_millis(200), "refused at once");
-    assert_eq!((reply.status, a.seen().len()), (503, sent), "no engine was asked");
+    assert_eq!((reply.status, a.requests().len()), (503, sent), "no engine was asked");
     wait("the refusal is logged", async || !node.events("call_refused").is_empty()).await;
     let refused = node.events("call_refused").pop().unwrap();
     assert_eq!(refused["kind"], "overloaded");
@@ -245,7 +245,7 @@
         detail.contains("engine b") && detail.contains("0.99 of its room by its report"),
         "{detail}"
     );
-    b.fill(0);
+    b.set_held_tokens(0);
     wait("it is served again", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 200
     })
--- a/crates/heathpitchd/tests/gateway_suspended.rs
+++ b/crates/heathpitchd/tests/gateway_suspended.rs
@@ -21,7 +21,7 @@
     node.wait_ready().await.unwrap();
     let caller = Caller::new(node.listen).key(KEY);
     wait("calls are served", async || status(&caller, "/get/x").await == 200).await;
-    link.set(LinkMode::Blackhole);
+    link.set_mode(LinkMode::Blackhole);
     node.signal("USR2").unwrap();
     wait("it knows", async || !node.events("vm_suspended").is_empty()).await;
     assert_eq!(status(&caller, "/get/x").await, 503);
@@ -30,7 +30,7 @@
     let refused = node.events("call_refused");
     assert_eq!(refused[0]["kind"], "stale_keys");
     assert!(refused[0]["proof_ms"].as_u64().unwrap() >= 10_000);
-    link.set(LinkMode::Pass);
+    link.set_mode(LinkMode::Pass);
     wait("it is told and serves again", async || status(&caller, "/get/x").await == 200).await;
 }
 
@@ -39,7 +39,7 @@
     let world = World::new();
     world.engine("a", "api");
     let (planner, link, other) = world.planner_and_follower().await;
-    link.set(LinkMode::Blackhole);
+    link.set_mode(LinkMode::Blackhole);
     planner.signal("USR2").unwrap();
     let begun = Instant::now();
     wait("it gives its planner up", async || fed(&other) == Some(false)).await;
@@ -52,22 +52,23 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let stream = world.engine("b", "one");
-    engine.play(Behavior::Hang);
-    stream.play(Behavior::Stream(10_000, Duration::from_millis(50)));
+    engine.set_behavior(Behavior::Hang);
+    stream.set_behavior(Behavior::Stream(10_000, Duration::from_millis(50)));
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     let begun = Instant::now();
     let suspend = async {
-        wait("both run", async || !engine.seen().is_empty() && !stream.seen().is_empty()).await;
+        wait("both run", async || !engine.requests().is_empty() && !stream.requests().is_empty())
+            .await;
         node.signal("USR2").unwrap();
     };
     let call = caller.call(Method::GET, "/get/x", "");
     let told = caller.call(Method::POST, "/whole/x", "prompt");
     let (call, told, ()) = tokio::join!(call, told, suspend);
     assert_eq!(call.unwrap().status, 504);
-    assert!(!told.unwrap().whole, "a stream that is cut off does not look whole");
+    assert!(!told.unwrap().complete, "a stream that is cut off does not look whole");
     assert!(begun.elapsed() < Duration::from_millis(2_500), "{:?}", begun.elapsed());
-    wait("the engine sees that its reader left", async || stream.left() == 1).await;
+    wait("the engine sees that its reader left", async || stream.abandoned_streams() == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/heathpitchd/tests/gateway_wishes.rs
+++ b/crates/heathpitchd/tests/gateway_wishes.rs
@@ -30,8 +30,8 @@
 
 /// When an engine was asked for anything that takes a slot there: calls and checks.
 fn asked(engine: &Engine) -> Vec<Instant> {
-    let seen = engine.seen().into_iter().map(|s| s.at);
-    seen.chain(engine.checks()).collect()
+    let seen = engine.requests().into_iter().map(|s| s.at);
+    seen.chain(engine.health_checks()).collect()
 }
 
 /// Most requests that came to an engine within the rest that it asked for as it turned one away.
@@ -39,7 +39,7 @@
     let asked = asked(engine);
     let within = |at: Instant| (at + UNDER_WAY, at + REST.0);
     let count = |(from, to)| asked.iter().filter(|t| (from..to).contains(*t)).count();
-    let seen = engine.seen();
+    let seen = engine.requests();
     let away = seen.iter().filter(|s| !s.ran);
     away.map(|s| count(within(s.at))).max().unwrap_or(0)
 }
@@ -76,16 +76,16 @@
         let world = World::new();
         let [a, b] = ["a", "b"].map(|name| world.engine(name, service));
         if service == "llm" {
-            [&a, &b].iter().for_each(|e| e.hold(0, 4));
-            world.engine("behind", service).hold(4, 8);
+            [&a, &b].iter().for_each(|e| e.set_layers(0, 4));
+            world.engine("behind", service).set_layers(4, 8);
         }
         if service != "api" {
             let play = Behavior::Stream(3, Duration::from_millis(1));
-            [&a, &b].iter().for_each(|e| e.play(play));
+            [&a, &b].iter().for_each(|e| e.set_behavior(play));
         }
         let node = world.node().await;
         Caller::new(node.listen).key(KEY).call(method.clone(), target, "body").await.unwrap();
-        let engines = if a.seen().is_empty() { [b, a] } else { [a, b] };
+        let engines = if a.requests().is_empty() { [b, a] } else { [a, b] };
         Self { _world: world, node, engines }
     }
 
@@ -99,11 +99,11 @@
     let found = WAYS.map(async |(method, target, service)| {
         let pair = Pair::of(&method, target, service).await;
         let [tired, other] = &pair.engines;
-        tired.rest(REST.1);
-        tired.play(Behavior::Refuse);
+        tired.set_retry_after(REST.1);
+        tired.set_behavior(Behavior::Refuse);
         let replies = call_for(&pair.caller(), REST.0, method, target).await;
         let served = replies.iter().filter(|r| r.status == 200).count();
-        assert!(other.seen().len() >= served);
+        assert!(other.requests().len() >= served);
         (target, most_in_rest(tired), replies.len() - served)
     });
     let found = futures::future::join_all(found).await;
@@ -117,11 +117,11 @@
     let found = WAYS.map(async |(method, target, service)| {
         let pair = Pair::of(&method, target, service).await;
         let leaving = &pair.engines[0];
-        let before = leaving.seen().len();
-        leaving.leave(true);
+        let before = leaving.requests().len();
+        leaving.set_draining(true);
         let replies = call_for(&pair.caller(), DRAIN + UNDER_WAY, method, target).await;
         assert!(replies.iter().all(|r| r.status == 200), "{target}");
-        let seen = &leaving.seen()[before..];
+        let seen = &leaving.requests()[before..];
         (target, seen.iter().filter(|s| s.at > seen[0].at + DRAIN).count())
     });
     let found = futures::future::join_all(found).await;
--- a/crates/heathpitchd/tests/gateway_wishes_bind.rs
+++ b/crates/heathpitchd/tests/gateway_wishes_bind.rs
@@ -24,8 +24,8 @@
 
 /// Turns away what comes, and asks for this rest.
 fn tire(engine: &Engine, rest: &str) {
-    engine.rest(rest);
-    engine.play(Behavior::Refuse);
+    engine.set_retry_after(rest);
+    engine.set_behavior(Behavior::Refuse);
 }
 
 fn is(event: &Value, engine: &Engine) -> bool {
@@ -45,7 +45,7 @@
         let asked = Instant::now();
         let reply = get(&node).await;
         assert!(asked.elapsed() < Duration::from_millis(100), "{:?}", asked.elapsed());
-        assert_eq!((reply.status, reply.stamp()), (503, None));
+        assert_eq!((reply.status, reply.digest()), (503, None));
         let text = String::from_utf8_lossy(&reply.body).into_owned();
         assert!(text.contains("resting") && text.contains("not_run"), "{text}");
         backs.push(reply.header("retry-after").unwrap().parse::<f64>().unwrap());
@@ -53,9 +53,9 @@
     let most = 0.3 * 5.0;
     assert!(backs.iter().all(|b| (0.5..=most).contains(b)), "as the rest is over: {backs:?}");
     assert!(backs.iter().any(|b| *b != backs[0]), "not all at once: {backs:?}");
-    let came: usize = engines.iter().map(|e| e.seen().len()).sum();
+    let came: usize = engines.iter().map(|e| e.requests().len()).sum();
     assert_eq!(came, 2, "each turned one away");
-    engines.iter().for_each(|e| e.play(Behavior::Echo));
+    engines.iter().for_each(|e| e.set_behavior(Behavior::Echo));
     wait("an engine is taken up again", async || get(&node).await.status == 200).await;
     assert!(begun.elapsed() >= Duration::from_millis(1_200), "{:?}", begun.elapsed());
 }
@@ -76,11 +76,11 @@
     }
     wait("it is asked again", async || {
         get(&node).await;
-        engine.seen().len() > 1
+        engine.requests().len() > 1
     })
     .await;
     assert!(begun.elapsed() >= Duration::from_millis(1_950), "{:?}", begun.elapsed());
-    assert_eq!(engine.checks().len(), 0);
+    assert_eq!(engine.health_checks().len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -91,15 +91,15 @@
     for nonsense in ["soon", "-3", "NaN", "Fri, 04 Dec 2026 00:00:00 GMT"] {
         tire(&engine, nonsense);
         get(&node).await;
-        engine.play(Behavior::Echo);
+        engine.set_behavior(Behavior::Echo);
         assert_eq!(get(&node).await.status, 200, "{nonsense}");
     }
     tire(&engine, "1e300");
     get(&node).await;
-    engine.play(Behavior::Echo);
+    engine.set_behavior(Behavior::Echo);
     assert_eq!(get(&node).await.status, 503);
     engine.restart();
-    engine.list("ready");
+    engine.register("ready");
     wait("its new life is used", async || get(&node).await.status == 200).await;
 }
 
@@ -109,26 +109,26 @@
     let world = World::new();
     let (tired, leaving) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
-    leaving.leave(true);
+    leaving.set_draining(true);
     tire(&tired, "60");
     wait("both have said so", async || {
         get(&node).await;
         node.events("engine_wished").len() >= 2
     })
     .await;
-    let came = tired.seen().len() + leaving.seen().len();
+    let came = tired.requests().len() + leaving.requests().len();
     for engine in [&tired, &leaving] {
-        engine.unlist();
+        engine.deregister();
         wait("it is gone", async || node.events("engine_gone").iter().any(|e| is(e, engine))).await;
         let listed = async || node.events("engine_listed").iter().filter(|e| is(e, engine)).count();
         let before = listed().await;
-        engine.list("ready");
+        engine.register("ready");
         wait("it is back", async || listed().await > before).await;
     }
     for _ in 0..10 {
         assert_eq!(get(&node).await.status, 503);
     }
-    assert_eq!(tired.seen().len() + leaving.seen().len(), came);
+    assert_eq!(tired.requests().len() + leaving.requests().len(), came);
 }
 
 /// The store is away, and its entry says that it is ready.
@@ -140,11 +140,11 @@
     let far = world.start_in("atl", "n3");
     far.wait_ready().await.unwrap();
     wait("planners know each other", async || !far.events("neighbour_changed").is_empty()).await;
-    link.set(LinkMode::Blackhole);
-    leaving.leave(true);
+    link.set_mode(LinkMode::Blackhole);
+    leaving.set_draining(true);
     wait("the follower has heard it", async || {
         assert_eq!(status(&caller(&follower), "/open/x").await, 200);
-        leaving.seen().last().is_some_and(|s| s.at.elapsed() < Duration::from_millis(500))
+        leaving.requests().last().is_some_and(|s| s.at.elapsed() < Duration::from_millis(500))
             && !follower.events("engine_leaves").is_empty()
     })
     .await;
@@ -155,14 +155,14 @@
     }
     assert!(told.elapsed() < CONTACT, "{:?}", told.elapsed());
     println!("known to all after {:?}", told.elapsed());
-    let came = leaving.seen().len();
+    let came = leaving.requests().len();
     for node in [&planner, &far, &follower] {
         for _ in 0..5 {
             assert_eq!(status(&caller(node), "/open/x").await, 200);
         }
     }
-    assert_eq!(leaving.seen().len(), came);
-    assert!(!other.seen().is_empty());
+    assert_eq!(leaving.requests().len(), came);
+    assert!(!other.requests().is_empty());
     let begun = world.start_in("atl", "n4");
     begun.wait_ready().await.unwrap();
     wait("one that begins is told", async || !begun.events("engine_leaves").is_empty()).await;
@@ -174,7 +174,7 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.leave(true);
+    engine.set_draining(true);
     assert_eq!(get(&node).await.status, 200);
     assert_eq!(get(&node).await.status, 503);
     // Half a minute passes.
@@ -182,9 +182,9 @@
         node.signal("USR2").unwrap();
         wait("it is over", async || node.events("vm_suspended").len() == i).await;
     }
-    wait("it is asked whether it leaves", async || !engine.checks().is_empty()).await;
+    wait("it is asked whether it leaves", async || !engine.health_checks().is_empty()).await;
     assert_eq!(get(&node).await.status, 503, "it said so again");
-    engine.leave(false);
+    engine.set_draining(false);
     wait("it is used again", async || get(&node).await.status == 200).await;
     wait("the log says so", async || !node.events("engine_stays").is_empty()).await;
 }
@@ -194,8 +194,8 @@
 async fn another_engine_s_word_at_the_same_address_is_not_taken_for_this_one_s() {
     let world = World::new();
     let other = world.engine("b", "one");
-    other.leave(true);
-    world.store.list_engine("gone", "api", "mem", other.address);
+    other.set_draining(true);
+    world.store.register_engine("gone", "api", "mem", other.address);
     let node = world.node().await;
     assert_eq!(get(&node).await.status, 503);
     assert_eq!(node.events("engine_leaves").len() + node.events("engine_wished").len(), 0);
@@ -206,15 +206,15 @@
 async fn streams_go_round_an_engine_behind_the_first_that_asked_for_rest() {
     let world = World::new();
     let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
-    [&a, &d].iter().for_each(|e| e.hold(0, 4));
-    [&b, &c].iter().for_each(|e| e.hold(4, 8));
+    [&a, &d].iter().for_each(|e| e.set_layers(0, 4));
+    [&b, &c].iter().for_each(|e| e.set_layers(4, 8));
     let node = world.node().await;
     let heads = [&a, &d];
-    heads.iter().for_each(|e| e.play(Behavior::RefuseVia(b.address)));
-    heads.iter().for_each(|e| e.rest("30"));
+    heads.iter().for_each(|e| e.set_behavior(Behavior::RefuseVia(b.address)));
+    heads.iter().for_each(|e| e.set_retry_after("30"));
     let tell = async || caller(&node).call(Method::POST, "/tell/x", "prompt").await.unwrap();
     let through = |engine: &Engine| {
-        let seen = [a.seen(), d.seen()].concat();
+        let seen = [a.requests(), d.requests()].concat();
         seen.iter().filter(|s| s.path().unwrap().contains(&engine.address.to_string())).count()
     };
     for _ in 0..12 {
@@ -231,21 +231,21 @@
 async fn running_streams_go_on_at_an_engine_that_asks_for_rest_or_leaves() {
     let world = World::new();
     let (a, b) = (world.engine("a", "one"), world.engine("b", "one"));
-    [&a, &b].iter().for_each(|e| e.play(Behavior::Stream(40, Duration::from_millis(20))));
+    [&a, &b].iter().for_each(|e| e.set_behavior(Behavior::Stream(40, Duration::from_millis(20))));
     let node = world.node().await;
     let long = async || caller(&node).call(Method::POST, "/whole/x", "long").await.unwrap();
     let wish = async {
-        wait("one runs", async || a.seen().len() + b.seen().len() == 1).await;
-        let used = if a.seen().is_empty() { &b } else { &a };
+        wait("one runs", async || a.requests().len() + b.requests().len() == 1).await;
+        let used = if a.requests().is_empty() { &b } else { &a };
         tire(used, "5");
-        used.leave(true);
+        used.set_draining(true);
         tokio::time::sleep(Duration::from_millis(50)).await;
         let replies = futures::future::join_all((0..4).map(|_| long())).await;
-        assert!(replies.iter().all(|r| r.status == 200 && r.whole));
-        used.seen().len()
+        assert!(replies.iter().all(|r| r.status == 200 && r.complete));
+        used.requests().len()
     };
     let (running, came) = tokio::join!(long(), wish);
-    assert!(running.whole && running.events() == (1..=40).collect::<Vec<_>>());
+    assert!(running.complete && running.events() == (1..=40).collect::<Vec<_>>());
     assert!(came <= 3, "those that were under way: {came}");
 }
 
@@ -254,13 +254,13 @@
 async fn an_engine_that_turns_calls_away_without_a_time_is_passed_over_for_a_moment() {
     let world = World::new();
     let (away, _other) = (world.engine("a", "api"), world.engine("b", "api"));
-    away.play(Behavior::Refuse);
+    away.set_behavior(Behavior::Refuse);
     let node = world.node().await;
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_millis(1_000) {
         assert_eq!(get(&node).await.status, 200);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let came = away.seen().len();
+    let came = away.requests().len();
     assert!((1..=3).contains(&came), "once in 0.6 s: {came}");
 }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -196,9 +196,9 @@
                         |s: &&&ReceivedRequest| self.excused(engine, node, asked.at, s.at);
                     seen.iter().filter(move |s| s.at > asked.at + from).filter(move |s| !excused(s))
                 };
-                let rest = asked.rest.unwrap_or_default();
+                let rest = asked.retry_after.unwrap_or_default();
                 let within = later(UNDER_WAY).filter(|s| s.at < asked.at + rest).nth(IN_REST);
-                let after = later(DRAIN).next().filter(|_| asked.leaves);
+                let after = later(DRAIN).next().filter(|_| asked.draining);
                 let breach = |promise, s: &ReceivedRequest| Breach {
                     promise,
                     id: s.id().map(str::to_owned),
@@ -319,10 +319,10 @@
     let reply = one.reply.as_ref().filter(|r| r.status == 200)?;
     let events = reply.events();
     let own = match one.kind {
-        Kind::Get | Kind::Book => !reply.whole || reply.body == one.body.as_bytes(),
+        Kind::Get | Kind::Book => !reply.complete || reply.body == one.body.as_bytes(),
         Kind::Tell => events.iter().copied().eq(1..=events.len() as u64),
     };
-    let complete = one.kind != Kind::Tell || !reply.whole || events.len() as u64 == EVENTS;
-    let good = own && complete && reply.stamp().is_some();
+    let complete = one.kind != Kind::Tell || !reply.complete || events.len() as u64 == EVENTS;
+    let good = own && complete && reply.digest().is_some();
     (!good).then_some("whole and own answers")
 }
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -76,7 +76,7 @@
 
     /// Whether a success came whole.
     pub(crate) fn served(&self) -> bool {
-        self.reply.as_ref().is_some_and(|r| r.status == 200 && r.whole)
+        self.reply.as_ref().is_some_and(|r| r.status == 200 && r.complete)
     }
 }
 
@@ -117,7 +117,7 @@
         };
         let caller = match kept.take().filter(|c| c.address() == address) {
             Some(caller) => caller,
-            None => Caller::new(address).keeping(),
+            None => Caller::new(address).keep_alive(),
         };
         serial += 1;
         let kind = [Kind::Get, Kind::Book, Kind::Tell][rng.random_range(0..3)];
@@ -153,7 +153,7 @@
         Kind::Tell => (Method::POST, "/tell/x"),
     };
     let sent = Instant::now();
-    let caller = caller.named(&id);
+    let caller = caller.call_id(&id);
     let answered = tokio::time::timeout(ANSWER_TIMEOUT, caller.call(method, target, &body)).await;
     let reply = answered.ok().and_then(Result::ok);
     Told { id, node, kind, body, key, sent, took: sent.elapsed(), reply }
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -160,7 +160,7 @@
                 tokio::time::sleep(time).await;
                 world.store_mode(StoreMode::Up);
             }
-            Fault::Forget => world.store.forget(),
+            Fault::Forget => world.store.compact(),
             Fault::EngineLink(engine, link, time) => {
                 world.engine_link(engine, link);
                 tokio::time::sleep(time).await;
@@ -186,12 +186,12 @@
             }
             Fault::Limit(engine, limit, time) => {
                 let engine = world.engine(engine);
-                engine.limit(&[limit]);
+                engine.set_limits(&[limit]);
                 tokio::time::sleep(time).await;
-                engine.limit(&[]);
+                engine.set_limits(&[]);
             }
             Fault::Word(engine, time) => {
-                world.engine(engine).leave(true);
+                world.engine(engine).set_draining(true);
                 tokio::time::sleep(time).await;
                 world.replace(engine, serial)?;
             }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -117,15 +117,15 @@
         let layered = index >= PLAIN;
         let (service, kind) = if layered { ("llm", Some("small")) } else { ("api", None) };
         let mut engine = Engine::spawn(&self.store, &id, service, "mem", kind)?;
-        engine.unlist();
+        engine.deregister();
         let link = Proxy::spawn(engine.address)?;
         engine.address = link.address();
-        engine.play(usual(index));
-        engine.end_by(FATAL);
+        engine.set_behavior(usual(index));
+        engine.exit_on_body(FATAL);
         match index {
-            i if i < PLAIN => engine.list("ready"),
-            i if i % 2 == 1 => engine.hold(0, LAYERS.0),
-            _ => engine.hold(LAYERS.0, LAYERS.1),
+            i if i < PLAIN => engine.register("ready"),
+            i if i % 2 == 1 => engine.set_layers(0, LAYERS.0),
+            _ => engine.set_layers(LAYERS.0, LAYERS.1),
         }
         Ok(Station { engine, link })
     }
@@ -172,7 +172,7 @@
         let engines = stations.iter().map(|s| &s.engine).chain(former.iter());
         Evidence {
             told,
-            seen: engines.flat_map(Engine::seen).collect(),
+            seen: engines.flat_map(Engine::requests).collect(),
             revoked: self.revoked.lock().clone(),
             revoke: Duration::from_millis(REVOKE_MS),
             stood: self.stood.lock().clone(),
@@ -185,7 +185,7 @@
     /// Lines of the nodes' logs that name a call.
     pub(crate) fn story(&self, request: &str) -> Vec<String> {
         let lines = |n: &Mutex<Option<GatewayProcess>>| {
-            n.lock().as_ref().map(|n| n.story(request)).unwrap_or_default()
+            n.lock().as_ref().map(|n| n.request_log(request)).unwrap_or_default()
         };
         self.nodes.iter().flat_map(lines).collect()
     }
@@ -216,18 +216,18 @@
         // A node that was paused meanwhile has to go on first.
         node.signal("CONT")?;
         node.signal(signal)?;
-        let ended = tokio::task::spawn_blocking(move || node.wait_end(STOP)).await;
+        let ended = tokio::task::spawn_blocking(move || node.wait_exit(STOP)).await;
         Ok(ended.ok().flatten())
     }
 
     /// Treats a node's bytes to and from the store in this way.
     pub(crate) fn store_link(&self, index: usize, link: LinkMode) {
-        self.links[index].set(link);
+        self.links[index].set_mode(link);
     }
 
     /// Leaves a node's connections to the store silent for good.
     pub(crate) fn lose_store(&self, index: usize) {
-        self.links[index].lose();
+        self.links[index].blackhole_open();
     }
 
     /// Takes note of a time in which a node was disturbed, or all were.
@@ -237,17 +237,17 @@
 
     /// Has the store behave in this way.
     pub(crate) fn store_mode(&self, mode: StoreMode) {
-        self.store.behave(mode);
+        self.store.set_mode(mode);
     }
 
     /// Treats an engine's bytes in this way.
     pub(crate) fn engine_link(&self, index: usize, link: LinkMode) {
-        self.stations.lock()[index].link.set(link);
+        self.stations.lock()[index].link.set_mode(link);
     }
 
     /// Has an engine treat requests in this way; none: as usual.
     pub(crate) fn engine_play(&self, index: usize, play: Option<Behavior>) {
-        self.engine(index).play(play.unwrap_or(usual(index)));
+        self.engine(index).set_behavior(play.unwrap_or(usual(index)));
     }
 
     /// A plain engine says that it leaves, and another one comes.
@@ -255,8 +255,8 @@
         let new = self.station(index, life)?;
         let old = std::mem::replace(&mut self.stations.lock()[index], new);
         // What its link held back comes before its word, not after.
-        old.link.set(LinkMode::Pass);
-        old.engine.list("draining");
+        old.link.set_mode(LinkMode::Pass);
+        old.engine.register("draining");
         self.left.lock().push(Left { engine: old.engine.id.clone(), at: Instant::now() });
         self.former.lock().push(old.engine);
         // Its link goes on for as long as the engine is kept.
@@ -266,14 +266,14 @@
 
     /// Has the store come back from a copy that is `age` old by then; operator and engines write again.
     pub(crate) async fn return_store(&self, age: Duration, changes: u64) {
-        self.store.copy();
+        self.store.take_snapshot();
         tokio::time::sleep(age).await;
-        self.store.come_back(&[], changes);
+        self.store.restore_snapshot(&[], changes);
         tokio::time::sleep(WRITTEN_AGAIN).await;
-        self.store.configure(&self.site.lock().json());
-        let listed = |engine: &Engine, state| match engine.ended() {
-            true => engine.unlist(),
-            false => engine.list(state),
+        self.store.put_config(&self.site.lock().json());
+        let listed = |engine: &Engine, state| match engine.has_exited() {
+            true => engine.deregister(),
+            false => engine.register(state),
         };
         self.stations.lock().iter().for_each(|s| listed(&s.engine, "ready"));
         self.former.lock().iter().for_each(|engine| listed(engine, "draining"));
@@ -283,10 +283,10 @@
     pub(crate) fn tire(&self, index: usize, rest: Option<&str>) {
         let engine = self.engine(index);
         match rest {
-            Some(rest) => engine.rest(rest),
-            None => engine.name_no_rest(),
+            Some(rest) => engine.set_retry_after(rest),
+            None => engine.clear_retry_after(),
         }
-        engine.play(rest.map_or(usual(index), |_| Behavior::Refuse));
+        engine.set_behavior(rest.map_or(usual(index), |_| Behavior::Refuse));
     }
 
     /// The engine in a place.
@@ -304,7 +304,7 @@
     pub(crate) fn rebirth(&self, index: usize) {
         let engine = self.engine(index);
         engine.restart();
-        engine.list("ready");
+        engine.register("ready");
     }
 
     /// Has the fatal request come to a node, under another id each time.
@@ -331,12 +331,12 @@
         for life in 1_000_000.. {
             // A plain engine may be replaced meanwhile; the one that took its place is waited for then.
             let engine = self.engine(index);
-            if tokio::time::timeout(LOOK, engine.wait_end()).await.is_err() {
+            if tokio::time::timeout(LOOK, engine.wait_exit()).await.is_err() {
                 continue;
             }
-            self.stations.lock()[index].link.end();
+            self.stations.lock()[index].link.shut_down();
             tokio::time::sleep(LAPSE).await;
-            engine.unlist();
+            engine.deregister();
             tokio::time::sleep(BACK.saturating_sub(LAPSE)).await;
             let Ok(new) = self.station(index, life) else { return };
             let old = std::mem::replace(&mut self.stations.lock()[index], new);
@@ -354,7 +354,7 @@
         let mut site = self.site.lock();
         change(&mut site);
         site.version += 3;
-        self.store.configure(&site.json());
+        self.store.put_config(&site.json());
     }
 
     /// Takes a key away and gives the account a new one, `serial` in its name.
@@ -389,7 +389,7 @@
         version: 3,
         routes: vec![
             RouteSpec::idempotent("/get/", "api").timeout(plain),
-            RouteSpec::once("/book/", "api").timeout(plain),
+            RouteSpec::at_most_once("/book/", "api").timeout(plain),
             RouteSpec::stream("/tell/", "llm"),
         ],
         services: vec!["api".to_owned()],
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -16,12 +16,12 @@
         key: "key".to_owned(),
         sent: Instant::now(),
         took: Duration::from_millis(20),
-        reply: Some(Reply::stamped(status, body)),
+        reply: Some(Reply::with_digest(status, body)),
     }
 }
 
 fn seen(body: &str, account: &str) -> ReceivedRequest {
-    ReceivedRequest::of("c1", account, body)
+    ReceivedRequest::new("c1", account, body)
 }
 
 fn broken(told: Told, seen: Vec<ReceivedRequest>) -> Vec<&'static str> {
@@ -62,7 +62,7 @@
     unstamped.reply.as_mut().unwrap().headers.clear();
     assert_eq!(broken(unstamped, one()), spoilt);
     let mut short = told(Kind::Tell, 200, &stream(1..=7));
-    short.reply.as_mut().unwrap().whole = false;
+    short.reply.as_mut().unwrap().complete = false;
     assert_eq!(broken(short, one()), [""; 0], "what breaks off visibly is no lie");
 }
 
@@ -92,7 +92,7 @@
 
 #[test]
 fn requests_at_engines_that_left_are_found() {
-    let late = seen("body", "desk").at_engine("e1");
+    let late = seen("body", "desk").with_engine("e1");
     let ago = |ms| late.at.checked_sub(Duration::from_millis(ms)).unwrap();
     let judged = |left, troubles: &[Trouble]| {
         let evidence = Evidence {
@@ -119,9 +119,10 @@
     let visit = |ms: u64| ReceivedRequest {
         at: now + Duration::from_millis(ms),
         ran: false,
-        ..seen("body", "desk").at_engine("e1")
+        ..seen("body", "desk").with_engine("e1")
     };
-    let asked = |ms, rest| ReceivedRequest { rest: Some(Duration::from_millis(rest)), ..visit(ms) };
+    let asked =
+        |ms, rest| ReceivedRequest { retry_after: Some(Duration::from_millis(rest)), ..visit(ms) };
     let judged = |seen: &[ReceivedRequest], held_up: &[HeldUp], troubles: &[Trouble]| {
         let evidence = Evidence {
             told: vec![told(Kind::Get, 503, "")],
@@ -144,7 +145,7 @@
     let trouble = |node| Trouble { node: Some(node), from, until };
     assert_eq!(judged(&three, &[], &[trouble(0)]), 0, "the node was disturbed");
     assert_eq!(judged(&three, &[], &[trouble(1)]), 1, "another one was");
-    let leaves = ReceivedRequest { leaves: true, ..visit(0) };
+    let leaves = ReceivedRequest { draining: true, ..visit(0) };
     assert_eq!(judged(&[leaves.clone(), visit(2_100)], &[], &[]), 0);
     assert_eq!(judged(&[leaves, visit(2_300)], &[], &[]), 1);
 }
@@ -155,7 +156,7 @@
     let visit = |ms: u64, limit: Option<f64>| ReceivedRequest {
         at: now + Duration::from_millis(ms),
         limit,
-        ..seen("body", "desk").at_engine("e1")
+        ..seen("body", "desk").with_engine("e1")
     };
     let judged = |seen: &[ReceivedRequest], troubles: &[Trouble]| {
         let evidence = Evidence {
