--- a/crates/heathpitchd/tests/gateway_crashing_requests.rs
+++ b/crates/heathpitchd/tests/gateway_crashing_requests.rs
@@ -1,6 +1,6 @@
 //! Requests under which engines end.
 //!
-//! ReceivedRequest: one request ended nine to seventeen engines, one after the other, each with all streams that ran
+//! Seen: one request ended nine to seventeen engines, one after the other, each with all streams that ran
 //! there; between two of them a failure domain had no first layers. It came about because the request ended
 //! the engine that began to run it, was sent to a second one, and came back by its caller, with another
 //! id and at another node. The cause: what a node learned from the loss of an engine ended with the
--- a/crates/heathpitchd/tests/gateway_dead_links.rs
+++ b/crates/heathpitchd/tests/gateway_dead_links.rs
@@ -1,6 +1,6 @@
 //! Links to the store that lose connections without a word.
 //!
-//! ReceivedRequest: a node sent streams to an engine 2.3 s after the store had taken its word that it leaves;
+//! Seen: a node sent streams to an engine 2.3 s after the store had taken its word that it leaves;
 //! 2.0 s are agreed. The node's failure domain had been cut off for 6 s, and its link had been back for
 //! 2.6 s. How it came about: its watch of the engines had been asked just before the cut, on a
 //! connection that did not come back with the network; a proof of the configuration on a new connection
--- a/crates/heathpitchd/tests/gateway_layers.rs
+++ b/crates/heathpitchd/tests/gateway_layers.rs
@@ -51,7 +51,7 @@
     wait("every layer is held again", async || whole(&engines)).await;
 }
 
-/// An engine's entry may outlive it, as long as the store is away or for good. ReceivedRequest once: an order to one that had
+/// An engine's entry may outlive it, as long as the store is away or for good. Seen once: an order to one that had
 /// ended was counted as taken, so that a layer which it was to hold had no other engine any more, and no
 /// stream was served until the end.
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/heathpitchd/tests/gateway_limits.rs
+++ b/crates/heathpitchd/tests/gateway_limits.rs
@@ -1,6 +1,6 @@
 //! Engines that name how many requests a second they take from all nodes together.
 //!
-//! ReceivedRequest: two engines in need named limits of 4.9 and 3.6 requests a second in their answers, and got 38 and 37 requests
+//! Seen: two engines in need named limits of 4.9 and 3.6 requests a second in their answers, and got 38 and 37 requests
 //! within four seconds, of nodes that had passed such answers on. It came about because each of three nodes went on choosing the
 //! engine by what it knew of its load, about three a second each. The cause: no node read the limit, and a sum over all
 //! nodes is kept by none that keeps it for itself. Proof: on that code the first test here counts 236 to 459 where 26 are
--- a/crates/heathpitchd/tests/gateway_wishes.rs
+++ b/crates/heathpitchd/tests/gateway_wishes.rs
@@ -1,6 +1,6 @@
 //! Engines that ask for rest, or say in their answers that they leave.
 //!
-//! ReceivedRequest: an engine turned a node away with a time for which it wanted nothing from it, and got eight requests
+//! Seen: an engine turned a node away with a time for which it wanted nothing from it, and got eight requests
 //! from that node within it; another node sent it five. It came about because it had the least load of its
 //! service, as it turned everybody away at once, so that call after call was sent there: of one node's
 //! seventeen calls in six seconds eleven. The cause: a node took from such an answer that the call had not run,
