--- a/crates/heathpitchd/tests/gateway/mod.rs
+++ b/crates/heathpitchd/tests/gateway/mod.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime};
 
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Proxy, RouteSpec, Site, Store};
+use heathpitch_standin::{Caller, Engine, GatewayProcess, Proxy, RouteSpec, Store, TestConfig};
 use hyper::Method;
 use serde_json::{Value, json};
 
@@ -21,18 +21,18 @@
 /// A store with a configuration, for which nodes and engines can be started.
 pub(crate) struct World {
     pub(crate) store: Store,
-    pub(crate) site: Site,
+    pub(crate) site: TestConfig,
 }
 
 impl World {
     /// A store with the default configuration.
     pub(crate) fn new() -> Self {
         let store = Store::spawn().unwrap();
-        let site = Site {
+        let site = TestConfig {
             version: 3,
             routes: vec![
                 RouteSpec::idempotent("/get/", "api"),
-                RouteSpec::once("/book/", "api"),
+                RouteSpec::at_most_once("/book/", "api"),
                 RouteSpec::stream("/tell/", "llm"),
                 RouteSpec::stream("/whole/", "one"),
                 RouteSpec::idempotent("/open/", "api").public(),
@@ -49,7 +49,7 @@
 
     /// Writes the configuration to the store.
     pub(crate) fn configure(&self) {
-        self.store.configure(&self.site.json());
+        self.store.put_config(&self.site.json());
     }
 
     /// Starts an engine of a service.
--- a/crates/heathpitchd/tests/gateway_backpressure.rs
+++ b/crates/heathpitchd/tests/gateway_backpressure.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Play, Reply};
+use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, Reply};
 use hyper::Method;
 
 /// Requested pause, as a duration and as the header's value.
@@ -30,8 +30,8 @@
 
 /// Times of all requests that take a slot at an engine: calls and health checks.
 fn request_times(engine: &Engine) -> Vec<Instant> {
-    let seen = engine.seen().into_iter().map(|s| s.at);
-    seen.chain(engine.checks()).collect()
+    let seen = engine.requests().into_iter().map(|s| s.at);
+    seen.chain(engine.health_checks()).collect()
 }
 
 /// Most requests that an engine received within the pause that it requested when it rejected one.
@@ -39,7 +39,7 @@
     let times = request_times(engine);
     let pause = |at: Instant| (at + IN_FLIGHT, at + PAUSE.0);
     let count = |(from, to)| times.iter().filter(|t| (from..to).contains(*t)).count();
-    let received = engine.seen();
+    let received = engine.requests();
     let rejected = received.iter().filter(|s| !s.ran);
     rejected.map(|s| count(pause(s.at))).max().unwrap_or(0)
 }
@@ -76,16 +76,16 @@
         let world = World::new();
         let [a, b] = ["a", "b"].map(|name| world.engine(name, service));
         if service == "llm" {
-            [&a, &b].iter().for_each(|e| e.hold(0, 4));
-            world.engine("behind", service).hold(4, 8);
+            [&a, &b].iter().for_each(|e| e.set_layers(0, 4));
+            world.engine("behind", service).set_layers(4, 8);
         }
         if service != "api" {
-            let play = Play::Stream(3, Duration::from_millis(1));
-            [&a, &b].iter().for_each(|e| e.play(play));
+            let play = Behavior::Stream(3, Duration::from_millis(1));
+            [&a, &b].iter().for_each(|e| e.set_behavior(play));
         }
         let node = world.node().await;
         Caller::new(node.listen).key(KEY).call(method.clone(), target, "body").await.unwrap();
-        let engines = if a.seen().is_empty() { [b, a] } else { [a, b] };
+        let engines = if a.requests().is_empty() { [b, a] } else { [a, b] };
         Self { _world: world, node, engines }
     }
 
@@ -99,11 +99,11 @@
     let found = REQUEST_KINDS.map(async |(method, target, service)| {
         let pair = Pair::new(&method, target, service).await;
         let [paused, other] = &pair.engines;
-        paused.rest(PAUSE.1);
-        paused.play(Play::Refuse);
+        paused.set_retry_after(PAUSE.1);
+        paused.set_behavior(Behavior::Refuse);
         let replies = call_for(&pair.caller(), PAUSE.0, method, target).await;
         let served = replies.iter().filter(|r| r.status == 200).count();
-        assert!(other.seen().len() >= served);
+        assert!(other.requests().len() >= served);
         (target, most_in_pause(paused), replies.len() - served)
     });
     let found = futures::future::join_all(found).await;
@@ -117,11 +117,11 @@
     let found = REQUEST_KINDS.map(async |(method, target, service)| {
         let pair = Pair::new(&method, target, service).await;
         let draining = &pair.engines[0];
-        let before = draining.seen().len();
-        draining.leave(true);
+        let before = draining.requests().len();
+        draining.set_draining(true);
         let replies = call_for(&pair.caller(), DRAIN + IN_FLIGHT, method, target).await;
         assert!(replies.iter().all(|r| r.status == 200), "{target}");
-        let seen = &draining.seen()[before..];
+        let seen = &draining.requests()[before..];
         (target, seen.iter().filter(|s| s.at > seen[0].at + DRAIN).count())
     });
     let found = futures::future::join_all(found).await;
--- a/crates/heathpitchd/tests/gateway_calls.rs
+++ b/crates/heathpitchd/tests/gateway_calls.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World, wait};
-use heathpitch_standin::{CALL_ID, CALL_TIME, Caller, Play, RawEngine};
+use heathpitch_standin::{Behavior, CALL_DEADLINE, CALL_ID, Caller, RawEngine};
 use hyper::Method;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -21,15 +21,15 @@
         Caller::new(node.listen).key(KEY).call(Method::POST, "/book/x?a=%2F", "buy 100").await;
     let reply = reply.unwrap();
     assert_eq!((reply.status, &reply.body[..]), (200, &b"buy 100"[..]));
-    assert_eq!(reply.stamp(), Some("stamp-e1"));
-    let seen = engine.seen().remove(0);
+    assert_eq!(reply.digest(), Some("stamp-e1"));
+    let seen = engine.requests().remove(0);
     assert_eq!((seen.method.as_str(), seen.target.as_str()), ("POST", "/book/x?a=%2F"));
     assert_eq!(&seen.body[..], b"buy 100");
     assert_eq!(seen.account(), Some("desk"));
     assert_eq!(seen.header("authorization"), None);
     assert_eq!(seen.engine(), Some("e1"));
-    assert_eq!(seen.sizes(), Some("100,50"));
-    let left: u64 = seen.left_ms().unwrap();
+    assert_eq!(seen.token_counts(), Some("100,50"));
+    let left: u64 = seen.remaining_ms().unwrap();
     assert!(left <= 5_000 && left > 3_000, "{left}");
 }
 
@@ -43,14 +43,14 @@
     assert_eq!(status(&caller.clone().key(KEY), "/nowhere/").await, 404);
     assert_eq!(status(&caller, "/get/x").await, 401);
     assert_eq!(status(&caller.clone().key("wrong"), "/get/x").await, 401);
-    assert_eq!(engine.seen().len(), 0);
+    assert_eq!(engine.requests().len(), 0);
     assert_eq!(status(&caller, "/open/x").await, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_without_a_configuration_answers_503() {
     let world = World::new();
-    world.store.unconfigure();
+    world.store.remove_config();
     world.engine("e1", "api");
     let node = world.start("n1", &json!({}));
     let reply = Caller::new(node.listen).key(KEY).call(Method::GET, "/get/x", "").await.unwrap();
@@ -64,15 +64,15 @@
     let world = World::new();
     let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
-    for play in [Play::Lose, Play::OtherId, Play::Unstamped] {
-        a.play(play);
-        b.play(play);
-        let before = a.seen().len() + b.seen().len();
+    for play in [Behavior::DropConnection, Behavior::WrongId, Behavior::NoDigest] {
+        a.set_behavior(play);
+        b.set_behavior(play);
+        let before = a.requests().len() + b.requests().len();
         let reply =
             Caller::new(node.listen).key(KEY).call(Method::POST, "/book/x", "1").await.unwrap();
         assert_eq!(reply.status, 502, "{play:?}");
-        assert_eq!(reply.stamp(), None);
-        assert_eq!(a.seen().len() + b.seen().len() - before, 1, "{play:?}");
+        assert_eq!(reply.digest(), None);
+        assert_eq!(a.requests().len() + b.requests().len() - before, 1, "{play:?}");
     }
 }
 
@@ -81,30 +81,36 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.play(Play::Refuse);
+    engine.set_behavior(Behavior::Refuse);
     let caller = Caller::new(node.listen).key(KEY);
     let reply = caller.call(Method::POST, "/book/x", "1").await.unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some());
-    engine.play(Play::Fail(500));
+    engine.set_behavior(Behavior::Fail(500));
     let reply = caller.call(Method::POST, "/book/x", "1").await.unwrap();
-    assert_eq!((reply.status, reply.stamp()), (500, Some("stamp-a")));
+    assert_eq!((reply.status, reply.digest()), (500, Some("stamp-a")));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idempotent_call_is_retried_at_another_engine() {
-    for play in [Play::Lose, Play::OtherId, Play::Unstamped, Play::Refuse, Play::Fail(500)] {
+    for play in [
+        Behavior::DropConnection,
+        Behavior::WrongId,
+        Behavior::NoDigest,
+        Behavior::Refuse,
+        Behavior::Fail(500),
+    ] {
         let world = World::new();
         let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
         let node = world.node().await;
-        a.play(play);
+        a.set_behavior(play);
         let caller = Caller::new(node.listen).key(KEY);
         for _ in 0..6 {
             let reply = caller.call(Method::GET, "/get/x", "").await.unwrap();
             assert_eq!(reply.status, 200, "{play:?}");
-            assert_eq!(reply.stamp(), Some("stamp-b"), "{play:?}");
+            assert_eq!(reply.digest(), Some("stamp-b"), "{play:?}");
         }
-        assert_eq!(b.seen().len(), 6);
+        assert_eq!(b.requests().len(), 6);
     }
 }
 
@@ -112,12 +118,12 @@
 async fn a_surplus_answer_is_never_given_to_another_call() {
     let world = World::new();
     let raw = RawEngine::spawn(|id| {
-        let answer = RawEngine::whole_answer;
+        let answer = RawEngine::complete_response;
         // Each answer is followed by a second one that could be taken for that of the next call.
         format!("{}{}", answer(id, &format!("for {id}")), answer(id, "once more")).into_bytes()
     });
     let address = raw.await.unwrap().address;
-    world.store.list_engine("raw", "api", "mem", address);
+    world.store.register_engine("raw", "api", "mem", address);
     let node = world.node().await;
     for _ in 0..20 {
         let reply =
@@ -133,7 +139,7 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.play(Play::Hang);
+    engine.set_behavior(Behavior::Hang);
     let start = Instant::now();
     let reply = Caller::new(node.listen).key(KEY).call(Method::GET, "/short/x", "").await.unwrap();
     assert_eq!(reply.status, 504);
@@ -144,9 +150,9 @@
 async fn an_entry_that_leads_to_another_engine_is_removed() {
     let world = World::new();
     let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
-    a.unlist();
+    a.deregister();
     // The entry of an engine that no longer exists has the address of another engine.
-    world.store.list_engine("gone", "api", "mem", b.address);
+    world.store.register_engine("gone", "api", "mem", b.address);
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     for _ in 0..12 {
@@ -174,7 +180,7 @@
         "POST /book/x HTTP/1.1\r\nhost: desk.example\r\nauthorization: Bearer key-of-desk\r\n";
     for (rest, status) in [
         (format!("{CALL_ID}: 1\r\ncontent-length: 3\r\ncontent-length: 5\r\n\r\nabc"), "400"),
-        (format!("{CALL_ID}: 1\r\n{CALL_TIME}: soon\r\ncontent-length: 0\r\n\r\n"), "400"),
+        (format!("{CALL_ID}: 1\r\n{CALL_DEADLINE}: soon\r\ncontent-length: 0\r\n\r\n"), "400"),
         ("content-length: 0\r\n\r\n".to_owned(), "400"),
         (format!("{CALL_ID}: 1\r\nx-pad: {}\r\n\r\n", "y".repeat(60_000)), "431"),
     ] {
@@ -185,7 +191,7 @@
         let answer = String::from_utf8_lossy(&answer).into_owned();
         assert_eq!(answer, format!("HTTP/1.1 {status}"), "{}", &rest[..40.min(rest.len())]);
     }
-    assert_eq!(engine.seen().len(), 0);
+    assert_eq!(engine.requests().len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -193,10 +199,10 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.play(Play::Lose);
+    engine.set_behavior(Behavior::DropConnection);
     let caller = Caller::new(node.listen).key(KEY);
     caller.call(Method::POST, "/book/x", "1").await.unwrap();
-    let request = engine.seen()[0].id().unwrap().to_owned();
+    let request = engine.requests()[0].id().unwrap().to_owned();
     let about = |event: &str| {
         let lines = node.events(event);
         lines.into_iter().find(|l| l["request"] == request.as_str())
--- a/crates/heathpitchd/tests/gateway_crashing_requests.rs
+++ b/crates/heathpitchd/tests/gateway_crashing_requests.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World, fed, wait, wall_ms};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Play, Reply};
+use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, Reply};
 use hyper::Method;
 use serde_json::{Value, json};
 
@@ -30,8 +30,8 @@
 fn engines(world: &World, count: usize) -> Vec<Engine> {
     let engine = |i: usize| {
         let engine = world.engine(&format!("e{i}"), "one");
-        engine.play(Play::Stream(40, Duration::from_millis(25)));
-        engine.end_by(FATAL);
+        engine.set_behavior(Behavior::Stream(40, Duration::from_millis(25)));
+        engine.exit_on_body(FATAL);
         engine
     };
     (0..count).map(engine).collect()
@@ -59,12 +59,12 @@
 
 /// Times at which the fatal request reached an engine.
 fn sends(engines: &[Engine]) -> Vec<Instant> {
-    let received = engines.iter().flat_map(Engine::seen);
+    let received = engines.iter().flat_map(Engine::requests);
     received.filter(|s| &s.body[..] == FATAL.as_bytes()).map(|s| s.at).collect()
 }
 
 fn crashed(engines: &[Engine]) -> usize {
-    engines.iter().filter(|e| e.ended()).count()
+    engines.iter().filter(|e| e.has_exited()).count()
 }
 
 /// Sends the fatal request to one node after the other until it has crashed three engines.
@@ -158,7 +158,7 @@
             // Callers retry after a failure.
             for _ in 0..8 {
                 match caller.call(Method::POST, "/whole/x", &body).await {
-                    Ok(reply) if reply.status == 200 && reply.whole => return (held, true),
+                    Ok(reply) if reply.status == 200 && reply.complete => return (held, true),
                     Ok(reply) => {
                         held +=
                             usize::from(String::from_utf8_lossy(&reply.body).contains("held_back"));
@@ -227,7 +227,7 @@
         wait("the request is released", async || !node.events("request_let_through").is_empty())
             .await;
     }
-    engines.iter().for_each(|e| e.end_by("nothing any more"));
+    engines.iter().for_each(|e| e.exit_on_body("nothing any more"));
     wait("the request is served", async || stream(&restarted[0], FATAL).await.status == 200).await;
 }
 
@@ -235,7 +235,7 @@
 async fn at_most_once_calls_are_held_back_too() {
     let world = World::new();
     let engines: Vec<_> = (0..8).map(|i| world.engine(&format!("e{i}"), "api")).collect();
-    engines.iter().for_each(|e| e.end_by(FATAL));
+    engines.iter().for_each(|e| e.exit_on_body(FATAL));
     let nodes = nodes(&world).await;
     let mut ran = 0;
     for node in nodes.iter().cycle().take(9) {
@@ -255,13 +255,13 @@
 async fn engines_that_cut_responses_off_do_not_count_as_crashed() {
     let world = World::new();
     let engines = engines(&world, 6);
-    engines.iter().for_each(|e| e.play(Play::CutAfter(0)));
+    engines.iter().for_each(|e| e.set_behavior(Behavior::TruncateAfter(0)));
     let node = world.node().await;
     for _ in 0..8 {
         stream(&node, "proper").await;
     }
     assert_eq!(node.events("engine_ended").len(), 0);
-    engines.iter().for_each(|e| e.play(Play::Stream(3, Duration::from_millis(2))));
+    engines.iter().for_each(|e| e.set_behavior(Behavior::Stream(3, Duration::from_millis(2))));
     assert_eq!(stream(&node, "proper").await.status, 200);
 }
 
@@ -276,8 +276,10 @@
         let fault = async {
             tokio::time::sleep(Duration::from_millis(500)).await;
             let runs = |e: &&Engine| {
-                !e.ended()
-                    && e.seen().last().is_some_and(|s| s.at.elapsed() < Duration::from_millis(700))
+                !e.has_exited()
+                    && e.requests()
+                        .last()
+                        .is_some_and(|s| s.at.elapsed() < Duration::from_millis(700))
             };
             engines.iter().filter(runs).for_each(Engine::crash);
         };
@@ -296,13 +298,13 @@
     let nodes = nodes(&world).await;
     let call = stream(&nodes[0], "proper");
     let fault = async {
-        wait("the stream runs", async || engines.iter().any(|e| !e.seen().is_empty())).await;
+        wait("the stream runs", async || engines.iter().any(|e| !e.requests().is_empty())).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
-        engines.iter().filter(|e| !e.seen().is_empty()).for_each(Engine::crash);
+        engines.iter().filter(|e| !e.requests().is_empty()).for_each(Engine::crash);
     };
     tokio::join!(call, fault);
-    let gone = engines.iter().find(|e| e.ended()).unwrap();
-    engines.iter().for_each(|e| e.play(Play::Stream(2, Duration::from_millis(2))));
+    let gone = engines.iter().find(|e| e.has_exited()).unwrap();
+    engines.iter().for_each(|e| e.set_behavior(Behavior::Stream(2, Duration::from_millis(2))));
     for node in &nodes {
         let avoided = |e: &Value| e["engine"] == gone.id.as_str() && e["why"] == "engine exited";
         wait("the engine is avoided", async || node.events("engine_doubted").iter().any(avoided))
--- a/crates/heathpitchd/tests/gateway_feed.rs
+++ b/crates/heathpitchd/tests/gateway_feed.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use gateway::{KEY, World, fed, reachable, status, wait, wall_ms};
-use heathpitch_standin::{Caller, GatewayProcess, Link, Mode, Play, Proxy, RouteSpec};
+use heathpitch_standin::{Behavior, Caller, GatewayProcess, LinkMode, Proxy, RouteSpec, StoreMode};
 use hyper::Method;
 use serde_json::json;
 
@@ -35,7 +35,7 @@
     };
     let before = made().await;
     for i in 0..20 {
-        world.store.list_engine("b", "api", &format!("z{i}"), ([127, 0, 0, 1], 9).into());
+        world.store.register_engine("b", "api", &format!("z{i}"), ([127, 0, 0, 1], 9).into());
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     assert_eq!(made().await, before, "the follower makes no proofs");
@@ -47,11 +47,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn node_without_store_gets_everything_from_planner() {
-    for mode in [Link::Reset, Link::Silent, Link::OneWay] {
+    for mode in [LinkMode::Reset, LinkMode::Blackhole, LinkMode::OneWay] {
         let mut world = World::new();
         world.engine("a", "api");
         let (_planner, other, link) = pair(&world).await;
-        link.set(mode);
+        link.set_mode(mode);
         let caller = Caller::new(other.listen).key(KEY);
         // Longer than keys are accepted without a proof.
         tokio::time::sleep(Duration::from_millis(3_000)).await;
@@ -62,7 +62,7 @@
         wait("the new route is served", async || status(&caller, "/added/x").await == 200).await;
         let second = world.engine("b", "api");
         wait("the new engine is used", async || {
-            status(&caller, "/get/x").await == 200 && !second.seen().is_empty()
+            status(&caller, "/get/x").await == 200 && !second.requests().is_empty()
         })
         .await;
     }
@@ -73,7 +73,7 @@
     let mut world = World::new();
     world.engine("a", "api");
     let (_planner, other, link) = pair(&world).await;
-    link.set(Link::Silent);
+    link.set_mode(LinkMode::Blackhole);
     let caller = Caller::new(other.listen).key(KEY);
     assert_eq!(status(&caller, "/get/x").await, 200);
     world.site.version = 9;
@@ -104,13 +104,13 @@
     let world = World::new();
     world.engine("a", "api");
     let (planner, link, other) = world.planner_and_follower().await;
-    link.set(Link::Silent);
+    link.set_mode(LinkMode::Blackhole);
     wait("the feed is lost", async || fed(&other) == Some(false)).await;
     wait("the second node is planner", async || {
         other.events("domain_planner").iter().any(|e| e["active"] == true)
     })
     .await;
-    link.set(Link::Pass);
+    link.set_mode(LinkMode::Pass);
     wait("the first node is fed", async || fed(&planner) == Some(true)).await;
 }
 
@@ -118,25 +118,25 @@
 async fn slow_engine_gets_no_new_streams_from_any_node() {
     let world = World::new();
     let [a, b, c] = ["a", "b", "c"].map(|id| world.engine(id, "llm"));
-    a.hold(0, 4);
-    b.hold(4, 8);
-    c.hold(0, 4);
+    a.set_layers(0, 4);
+    b.set_layers(4, 8);
+    c.set_layers(0, 4);
     for e in [&a, &b, &c] {
-        e.play(Play::Stream(5, Duration::from_millis(2)));
+        e.set_behavior(Behavior::Stream(5, Duration::from_millis(2)));
     }
     let (planner, other, _link) = pair(&world).await;
     for (slow, quick) in [(&a, &c), (&c, &a)] {
-        slow.slow(20.0);
-        quick.slow(1.0);
+        slow.set_slowdown(20.0);
+        quick.set_slowdown(1.0);
         for node in [&planner, &other] {
             let caller = Caller::new(node.listen).key(KEY);
             wait("streams avoid the slow engine", async || {
-                let before = slow.seen().len();
+                let before = slow.requests().len();
                 for _ in 0..24 {
                     let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
-                    assert_eq!((reply.status, reply.whole), (200, true));
+                    assert_eq!((reply.status, reply.complete), (200, true));
                 }
-                slow.seen().len() == before
+                slow.requests().len() == before
             })
             .await;
         }
@@ -164,7 +164,7 @@
         follower.events("feed_changed").last().is_some_and(|e| e["planner"] == new)
     })
     .await;
-    assert_eq!(planner.wait_end(Duration::from_secs(10)), Some(0));
+    assert_eq!(planner.wait_exit(Duration::from_secs(10)), Some(0));
 }
 
 /// Entries that disappear around an outage get a grace period at the planner, and followers learn of the removal
@@ -174,17 +174,17 @@
 async fn engines_unlisted_after_outage_are_removed_everywhere_in_time() {
     let world = World::new();
     world.engine("a", "api");
-    world.engine("b", "llm").hold(0, 8);
+    world.engine("b", "llm").set_layers(0, 8);
     for i in 0..80 {
-        world.store.list_engine(&format!("z{i}"), "api", "mem", ([127, 0, 0, 1], 9).into());
+        world.store.register_engine(&format!("z{i}"), "api", "mem", ([127, 0, 0, 1], 9).into());
     }
     let (planner, other, _link) = pair(&world).await;
-    world.store.behave(Mode::Busy);
+    world.store.set_mode(StoreMode::Unavailable);
     wait("both nodes notice", async || {
         reachable(&planner) == Some(false) && fed(&other) == Some(false)
     })
     .await;
-    world.store.behave(Mode::Up);
+    world.store.set_mode(StoreMode::Up);
     // From here on missing entries get a grace period.
     wait("the planner notices", async || reachable(&planner) == Some(true)).await;
     let mut left = Vec::new();
@@ -213,7 +213,7 @@
     let world = World::new();
     world.engine("a", "api");
     let (planner, other, link) = pair(&world).await;
-    link.lose();
+    link.blackhole_open();
     planner.signal("KILL").unwrap();
     let killed = wall_ms();
     let promotion = || other.events("domain_planner").into_iter().find(|e| e["active"] == true);
@@ -230,10 +230,10 @@
     let engine = world.engine("a", "api");
     world.engine("b", "api");
     let (planner, other, link) = pair(&world).await;
-    link.lose();
+    link.blackhole_open();
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     planner.signal("KILL").unwrap();
-    engine.list("draining");
+    engine.register("draining");
     let drained_at = wall_ms();
     let drain_event = || other.events("engine_listed").into_iter().find(|e| e["leaving"] == true);
     wait("the second node knows that it drains", async || drain_event().is_some()).await;
@@ -245,9 +245,9 @@
 async fn planners_exchange_engine_load() {
     let world = World::new();
     let [a, b] = ["a", "b"].map(|id| world.engine(id, "llm"));
-    a.hold(0, 4);
-    b.hold(4, 8);
-    a.play(Play::Stream(3, Duration::from_millis(5)));
+    a.set_layers(0, 4);
+    b.set_layers(4, 8);
+    a.set_behavior(Behavior::Stream(3, Duration::from_millis(5)));
     let _here = world.node().await;
     let there = world.start_in("far", "n9");
     there.wait_ready().await.unwrap();
@@ -255,18 +255,18 @@
         there.events("neighbour_changed").iter().any(|e| e["error"].is_null())
     })
     .await;
-    a.fill(124_000);
+    a.set_held_tokens(124_000);
     let caller = Caller::new(there.listen).key(KEY);
-    let asked = a.seen().len();
+    let asked = a.requests().len();
     wait("a node of the other domain knows that the engines are full", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 503
     })
     .await;
     wait("the refusal is logged", async || !there.events("call_refused").is_empty()).await;
     let detail = there.events("call_refused").pop().unwrap()["detail"].to_string();
-    assert!(detail.contains("by its report"), "{detail}; {} asked", a.seen().len() - asked);
+    assert!(detail.contains("by its report"), "{detail}; {} asked", a.requests().len() - asked);
     // A report without load is sent once; unchanged reports are not sent again.
-    a.fill(0);
+    a.set_held_tokens(0);
     wait("a node of the other domain knows that there is capacity again", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 200
     })
--- a/crates/heathpitchd/tests/gateway_incarnations.rs
+++ b/crates/heathpitchd/tests/gateway_incarnations.rs
@@ -5,7 +5,7 @@
 mod gateway;
 
 use gateway::{KEY, World, fed, status, wait};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, bad_entries};
+use heathpitch_standin::{Caller, Engine, GatewayProcess, invalid_entries};
 use serde_json::json;
 
 /// Layers of the model that the engines hold.
@@ -50,10 +50,10 @@
     let node = world.node().await;
     wait_all_held(&[&a, &b]).await;
     a.restart();
-    a.list("ready");
+    a.register("ready");
     wait_all_held(&[&a, &b]).await;
     assert_eq!(wait_for_restart(&node, "a").await, ["its store entry"]);
-    assert_eq!(a.counted(), Some(0), "the count of orders starts again");
+    assert_eq!(a.last_expected_orders(), Some(0), "the count of orders starts again");
 }
 
 /// After a restart the entry may be unchanged: heartbeats do not modify it, and the engine was never unlisted.
@@ -82,15 +82,15 @@
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     assert_eq!(status(&caller, "/get/x").await, 200);
-    a.list("draining");
+    a.register("draining");
     wait("it gets no work", async || status(&caller, "/get/x").await == 503).await;
     // The same incarnation does not become ready again.
-    a.list("ready");
+    a.register("ready");
     let other = world.engine("b", "one");
     wait_listed(&node, &other).await;
     assert_eq!(status(&caller, "/get/x").await, 503);
     a.restart();
-    a.list("ready");
+    a.register("ready");
     wait("the new incarnation gets work", async || status(&caller, "/get/x").await == 200).await;
 }
 
@@ -100,8 +100,8 @@
 async fn invalid_entries_add_no_engine() {
     let world = World::new();
     let (good, bad) = (world.engine("good", "api"), world.engine("bad", "api"));
-    let entries = bad_entries(&bad.entry("ready"));
-    bad.unlist();
+    let entries = invalid_entries(&bad.entry("ready"));
+    bad.deregister();
     let put_bad = || {
         for (number, entry) in entries.iter().enumerate() {
             world.store.put(&format!("servers/bad-{number}"), entry);
@@ -122,12 +122,12 @@
         }
     }
     // The same entries as changes, and one that replaces a valid entry.
-    bad.list("ready");
+    bad.register("ready");
     wait("both nodes send it requests", async || {
         for caller in &callers {
             assert_eq!(status(caller, "/get/x").await, 200);
         }
-        bad.seen().len() > 4
+        bad.requests().len() > 4
     })
     .await;
     put_bad();
@@ -135,12 +135,12 @@
     let gone =
         |node: &GatewayProcess| node.events("engine_gone").iter().any(|e| e["engine"] == "bad");
     wait("both nodes remove it", async || gone(&planner) && gone(&follower)).await;
-    let seen = bad.seen().len();
+    let seen = bad.requests().len();
     for caller in &callers {
         for _ in 0..10 {
             assert_eq!(status(caller, "/get/x").await, 200);
         }
     }
-    assert_eq!(bad.seen().len(), seen, "an engine without an entry got a request");
-    assert!(!good.seen().is_empty());
+    assert_eq!(bad.requests().len(), seen, "an engine without an entry got a request");
+    assert!(!good.requests().is_empty());
 }
--- a/crates/heathpitchd/tests/gateway_layers.rs
+++ b/crates/heathpitchd/tests/gateway_layers.rs
@@ -5,7 +5,7 @@
 mod gateway;
 
 use gateway::{KEY, World, wait};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Play};
+use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess};
 use hyper::Method;
 use serde_json::json;
 
@@ -30,7 +30,7 @@
     for engine in &engines {
         let (from, end) = engine.layers();
         assert!(end - from <= 4, "{from}..{end}");
-        engine.play(Play::Stream(2, std::time::Duration::from_millis(1)));
+        engine.set_behavior(Behavior::Stream(2, std::time::Duration::from_millis(1)));
     }
     let caller = Caller::new(node.listen).key(KEY);
     wait("streams are served", async || {
@@ -47,7 +47,7 @@
     wait("every layer is held", async || hold_every_layer(&engines)).await;
     let lost = engines.remove(0);
     lost.crash();
-    lost.unlist();
+    lost.deregister();
     wait("every layer is held again", async || hold_every_layer(&engines)).await;
 }
 
@@ -59,8 +59,8 @@
     let world = World::new();
     let [ended, first, second, third] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
     ended.crash();
-    first.hold(0, 4);
-    [&second, &third].iter().for_each(|e| e.hold(4, 8));
+    first.set_layers(0, 4);
+    [&second, &third].iter().for_each(|e| e.set_layers(4, 8));
     let node = world.node().await;
     let ordered = |e: &serde_json::Value| e["engine"] == "a";
     wait("the exited engine is ordered to load layers", async || {
@@ -68,7 +68,7 @@
     })
     .await;
     first.crash();
-    first.unlist();
+    first.deregister();
     wait("living engines hold every layer", async || {
         hold_every_layer(&[second.clone(), third.clone()])
     })
@@ -90,7 +90,7 @@
     wait("the other node is the planner", async || planner(&nodes).is_some()).await;
     let lost = engines.remove(0);
     lost.crash();
-    lost.unlist();
+    lost.deregister();
     wait("every layer is held again", async || hold_every_layer(&engines)).await;
 }
 
@@ -98,9 +98,9 @@
 async fn layers_that_engines_already_hold_are_not_moved() {
     let world = World::new();
     let engines: Vec<_> = (0..3).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
-    engines[0].hold(0, 4);
-    engines[1].hold(4, 8);
-    engines[2].hold(0, 4);
+    engines[0].set_layers(0, 4);
+    engines[1].set_layers(4, 8);
+    engines[2].set_layers(0, 4);
     let _node = world.node().await;
     tokio::time::sleep(std::time::Duration::from_millis(2_500)).await;
     assert!(engines.iter().all(|e| e.orders().is_empty()));
--- a/crates/heathpitchd/tests/gateway_limits.rs
+++ b/crates/heathpitchd/tests/gateway_limits.rs
@@ -15,7 +15,7 @@
 
 use futures::future::join_all;
 use gateway::{KEY, World, wait};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Mode, Play, Reply};
+use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, Reply, StoreMode};
 use hyper::Method;
 use serde_json::json;
 
@@ -39,7 +39,7 @@
 
 /// Times of all requests that take a slot at an engine, calls and health checks, from `since` on.
 fn request_times(engine: &Engine, since: Instant) -> Vec<Instant> {
-    let all = engine.seen().into_iter().map(|s| s.at).chain(engine.checks());
+    let all = engine.requests().into_iter().map(|s| s.at).chain(engine.health_checks());
     let mut times: Vec<Instant> = all.filter(|at| *at >= since).collect();
     times.sort_unstable();
     times
@@ -117,12 +117,12 @@
         let world = World::new();
         let [limited, other] = ["a", "b"].map(|name| world.engine(name, kind.service));
         if kind.service == "llm" {
-            [&limited, &other].iter().for_each(|e| e.hold(0, 4));
-            world.engine("behind", kind.service).hold(4, 8);
+            [&limited, &other].iter().for_each(|e| e.set_layers(0, 4));
+            world.engine("behind", kind.service).set_layers(4, 8);
         }
         if kind.service != "api" {
-            let play = Play::Stream(3, Duration::from_millis(1));
-            [&limited, &other].iter().for_each(|e| e.play(play));
+            let play = Behavior::Stream(3, Duration::from_millis(1));
+            [&limited, &other].iter().for_each(|e| e.set_behavior(play));
         }
         let none = serde_json::json!({});
         let first = world.start("n1", &none);
@@ -143,7 +143,7 @@
 async fn all_nodes_together_observe_an_advertised_limit_and_use_it() {
     let found = request_kinds().map(async |kind| {
         let fleet = Fleet::new(&kind).await;
-        fleet.limited.limit(&[LIMIT.1]);
+        fleet.limited.set_limits(&[LIMIT.1]);
         let start = Instant::now();
         let replies = call_all(&fleet.nodes, CONTACT + LIMITED_TIME, &kind).await;
         let times = request_times(&fleet.limited, start + CONTACT);
@@ -172,7 +172,7 @@
     since: Duration,
     fault: impl Future<Output = ()>,
 ) -> (usize, f64) {
-    fleet.limited.limit(&[LIMIT.1]);
+    fleet.limited.set_limits(&[LIMIT.1]);
     let start = Instant::now();
     tokio::join!(call_all(&fleet.nodes, time, kind), fault);
     let end = start + time;
@@ -212,12 +212,12 @@
 async fn a_limit_is_observed_when_the_issuer_is_terminated() {
     let kind = idempotent();
     let mut fleet = Fleet::new(&kind).await;
-    fleet.limited.limit(&[LIMIT.1]);
+    fleet.limited.set_limits(&[LIMIT.1]);
     let start = Instant::now();
     call_all(&fleet.nodes, Duration::from_secs(5), &kind).await;
     fleet.nodes[0].signal("TERM").unwrap();
     call_all(&fleet.nodes[1..], Duration::from_secs(12), &kind).await;
-    assert!(fleet.nodes[0].wait_end(gateway::LIMIT).is_some());
+    assert!(fleet.nodes[0].wait_exit(gateway::LIMIT).is_some());
     let after = request_times(&fleet.limited, start + Duration::from_secs(10));
     let rate = after.len() as f64 / 7.0;
     let most = most_in_window(&request_times(&fleet.limited, start + CONTACT));
@@ -230,7 +230,7 @@
 async fn rights_are_issued_while_the_store_is_unreachable() {
     let kind = RequestKind { target: "/open/x", ..idempotent() };
     let fleet = Fleet::new(&kind).await;
-    fleet.world.store.behave(Mode::Silent);
+    fleet.world.store.set_mode(StoreMode::Hang);
     let (most, rate) =
         call_under(&fleet, &kind, Duration::from_secs(11), Duration::from_secs(3), async {}).await;
     assert!(most <= allowed(LIMIT.0), "{most}");
@@ -243,7 +243,7 @@
     let kind = idempotent();
     let fleet = Fleet::new(&kind).await;
     let [first, second, far] = &fleet.nodes;
-    fleet.limited.limit(&["0.5"]);
+    fleet.limited.set_limits(&["0.5"]);
     let learned = |node: &GatewayProcess, limit: serde_json::Value| {
         node.events("engine_limited").last().is_some_and(|e| e["limit"] == limit)
     };
@@ -259,7 +259,7 @@
     wait("all know", async || [first, far].iter().all(|n| learned(n, 0.5.into()))).await;
     assert!(start.elapsed() < CONTACT, "{:?}", start.elapsed());
     assert!(first.events("engine_limited").iter().any(|e| e["by"] == "another node"));
-    fleet.limited.limit(&[]);
+    fleet.limited.set_limits(&[]);
     wait("calls show the end of the limit", async || {
         call(second).await;
         learned(second, serde_json::Value::Null)
@@ -277,22 +277,26 @@
 async fn a_limit_of_an_engine_behind_the_first_is_observed_and_ends() {
     let world = World::new();
     let [first, behind] = ["a", "b"].map(|id| world.engine(id, "llm"));
-    first.hold(0, 4);
-    behind.hold(4, 8);
-    first.play(Play::Stream(3, Duration::from_millis(1)));
+    first.set_layers(0, 4);
+    behind.set_layers(4, 8);
+    first.set_behavior(Behavior::Stream(3, Duration::from_millis(1)));
     let node = world.node().await;
     let stream = async || caller(&node).call(Method::POST, "/tell/x", "body").await.unwrap().status;
     assert_eq!(stream().await, 200);
-    behind.limit(&["0"]);
+    behind.set_limits(&["0"]);
     wait("the limit is known", async || stream().await == 503).await;
-    let before = first.seen().len();
+    let before = first.requests().len();
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(3) {
         stream().await;
         tokio::time::sleep(CALL_INTERVAL).await;
     }
-    assert!(first.seen().len() <= before + 2, "{} in three seconds", first.seen().len() - before);
-    behind.limit(&[]);
+    assert!(
+        first.requests().len() <= before + 2,
+        "{} in three seconds",
+        first.requests().len() - before
+    );
+    behind.set_limits(&[]);
     let start = Instant::now();
     wait("the limit has ended", async || {
         [stream().await, stream().await, stream().await] == [200; 3]
@@ -308,7 +312,7 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let node = world.node().await;
-    engine.limit(&["0"]);
+    engine.set_limits(&["0"]);
     let get = async || caller(&node).call(Method::GET, "/get/x", "").await.unwrap();
     assert_eq!(get().await.status, 200, "nothing is known yet");
     let start = Instant::now();
@@ -323,8 +327,8 @@
     let retry_after = refused.header("retry-after").unwrap().parse::<f64>().unwrap();
     assert!((0.1..=1.5).contains(&retry_after), "{retry_after}");
     wait("the engine is tried", async || get().await.status == 200).await;
-    assert!(engine.seen().len() <= 3, "{}", engine.seen().len());
-    engine.limit(&[]);
+    assert!(engine.requests().len() <= 3, "{}", engine.requests().len());
+    engine.set_limits(&[]);
     wait("the engine is used again", async || {
         let served = [get().await, get().await, get().await];
         served.iter().all(|r| r.status == 200)
@@ -342,11 +346,11 @@
         caller(node).call(Method::GET, "/get/x", "").await.unwrap().status
     };
     let node = world.node().await;
-    engine.limit(&["0"]);
+    engine.set_limits(&["0"]);
     assert_eq!(get(&node).await, 200, "nothing is known yet");
     wait("the store has the limit", async || !node.events("limits_stored").is_empty()).await;
     drop(node);
-    let before = engine.seen().len();
+    let before = engine.requests().len();
     let nodes = [world.start("n1", &json!({})), world.start("n2", &json!({}))];
     for node in &nodes {
         node.wait_ready().await.unwrap();
@@ -354,8 +358,8 @@
         let known = node.events("engine_limited");
         assert!(known.iter().any(|e| e["by"] == "the store" && e["limit"] == 0.0), "{known:?}");
     }
-    assert_eq!(engine.seen().len(), before);
-    engine.limit(&[]);
+    assert_eq!(engine.requests().len(), before);
+    engine.set_limits(&[]);
     wait("the limit has ended", async || {
         [get(&nodes[0]).await, get(&nodes[0]).await, get(&nodes[0]).await] == [200; 3]
     })
@@ -373,17 +377,17 @@
 async fn a_limit_of_an_engine_behind_the_first_ends_after_all_nodes_were_killed() {
     let world = World::new();
     let [first, behind] = ["a", "b"].map(|id| world.engine(id, "llm"));
-    first.hold(0, 4);
-    behind.hold(4, 8);
-    first.play(Play::Stream(3, Duration::from_millis(1)));
+    first.set_layers(0, 4);
+    behind.set_layers(4, 8);
+    first.set_behavior(Behavior::Stream(3, Duration::from_millis(1)));
     let stream = async |node: &GatewayProcess| {
         caller(node).call(Method::POST, "/tell/x", "body").await.unwrap().status
     };
     let node = world.node().await;
-    behind.limit(&["0"]);
+    behind.set_limits(&["0"]);
     wait("the store has the limit", async || !node.events("limits_stored").is_empty()).await;
     drop(node);
-    behind.limit(&[]);
+    behind.set_limits(&[]);
     let node = world.start("n1", &json!({}));
     node.wait_ready().await.unwrap();
     wait("the limit is known", async || {
@@ -405,23 +409,23 @@
     let node = world.node().await;
     let get = async || caller(&node).call(Method::GET, "/get/x", "").await.unwrap().status;
     for malformed in ["-1", "few", "NaN", ""] {
-        engine.limit(&[malformed]);
+        engine.set_limits(&[malformed]);
         for _ in 0..3 {
             assert_eq!(get().await, 200, "{malformed}");
         }
     }
-    engine.limit(&["1e9"]);
+    engine.set_limits(&["1e9"]);
     for _ in 0..20 {
         assert_eq!(get().await, 200, "the limit is far above the demand");
     }
-    engine.limit(&["1e9", "0"]);
+    engine.set_limits(&["1e9", "0"]);
     assert_eq!(get().await, 200, "this response carries the limit");
     // One right may have been saved.
     let statuses = [get().await, get().await];
     assert_eq!(statuses[1], 503, "{statuses:?}");
-    engine.limit(&[]);
+    engine.set_limits(&[]);
     engine.restart();
-    engine.list("ready");
+    engine.register("ready");
     wait("the restarted engine is used", async || get().await == 200).await;
     assert_eq!([get().await, get().await], [200, 200]);
 }
--- a/crates/heathpitchd/tests/gateway_lost_connections.rs
+++ b/crates/heathpitchd/tests/gateway_lost_connections.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World, fed, reachable, wait, wall_ms};
-use heathpitch_standin::{Caller, Engine, GatewayProcess, Link, Proxy};
+use heathpitch_standin::{Caller, Engine, GatewayProcess, LinkMode, Proxy};
 use hyper::Method;
 use serde_json::json;
 
@@ -41,10 +41,10 @@
 /// Partitions a node from the store until it detects that, then restores the link, but not its
 /// connections. Returns the time at which the link was restored, once the store answers.
 async fn partition(node: &GatewayProcess, link: &Proxy) -> Instant {
-    link.set(Link::Silent);
+    link.set_mode(LinkMode::Blackhole);
     wait("the node finds the store unreachable", async || reachable(node) == Some(false)).await;
-    link.lose();
-    link.set(Link::Pass);
+    link.blackhole_open();
+    link.set_mode(LinkMode::Pass);
     let restored = Instant::now();
     wait("the store answers", async || reachable(node) == Some(true)).await;
     restored
@@ -53,11 +53,11 @@
 /// Number of a node's calls that an engine receives, out of [`CALLS`].
 async fn count_calls(node: &GatewayProcess, engine: &Engine) -> usize {
     let caller = Caller::new(node.listen).key(KEY);
-    let before = engine.seen().len();
+    let before = engine.requests().len();
     for _ in 0..CALLS {
         assert_eq!(caller.call(Method::GET, "/get/x", "").await.unwrap().status, 200);
     }
-    engine.seen().len() - before
+    engine.requests().len() - before
 }
 
 /// Waits until a node whose link was restored at `restored` must know of a drain recorded at
@@ -74,7 +74,7 @@
     let (node, link) = planner(&world).await;
     assert!(count_calls(&node, &a).await > 0);
     let restored = partition(&node, &link).await;
-    a.list("draining");
+    a.register("draining");
     wait_until_known(restored, Instant::now()).await;
     assert_eq!(count_calls(&node, &a).await, 0);
 }
@@ -84,9 +84,9 @@
     let world = World::new();
     let (a, _b) = (world.engine("a", "api"), world.engine("b", "api"));
     let (node, link) = planner(&world).await;
-    link.lose();
+    link.blackhole_open();
     let restored = Instant::now();
-    a.list("draining");
+    a.register("draining");
     wait_until_known(restored, Instant::now()).await;
     assert_eq!(count_calls(&node, &a).await, 0);
 }
@@ -99,8 +99,8 @@
     let other = world.start("n2", &json!({}));
     other.wait_ready().await.unwrap();
     wait("the second node follows the planner", async || fed(&other) == Some(true)).await;
-    link.lose();
-    a.list("draining");
+    link.blackhole_open();
+    a.register("draining");
     // The second node's own links work all the time.
     wait_until_known(Instant::now() - CONTACT, Instant::now()).await;
     assert_eq!(count_calls(&other, &a).await, 0, "the second node");
--- a/crates/heathpitchd/tests/gateway_stop.rs
+++ b/crates/heathpitchd/tests/gateway_stop.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use gateway::{KEY, LIMIT, World, wait};
-use heathpitch_standin::{Caller, Play};
+use heathpitch_standin::{Behavior, Caller};
 use http_body_util::BodyExt;
 use hyper::Method;
 
@@ -17,7 +17,7 @@
     let engine = world.engine("one", "one");
     world.engine("a", "api");
     let mut node = world.node().await;
-    engine.play(Play::Stream(100, Duration::from_millis(40)));
+    engine.set_behavior(Behavior::Stream(100, Duration::from_millis(40)));
     let caller = Caller::new(node.listen).key(KEY);
     let (reply, rest) = caller.open(Method::POST, "/whole/x", "prompt").await.unwrap();
     assert_eq!(reply.status, 200);
@@ -28,7 +28,7 @@
     assert_eq!((reply.status, reply.header("connection")), (200, Some("close")));
     let body = rest.collect().await.unwrap().to_bytes();
     assert!(body.ends_with(b"data: 100 of one\n\n"));
-    assert_eq!(node.wait_end(LIMIT), Some(0));
+    assert_eq!(node.wait_exit(LIMIT), Some(0));
     wait("the end is logged", async || !node.events("gateway_stopped").is_empty()).await;
     assert_eq!(node.events("gateway_stopped")[0]["cut"], 0);
 }
--- a/crates/heathpitchd/tests/gateway_store.rs
+++ b/crates/heathpitchd/tests/gateway_store.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use gateway::{KEY, KEY_2, World, status, wait};
-use heathpitch_standin::{CONFIG, Caller, GatewayProcess, Mode, RouteSpec};
+use heathpitch_standin::{CONFIG_KEY, Caller, GatewayProcess, RouteSpec, StoreMode};
 use serde_json::json;
 
 /// Makes the store available or unavailable, and waits until the node has noticed.
 async fn set_store_up(world: &World, node: &GatewayProcess, up: bool) {
-    world.store.behave(if up { Mode::Up } else { Mode::Busy });
+    world.store.set_mode(if up { StoreMode::Up } else { StoreMode::Unavailable });
     wait("the node notices", async || {
         node.events("store_reachable").iter().any(|e| e["reachable"] == up)
     })
@@ -30,7 +30,7 @@
     world.site.routes.push(RouteSpec::idempotent("/added/", "api"));
     world.configure();
     wait("the route is served", async || status(&caller, "/added/x").await == 200).await;
-    world.store.forget();
+    world.store.compact();
     world.site.version = 11;
     world.site.routes.pop();
     world.configure();
@@ -47,10 +47,10 @@
     let world = World::new();
     world.engine("a", "api");
     let node = world.node().await;
-    world.store.configure(&json!({ "version": 12, "routes": [{ "name": "r" }] }));
+    world.store.put_config(&json!({ "version": 12, "routes": [{ "name": "r" }] }));
     wait("it is rejected", async || !node.events("config_rejected").is_empty()).await;
     let error = node.events("config_rejected")[0]["error"].as_str().unwrap().to_owned();
-    assert!(error.starts_with(CONFIG) && error.contains("routes[0]"), "{error}");
+    assert!(error.starts_with(CONFIG_KEY) && error.contains("routes[0]"), "{error}");
     assert_eq!(status(&Caller::new(node.listen).key(KEY), "/get/x").await, 200);
 }
 
@@ -70,21 +70,21 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_need_a_fresh_proof() {
-    for mode in [Mode::Silent, Mode::Busy] {
+    for mode in [StoreMode::Hang, StoreMode::Unavailable] {
         let world = World::new();
         let engine = world.engine("a", "api");
         let node = world.node_with(&json!({ "revoke_ms": 2_500 })).await;
         let caller = Caller::new(node.listen).key(KEY);
         assert_eq!(status(&caller, "/get/x").await, 200);
-        world.store.behave(mode);
+        world.store.set_mode(mode);
         wait("calls with keys get 503", async || status(&caller, "/get/x").await == 503).await;
-        let before = engine.seen().len();
+        let before = engine.requests().len();
         assert_eq!(status(&caller, "/get/x").await, 503);
-        assert_eq!(engine.seen().len(), before);
+        assert_eq!(engine.requests().len(), before);
         // Routes without keys are served; an unknown route gets 503 rather than a denial.
         assert_eq!(status(&Caller::new(node.listen), "/open/x").await, 200);
         assert_eq!(status(&caller, "/nowhere/x").await, 503);
-        world.store.behave(Mode::Up);
+        world.store.set_mode(StoreMode::Up);
         wait("keys are accepted again", async || status(&caller, "/get/x").await == 200).await;
     }
 }
@@ -95,19 +95,19 @@
     let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
-    a.list("draining");
+    a.register("draining");
     wait("the node knows that it drains", async || {
         node.events("engine_listed").iter().any(|e| e["engine"] == "a" && e["leaving"] == true)
     })
     .await;
-    let before = a.seen().len();
+    let before = a.requests().len();
     // Draining holds for the incarnation, whatever its entry states later.
-    a.list("ready");
+    a.register("ready");
     for _ in 0..12 {
         assert_eq!(status(&caller, "/get/x").await, 200);
     }
-    assert_eq!(a.seen().len(), before);
-    assert!(b.seen().len() >= 12);
+    assert_eq!(a.requests().len(), before);
+    assert!(b.requests().len() >= 12);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -117,7 +117,7 @@
     let node = world.node().await;
     set_store_up(&world, &node, false).await;
     set_store_up(&world, &node, true).await;
-    engines[0].unlist();
+    engines[0].deregister();
     wait("the engine is removed", async || {
         node.events("engine_gone").iter().any(|e| e["engine"] == "e0")
     })
@@ -135,11 +135,11 @@
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     set_store_up(&world, &node, false).await;
-    engines.iter().for_each(|e| e.unlist());
+    engines.iter().for_each(|e| e.deregister());
     set_store_up(&world, &node, true).await;
     tokio::time::sleep(Duration::from_millis(800)).await;
     assert_eq!(status(&caller, "/get/x").await, 200);
-    engines[..3].iter().for_each(|e| e.list("ready"));
+    engines[..3].iter().for_each(|e| e.register("ready"));
     wait("the engine that stays unlisted is removed", async || {
         node.events("engine_gone").iter().any(|e| e["engine"] == "e3")
     })
@@ -151,10 +151,10 @@
 async fn lost_store_responses_leave_one_planner() {
     let world = World::new();
     world.engine("a", "api");
-    world.store.behave(Mode::Lost);
+    world.store.set_mode(StoreMode::LoseWriteResponses);
     let first = world.start("n1", &json!({}));
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    world.store.behave(Mode::Up);
+    world.store.set_mode(StoreMode::Up);
     first.wait_ready().await.unwrap();
     let second = world.start("n2", &json!({}));
     second.wait_ready().await.unwrap();
@@ -176,9 +176,9 @@
     let node = world.node().await;
     set_store_up(&world, &node, false).await;
     set_store_up(&world, &node, true).await;
-    engines[0].unlist();
+    engines[0].deregister();
     tokio::time::sleep(Duration::from_millis(500)).await;
-    engines[0].list("ready");
+    engines[0].register("ready");
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     assert_eq!(node.events("engine_gone"), Vec::<serde_json::Value>::new());
 }
--- a/crates/heathpitchd/tests/gateway_store_restore.rs
+++ b/crates/heathpitchd/tests/gateway_store_restore.rs
@@ -36,11 +36,11 @@
     let mut world = World::new();
     world.engine("a", "api");
     let node = world.node().await;
-    world.store.copy();
+    world.store.take_snapshot();
     (0..WRITES).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
     add_route(&mut world, "/lost/");
     wait_in_force(&node, "/lost/x").await;
-    world.store.come_back(&[], 0);
+    world.store.restore_snapshot(&[], 0);
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(
         status(&caller(&node, KEY), "/lost/x").await,
@@ -61,22 +61,22 @@
     let mut world = World::new();
     let (leaving, _other) = (world.engine("a", "api"), world.engine("b", "api"));
     let node = world.node().await;
-    world.store.copy();
+    world.store.take_snapshot();
     (0..WRITES / 2).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
     tokio::time::sleep(Duration::from_millis(700)).await;
     world.site.routes.push(RouteSpec::idempotent("/next/", "api"));
     world.site.version += 1;
     let config = Store::config_entry(&world.site.json());
-    world.store.come_back(&[leaving.keyed_entry("draining"), config], WRITES);
+    world.store.restore_snapshot(&[leaving.key_and_entry("draining"), config], WRITES);
     let written = Instant::now();
     wait_in_force(&node, "/next/x").await;
     assert!(written.elapsed() < ADOPTION_LIMIT, "{:?}", written.elapsed());
     tokio::time::sleep(ADOPTION_LIMIT.saturating_sub(written.elapsed())).await;
-    let served = leaving.seen().len();
+    let served = leaving.requests().len();
     for _ in 0..20 {
         assert_eq!(status(&caller(&node, KEY), "/get/x").await, 200);
     }
-    assert_eq!(leaving.seen().len(), served);
+    assert_eq!(leaving.requests().len(), served);
 }
 
 /// The engine drained and exited after the copy was made, so the restore brings back its entry as ready.
@@ -86,25 +86,25 @@
     let engines = ["drained", "unlisted", "other"].map(|id| world.engine(id, "api"));
     let [drained, unlisted, _] = &engines;
     let node = world.node().await;
-    world.store.copy();
+    world.store.take_snapshot();
     (0..WRITES).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
-    drained.list("draining");
-    unlisted.unlist();
+    drained.register("draining");
+    unlisted.deregister();
     let known = async |event: &str, id: &str| {
         wait("the event is logged", async || node.events(event).iter().any(|e| e["engine"] == id))
             .await;
     };
     known("engine_gone", "unlisted").await;
-    drained.unlist();
+    drained.deregister();
     known("engine_gone", "drained").await;
-    let served = drained.seen().len() + unlisted.seen().len();
-    world.store.come_back(&[], 0);
+    let served = drained.requests().len() + unlisted.requests().len();
+    world.store.restore_snapshot(&[], 0);
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(3_000) {
         assert_eq!(status(&caller(&node, KEY), "/get/x").await, 200);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(drained.seen().len() + unlisted.seen().len(), served);
+    assert_eq!(drained.requests().len() + unlisted.requests().len(), served);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -112,7 +112,7 @@
     let mut world = World::new();
     world.engine("a", "api");
     let (planner, _link, follower) = world.planner_and_follower().await;
-    world.store.copy();
+    world.store.take_snapshot();
     (0..WRITES).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
     world.site.tenants[0].1.retain(|key| key != KEY_2);
     world.site.version += 1;
@@ -121,7 +121,7 @@
         wait("the key is refused", async || status(&caller(node, KEY_2), "/get/x").await == 401)
             .await;
     }
-    world.store.come_back(&[], WRITES / 4);
+    world.store.restore_snapshot(&[], WRITES / 4);
     let started = world.start("n3", &serde_json::json!({}));
     started.wait_ready().await.unwrap();
     let back = Instant::now();
@@ -158,7 +158,7 @@
 async fn one_planner_remains_after_restores() {
     let world = World::new();
     world.engine("a", "api");
-    world.store.copy();
+    world.store.take_snapshot();
     let (planner, _link, follower) = world.planner_and_follower().await;
     let calls = async || {
         for node in [&planner, &follower] {
@@ -169,9 +169,9 @@
         }
     };
     calls().await;
-    world.store.come_back(&[], WRITES);
+    world.store.restore_snapshot(&[], WRITES);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    world.store.come_back(&[], WRITES / 4);
+    world.store.restore_snapshot(&[], WRITES / 4);
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(5_000) {
         calls().await;
--- a/crates/heathpitchd/tests/gateway_suspension.rs
+++ b/crates/heathpitchd/tests/gateway_suspension.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use gateway::{KEY, World, fed, status, wait};
-use heathpitch_standin::{Caller, Link, Play};
+use heathpitch_standin::{Behavior, Caller, LinkMode};
 use hyper::Method;
 use serde_json::json;
 
@@ -22,7 +22,7 @@
     node.wait_ready().await.unwrap();
     let caller = Caller::new(node.listen).key(KEY);
     wait("calls are served", async || status(&caller, "/get/x").await == 200).await;
-    link.set(Link::Silent);
+    link.set_mode(LinkMode::Blackhole);
     node.signal("USR2").unwrap();
     wait("the suspension is detected", async || !node.events("vm_suspended").is_empty()).await;
     assert_eq!(status(&caller, "/get/x").await, 503);
@@ -31,7 +31,7 @@
     let refused = node.events("call_refused");
     assert_eq!(refused[0]["kind"], "stale_keys");
     assert!(refused[0]["proof_ms"].as_u64().unwrap() >= 10_000);
-    link.set(Link::Pass);
+    link.set_mode(LinkMode::Pass);
     wait("the store answers and calls are served again", async || {
         status(&caller, "/get/x").await == 200
     })
@@ -43,7 +43,7 @@
     let world = World::new();
     world.engine("a", "api");
     let (planner, link, other) = world.planner_and_follower().await;
-    link.set(Link::Silent);
+    link.set_mode(LinkMode::Blackhole);
     planner.signal("USR2").unwrap();
     let start = Instant::now();
     wait("the follower drops its planner", async || fed(&other) == Some(false)).await;
@@ -56,23 +56,25 @@
     let world = World::new();
     let engine = world.engine("a", "api");
     let stream = world.engine("b", "one");
-    engine.play(Play::Hang);
-    stream.play(Play::Stream(10_000, Duration::from_millis(50)));
+    engine.set_behavior(Behavior::Hang);
+    stream.set_behavior(Behavior::Stream(10_000, Duration::from_millis(50)));
     let node = world.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     let start = Instant::now();
     let suspend = async {
-        wait("both calls run", async || !engine.seen().is_empty() && !stream.seen().is_empty())
-            .await;
+        wait("both calls run", async || {
+            !engine.requests().is_empty() && !stream.requests().is_empty()
+        })
+        .await;
         node.signal("USR2").unwrap();
     };
     let call = caller.call(Method::GET, "/get/x", "");
     let streamed = caller.call(Method::POST, "/whole/x", "prompt");
     let (call, streamed, ()) = tokio::join!(call, streamed, suspend);
     assert_eq!(call.unwrap().status, 504);
-    assert!(!streamed.unwrap().whole, "a stream that was cut off must not look complete");
+    assert!(!streamed.unwrap().complete, "a stream that was cut off must not look complete");
     assert!(start.elapsed() < Duration::from_millis(2_500), "{:?}", start.elapsed());
-    wait("the engine's connection is closed", async || stream.left() == 1).await;
+    wait("the engine's connection is closed", async || stream.abandoned_streams() == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
