--- a/crates/proof/examples/long_run.rs
+++ b/crates/proof/examples/long_run.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use gumdrop::Options;
-use heathpitch_proof::{Tally, World, cells, draw, run_cell};
+use heathpitch_proof::{RunStats, Simulation, cells, random_operations, run_cell};
 
 /// Operations of one case.
 const LENGTH: usize = 2_000;
@@ -25,20 +25,22 @@
 fn main() {
     let arguments = Arguments::parse_args_default_or_exit();
     let mut breaches = 0;
-    for world in World::ALL {
+    for world in Simulation::ALL {
         let end = Instant::now() + Duration::from_secs(arguments.seconds);
-        let mut tally = Tally::default();
+        let mut stats = RunStats::default();
         let mut seed = arguments.seed;
         while Instant::now() < end {
-            if let Err(breach) = world.run_caught(&draw(seed, LENGTH), &mut tally) {
+            if let Err(violation) =
+                world.run_catching_panics(&random_operations(seed, LENGTH), &mut stats)
+            {
                 breaches += 1;
-                println!("{world:?}, seed {seed}: {breach}");
+                println!("{world:?}, seed {seed}: {violation}");
             }
             seed += 1;
         }
-        println!("{world:?}: {} operations, seeds {}..{seed}", tally.operations, arguments.seed);
-        tally.events.iter().for_each(|(name, n)| println!("    {name}: {n}"));
-        tally.faults.iter().for_each(|(name, n)| println!("  ! {name}: {n}"));
+        println!("{world:?}: {} operations, seeds {}..{seed}", stats.operations, arguments.seed);
+        stats.events.iter().for_each(|(name, n)| println!("    {name}: {n}"));
+        stats.faults.iter().for_each(|(name, n)| println!("  ! {name}: {n}"));
     }
     let all = cells();
     let failed = all.iter().filter(|c| run_cell(**c).is_err()).count();
--- a/crates/proof/src/config.rs
+++ b/crates/proof/src/config.rs
@@ -3,8 +3,8 @@
 use heathpitch_core::Revision;
 use heathpitch_policy::{Adoption, Replica};
 
-use crate::breach::{Breach, Promise};
-use crate::tally::{Draw, Tally};
+use crate::run::{Entropy, RunStats};
+use crate::violation::{Property, Violation};
 
 const NODES: usize = 5;
 
@@ -23,35 +23,35 @@
     down: bool,
 }
 
-pub(crate) fn run(operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
+pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
     let mut world =
         Config { nodes: (0..NODES).map(|_| Node::default()).collect(), ..Config::default() };
     for number in operations {
-        tally.operations += 1;
-        world.operate(&mut Draw::new(*number), tally)?;
+        stats.operations += 1;
+        world.operate(&mut Entropy::new(*number), stats)?;
     }
     world.settle()
 }
 
 impl Config {
-    fn operate(&mut self, draw: &mut Draw, tally: &mut Tally) -> Result<(), Breach> {
-        let kind = draw.below(14);
-        let node = draw.below(NODES);
-        let other = draw.below(NODES);
+    fn operate(&mut self, entropy: &mut Entropy, stats: &mut RunStats) -> Result<(), Violation> {
+        let kind = entropy.below(14);
+        let node = entropy.below(NODES);
+        let other = entropy.below(NODES);
         match kind {
-            0 | 1 if !self.down => self.write(tally),
+            0 | 1 if !self.down => self.write(stats),
             2 => {
-                tally.fault("store down");
+                stats.fault("store down");
                 self.down = true;
             }
             3 => self.down = false,
             4 => {
-                tally.fault("node cut off");
+                stats.fault("node cut off");
                 self.nodes[node].cut = true;
             }
             5 | 6 => self.nodes[node].cut = false,
             7 => {
-                tally.fault("node replaced");
+                stats.fault("node replaced");
                 self.nodes[node].replica = Replica::new();
             }
             // An answer of the store is made now and read whenever it arrives: it may be stale.
@@ -61,36 +61,36 @@
                 }
             }
             10 | 11 if !self.letters.is_empty() => {
-                let at = draw.below(self.letters.len());
+                let at = entropy.below(self.letters.len());
                 let (node, revision, text) = self.letters.swap_remove(at);
                 if revision < self.nodes[node].replica.revision() {
-                    tally.fault("stale read");
+                    stats.fault("stale read");
                 }
-                return self.offer(node, revision, &text, tally);
+                return self.offer(node, revision, &text, stats);
             }
             _ if !self.nodes[node].cut && !self.nodes[other].cut => {
-                return self.exchange(node, other, tally);
+                return self.exchange(node, other, stats);
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn write(&mut self, tally: &mut Tally) {
-        tally.event("stored");
+    fn write(&mut self, stats: &mut RunStats) {
+        stats.event("stored");
         self.revision += 1;
         let model = format!(r#"{{"name":"m","version":"v{}","layers":4}}"#, self.revision);
         let text = format!(r#"{{"models":[{model}]}}"#);
         self.history.push((Revision(self.revision), text));
     }
 
-    fn exchange(&mut self, a: usize, b: usize, tally: &mut Tally) -> Result<(), Breach> {
-        tally.event("exchange");
+    fn exchange(&mut self, a: usize, b: usize, stats: &mut RunStats) -> Result<(), Violation> {
+        stats.event("exchange");
         let of = |n: &Node| (n.replica.revision(), n.replica.text().to_string());
         let ((one, text), (two, other)) = (of(&self.nodes[a]), of(&self.nodes[b]));
         match one.cmp(&two) {
-            std::cmp::Ordering::Less => self.offer(a, two, &other, tally),
-            std::cmp::Ordering::Greater => self.offer(b, one, &text, tally),
+            std::cmp::Ordering::Less => self.offer(a, two, &other, stats),
+            std::cmp::Ordering::Greater => self.offer(b, one, &text, stats),
             std::cmp::Ordering::Equal => Ok(()),
         }
     }
@@ -100,37 +100,39 @@
         at: usize,
         revision: Revision,
         text: &str,
-        tally: &mut Tally,
-    ) -> Result<(), Breach> {
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
         let replica = &mut self.nodes[at].replica;
         let before = replica.revision();
         if replica.offer(revision, text) == Adoption::Adopted {
-            tally.event("adopted");
+            stats.event("adopted");
         }
         let after = replica.revision();
-        Breach::unless(after >= before, Promise::Config, || {
+        Violation::unless(after >= before, Property::Config, || {
             format!("node {at} went from revision {before} to {after}")
         })?;
         let right = self.history.iter().find(|(r, _)| *r == after).map(|(_, t)| t.as_str());
         let same = right.is_none_or(|t| t == &*replica.text());
-        Breach::unless(same, Promise::Config, || format!("node {at} has another revision {after}"))
+        Violation::unless(same, Property::Config, || {
+            format!("node {at} has another revision {after}")
+        })
     }
 
     /// After every cut has healed, all nodes come to the newest revision that any of them has.
-    fn settle(&mut self) -> Result<(), Breach> {
+    fn settle(&mut self) -> Result<(), Violation> {
         let newest = self.nodes.iter().map(|n| n.replica.revision()).max().unwrap_or_default();
-        let mut tally = Tally::default();
+        let mut stats = RunStats::default();
         self.nodes.iter_mut().for_each(|n| n.cut = false);
         for a in 0..NODES {
             for b in 0..NODES {
-                self.exchange(a, b, &mut tally)?;
+                self.exchange(a, b, &mut stats)?;
             }
         }
         for a in 0..NODES {
-            self.exchange(0, a, &mut tally)?;
+            self.exchange(0, a, &mut stats)?;
         }
         let behind = self.nodes.iter().position(|n| n.replica.revision() < newest);
-        Breach::unless(behind.is_none(), Promise::Config, || {
+        Violation::unless(behind.is_none(), Property::Config, || {
             format!("node {behind:?} stays behind revision {newest}")
         })
     }
--- a/crates/proof/src/telling.rs
+++ b/crates/proof/src/feed.rs
@@ -9,7 +9,7 @@
 //! where the planner that would tell it has just died; and a domain whose planner dies is told by its standbys, in time and without
 //! a call by anyone else.
 
-mod ends;
+mod exits;
 mod node;
 
 use std::collections::BTreeMap;
@@ -19,8 +19,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::breach::{Breach, Promise};
-use crate::tally::{Draw, Tally};
+use crate::run::{Entropy, RunStats};
+use crate::violation::{Property, Violation};
 use node::{Node, domain, index, name, node, source};
 
 const DOMAINS: usize = 3;
@@ -72,7 +72,7 @@
     rng: SmallRng,
 }
 
-pub(crate) fn run(operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
+pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
     let seed = operations.first().copied().unwrap_or_default();
     let mut world = World {
         nodes: (0..NODES).map(|i| node(i, START)).collect(),
@@ -87,70 +87,70 @@
         rng: SmallRng::seed_from_u64(seed),
     };
     for number in operations {
-        tally.operations += 1;
-        world.operate(&mut Draw::new(*number), tally)?;
+        stats.operations += 1;
+        world.operate(&mut Entropy::new(*number), stats)?;
     }
-    world.settle(tally)
+    world.settle(stats)
 }
 
 /// # Faults
 impl World {
-    fn operate(&mut self, draw: &mut Draw, tally: &mut Tally) -> Result<(), Breach> {
-        let kind = draw.below(60);
-        let at = draw.below(NODES);
+    fn operate(&mut self, entropy: &mut Entropy, stats: &mut RunStats) -> Result<(), Violation> {
+        let kind = entropy.below(60);
+        let at = entropy.below(NODES);
         match kind {
             0 => {
-                tally.fault("node killed");
+                stats.fault("node killed");
                 self.nodes[at].alive = false;
             }
             1 | 2 if !self.nodes[at].alive => {
-                tally.event("node restarted");
+                stats.event("node restarted");
                 self.nodes[at] = node(at, self.now);
             }
-            3 if draw.below(8) == 0 => {
-                tally.fault("all restarted");
+            3 if entropy.below(8) == 0 => {
+                stats.fault("all restarted");
                 (0..NODES).for_each(|i| self.nodes[i] = node(i, self.now));
             }
             4 => {
-                tally.fault("node stands still");
-                self.nodes[at].frozen = self.now + 200 + 100 * draw.below(20) as Millis;
+                stats.fault("node stands still");
+                self.nodes[at].frozen = self.now + 200 + 100 * entropy.below(20) as Millis;
             }
             20 => {
-                tally.fault("VM suspended");
-                let time = 200 + 100 * draw.below(100) as Millis;
+                stats.fault("VM suspended");
+                let time = 200 + 100 * entropy.below(100) as Millis;
                 let node = &mut self.nodes[at];
                 (node.frozen, node.suspended) = (self.now + time, node.suspended + time);
             }
             5 => {
-                tally.fault("failure domain cut off");
+                stats.fault("failure domain cut off");
                 self.apart[at / BESIDE] = true;
             }
             6 => self.apart[at / BESIDE] = false,
             7 => {
-                tally.fault("store turns a node away");
+                stats.fault("store turns a node away");
                 self.serves[at] = false;
             }
             8 => self.serves[at] = true,
-            9 if draw.below(3) == 0 => {
-                tally.fault("store away");
+            9 if entropy.below(3) == 0 => {
+                stats.fault("store away");
                 self.serves = [false; NODES];
             }
             10 | 11 => self.serves = [true; NODES],
             21..=23 if self.nodes[at].alive => {
-                tally.event("engine ended");
-                self.end_engine(at, draw.below(4) as u64);
+                stats.event("engine ended");
+                self.end_engine(at, entropy.below(4) as u64);
             }
             // After the reads of this moment.
             12..=19 => self.written.push(self.now + 1),
             _ => {}
         }
-        self.pass(1 + draw.below(8), tally)
+        self.pass(1 + entropy.below(8), stats)
     }
 }
 
 /// # Time
 impl World {
-    fn pass(&mut self, steps: usize, tally: &mut Tally) -> Result<(), Breach> {
+    fn pass(&mut self, steps: usize, stats: &mut RunStats) -> Result<(), Violation> {
         for _ in 0..steps {
             self.now += STEP;
             self.leases.retain(|_, l| self.now < l.until);
@@ -159,16 +159,16 @@
             }
             for i in 0..NODES {
                 if self.nodes[i].alive && self.now >= self.nodes[i].frozen {
-                    self.act(i, tally)?;
+                    self.act(i, stats)?;
                 }
             }
         }
         Ok(())
     }
 
-    fn act(&mut self, i: usize, tally: &mut Tally) -> Result<(), Breach> {
+    fn act(&mut self, i: usize, stats: &mut RunStats) -> Result<(), Violation> {
         if self.now >= self.nodes[i].next_ask {
-            self.round(i, tally)?;
+            self.round(i, stats)?;
             let told = self.nodes[i].sources.active().is_some();
             self.nodes[i].next_ask = self.now + if told { ASK.0 } else { ASK.1 };
         }
@@ -182,7 +182,7 @@
         let reads = !fed && (node.plans || node.sources.may_read(self.now));
         let due = self.now >= node.next_read;
         if reads && due {
-            self.read(i, tally)?;
+            self.read(i, stats)?;
         }
         let claims = self.nodes[i].plans || self.nodes[i].sources.may_claim(self.now);
         if claims && due {
@@ -192,7 +192,7 @@
     }
 
     /// Asks one source after the other until one tells.
-    fn round(&mut self, i: usize, tally: &mut Tally) -> Result<(), Breach> {
+    fn round(&mut self, i: usize, stats: &mut RunStats) -> Result<(), Violation> {
         let (now, beside) = (self.now, BESIDE as u32);
         loop {
             let node = &self.nodes[i];
@@ -201,7 +201,7 @@
             }
             let Some(next) = node.sources.next(now, node.reachable).cloned() else { break };
             let Some(j) = index(&next) else { break };
-            let heard = self.hear(i, j, tally)?;
+            let heard = self.hear(i, j, stats)?;
             self.nodes[i].sources.record_poll(&next.node, heard, now, beside, &mut self.rng);
             if heard == PollOutcome::Fresh {
                 return Ok(());
@@ -218,9 +218,9 @@
         !apart && self.nodes[j].alive && self.now >= self.nodes[j].frozen
     }
 
-    fn hear(&mut self, i: usize, j: usize, tally: &mut Tally) -> Result<PollOutcome, Breach> {
+    fn hear(&mut self, i: usize, j: usize, stats: &mut RunStats) -> Result<PollOutcome, Violation> {
         if !self.answers(i, j) {
-            tally.fault("no answer");
+            stats.fault("no answer");
             return Ok(PollOutcome::NoAnswer);
         }
         self.tell_ends(i, j);
@@ -248,7 +248,7 @@
         if !node.sources.accepts(&name(j), node.clock(now) - age, own, same) {
             return Ok(PollOutcome::Declined);
         }
-        tally.event("told");
+        stats.event("told");
         self.take(i, version, proven)?;
         Ok(PollOutcome::Fresh)
     }
@@ -260,13 +260,13 @@
         }
     }
 
-    fn read(&mut self, i: usize, tally: &mut Tally) -> Result<(), Breach> {
+    fn read(&mut self, i: usize, stats: &mut RunStats) -> Result<(), Violation> {
         let duty = self.nodes[i].plans || self.nodes[i].sources.standby_rank().is_some();
         if !duty {
-            tally.event("turn");
+            stats.event("turn");
             let turns = &mut self.turns[i / BESIDE];
             *turns += 1.0;
-            Breach::unless(*turns <= TURNS.1, Promise::Told, || {
+            Violation::unless(*turns <= TURNS.1, Property::Feed, || {
                 format!("{turns} turns beyond their rate in the domain of node {i}")
             })?;
         }
@@ -276,7 +276,7 @@
         match self.serves[i] {
             true => self.take(i, self.written.len() - 1, self.now),
             false => {
-                tally.fault("store silent");
+                stats.fault("store silent");
                 self.nodes[i].sources.store_unavailable(self.now, BESIDE as u32, &mut self.rng);
                 Ok(())
             }
@@ -322,13 +322,13 @@
     }
 
     /// Takes a list, and checks it against what the store held.
-    fn take(&mut self, i: usize, version: usize, proven: Millis) -> Result<(), Breach> {
+    fn take(&mut self, i: usize, version: usize, proven: Millis) -> Result<(), Violation> {
         let newest = self.written.iter().rposition(|at| *at <= proven).unwrap_or(0);
-        Breach::unless(version >= newest, Promise::Told, || {
+        Violation::unless(version >= newest, Property::Feed, || {
             format!("node {i} takes version {version} for the newest at {proven}, but {newest} was")
         })?;
         let known = self.nodes[i].list;
-        Breach::unless(known.is_none_or(|(v, _)| v <= version), Promise::Told, || {
+        Violation::unless(known.is_none_or(|(v, _)| v <= version), Property::Feed, || {
             format!("node {i} goes back from {known:?} to version {version}")
         })?;
         let at = self.nodes[i].clock(self.now) - (self.now - proven);
@@ -339,7 +339,7 @@
 
 /// # End
 impl World {
-    fn settle(&mut self, tally: &mut Tally) -> Result<(), Breach> {
+    fn settle(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
         (self.apart, self.serves) = ([false; DOMAINS], [true; NODES]);
         for i in 0..NODES {
             match self.nodes[i].alive {
@@ -347,33 +347,33 @@
                 false => self.nodes[i] = node(i, self.now),
             }
         }
-        self.pass(200, tally)?;
+        self.pass(200, stats)?;
         self.all_young("with everything healed")?;
-        self.ends_are_known(tally)?;
+        self.ends_are_known(stats)?;
         for key in 0..DOMAINS {
             let planners = (key * BESIDE..(key + 1) * BESIDE).filter(|i| self.nodes[*i].plans);
             let planners: Vec<usize> = planners.collect();
-            Breach::unless(planners.len() == 1, Promise::Told, || {
+            Violation::unless(planners.len() == 1, Property::Feed, || {
                 format!("nodes {planners:?} plan domain {key}")
             })?;
             // Domains are cut off from each other and lose their planners.
             self.nodes[planners[0]].alive = false;
         }
         (self.apart, self.turns) = ([true; DOMAINS], [0.0; DOMAINS]);
-        let turns = tally.events.get("turn").copied();
+        let turns = stats.events.get("turn").copied();
         for _ in 0..60 {
-            self.pass(1, tally)?;
+            self.pass(1, stats)?;
             self.all_young("after the planners' deaths")?;
         }
-        Breach::unless(tally.events.get("turn").copied() == turns, Promise::Told, || {
+        Violation::unless(stats.events.get("turn").copied() == turns, Property::Feed, || {
             "nodes without a duty went to the store".to_owned()
         })
     }
 
-    fn all_young(&self, when: &str) -> Result<(), Breach> {
+    fn all_young(&self, when: &str) -> Result<(), Violation> {
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.alive) {
             let age = node.known(self.now).map(|(_, age)| age);
-            Breach::unless(age.is_some_and(|age| age <= YOUNG_MS), Promise::Told, || {
+            Violation::unless(age.is_some_and(|age| age <= YOUNG_MS), Property::Feed, || {
                 format!("node {i} knows what held {age:?} ms ago, {when}")
             })?;
         }
--- a/crates/proof/src/telling/ends.rs
+++ b/crates/proof/src/feed/exits.rs
@@ -5,8 +5,8 @@
 
 use super::node::{index, name, node};
 use super::{BESIDE, NODES, STEP, World};
-use crate::breach::{Breach, Promise};
-use crate::tally::Tally;
+use crate::run::RunStats;
+use crate::violation::{Property, Violation};
 
 /// Time after which all nodes in touch know of an end.
 const KNOWN: Millis = 2_000;
@@ -43,25 +43,25 @@
     }
 
     /// An end is known to all in time, also where the planner that would tell it has just died.
-    pub(super) fn ends_are_known(&mut self, tally: &mut Tally) -> Result<(), Breach> {
+    pub(super) fn ends_are_known(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
         let quick = self.end_engine(self.ended as usize % NODES, 0);
-        self.pass((KNOWN / STEP) as usize, tally)?;
+        self.pass((KNOWN / STEP) as usize, stats)?;
         self.all_know(&quick, "with everything healed")?;
         let planner = (0..BESIDE).find(|i| self.nodes[*i].plans).unwrap_or(0);
         self.nodes[planner].alive = false;
         let other = (planner + 1 + self.ended as usize % (BESIDE - 1)) % BESIDE;
         let late = self.end_engine(other, 0);
-        self.pass((KNOWN_WITHOUT / STEP) as usize, tally)?;
+        self.pass((KNOWN_WITHOUT / STEP) as usize, stats)?;
         self.all_know(&late, "after a planner's death")?;
         self.nodes[planner] = node(planner, self.now);
-        self.pass(200, tally)?;
+        self.pass(200, stats)?;
         self.all_know(&late, "by a node that begins")
     }
 
-    fn all_know(&self, life: &EngineIncarnation, when: &str) -> Result<(), Breach> {
+    fn all_know(&self, life: &EngineIncarnation, when: &str) -> Result<(), Violation> {
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.alive) {
             let known = node.quarantine.ended_engines().contains(life);
-            Breach::unless(known, Promise::Told, || {
+            Violation::unless(known, Property::Feed, || {
                 format!("node {i} has not heard of {life:?}, {when}")
             })?;
         }
--- a/crates/proof/src/keys.rs
+++ b/crates/proof/src/keys.rs
@@ -8,8 +8,8 @@
     StoredAnswer, decide_claim,
 };
 
-use crate::breach::{Breach, Promise};
-use crate::tally::{Draw, Tally};
+use crate::run::{Entropy, RunStats};
+use crate::violation::{Property, Violation};
 
 const NODES: usize = 3;
 const KEYS: usize = 24;
@@ -58,7 +58,7 @@
     open: Vec<(usize, Incarnation, usize)>,
 }
 
-pub(crate) fn run(operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
+pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
     let mut world = Keys {
         nodes: (0..NODES).map(|i| node(i, i as u64 + 1)).collect(),
         letters: Vec::new(),
@@ -69,12 +69,12 @@
         open: Vec::new(),
     };
     for number in operations {
-        tally.operations += 1;
-        world.operate(&mut Draw::new(*number), tally)?;
+        stats.operations += 1;
+        world.operate(&mut Entropy::new(*number), stats)?;
     }
     world.nodes.iter_mut().for_each(|n| n.paused = false);
     while let Some(letter) = world.letters.pop() {
-        world.carry(letter, tally)?;
+        world.carry(letter, stats)?;
     }
     Ok(())
 }
@@ -99,32 +99,32 @@
 }
 
 impl Keys {
-    fn operate(&mut self, draw: &mut Draw, tally: &mut Tally) -> Result<(), Breach> {
-        let kind = draw.below(24);
-        let node = draw.below(NODES);
-        let letter = draw.below(self.letters.len());
+    fn operate(&mut self, entropy: &mut Entropy, stats: &mut RunStats) -> Result<(), Violation> {
+        let kind = entropy.below(24);
+        let node = entropy.below(NODES);
+        let letter = entropy.below(self.letters.len());
         match kind {
-            0..=6 => return self.ask(node, draw.below(KEYS), draw.below(12) == 0, tally),
+            0..=6 => return self.ask(node, entropy.below(KEYS), entropy.below(12) == 0, stats),
             7 => {
-                tally.fault("node killed");
+                stats.fault("node killed");
                 self.next += 1;
                 self.nodes[node] = self::node(node, self.next);
             }
             8 => {
-                tally.fault("node paused");
+                stats.fault("node paused");
                 self.nodes[node].paused = true;
             }
             9 | 10 => self.nodes[node].paused = false,
             11 => {
-                self.now += 1 + draw.below(1_500) as Millis;
-                return self.on(node, ClaimEvent::Tick, tally);
+                self.now += 1 + entropy.below(1_500) as Millis;
+                return self.on(node, ClaimEvent::Tick, stats);
             }
-            12 if !self.letters.is_empty() => return self.lose(letter, true, tally),
-            13 if !self.letters.is_empty() => return self.lose(letter, false, tally),
-            14 | 15 if !self.open.is_empty() => self.end(draw, tally),
+            12 if !self.letters.is_empty() => return self.lose(letter, true, stats),
+            13 if !self.letters.is_empty() => return self.lose(letter, false, stats),
+            14 | 15 if !self.open.is_empty() => self.end(entropy, stats),
             _ if !self.letters.is_empty() => {
                 let letter = self.letters.swap_remove(letter);
-                return self.carry(letter, tally);
+                return self.carry(letter, stats);
             }
             _ => {}
         }
@@ -137,8 +137,8 @@
         at: usize,
         number: usize,
         other_body: bool,
-        tally: &mut Tally,
-    ) -> Result<(), Breach> {
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
         if self.nodes[at].paused {
             return Ok(());
         }
@@ -148,7 +148,7 @@
             KeyState::New => false,
             KeyState::NotDispatched => true,
             _ => {
-                tally.event("found in the ledger");
+                stats.event("found in the ledger");
                 return Ok(());
             }
         };
@@ -156,10 +156,10 @@
         let id = self.next;
         self.nodes[at].asks.insert(id, (number, idle, body));
         let event = ClaimEvent::Ask { id, digest, body, nonce: id };
-        self.on(at, event, tally)
+        self.on(at, event, stats)
     }
 
-    fn on(&mut self, at: usize, event: ClaimEvent, tally: &mut Tally) -> Result<(), Breach> {
+    fn on(&mut self, at: usize, event: ClaimEvent, stats: &mut RunStats) -> Result<(), Violation> {
         let node = &mut self.nodes[at];
         let life = node.life;
         for action in node.claims.on(event, self.now, self.now) {
@@ -167,7 +167,7 @@
                 ClaimAction::Read(page) => Message::Read(page),
                 ClaimAction::Write(page, expect, content) => Message::Write(page, expect, content),
                 ClaimAction::Answer(id, verdict) => {
-                    self.answered(at, id, verdict, tally)?;
+                    self.answered(at, id, verdict, stats)?;
                     continue;
                 }
             };
@@ -181,32 +181,32 @@
         at: usize,
         id: u64,
         verdict: heathpitch_policy::Verdict,
-        tally: &mut Tally,
-    ) -> Result<(), Breach> {
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
         let node = &mut self.nodes[at];
         let Some((number, idle, asked)) = node.asks.remove(&id) else { return Ok(()) };
         let digest = key(number);
         match decide_claim(verdict, idle, node.life, asked) {
             ClaimDecision::Run if node.ledger.dispatch(&digest) => {
-                tally.event("dispatched");
+                stats.event("dispatched");
                 self.open.push((at, self.nodes[at].life, number));
                 let ran = self.ran.entry(number).or_default();
                 *ran += 1;
                 let ran = *ran;
-                Breach::unless(ran <= 1, Promise::AtMostOnce, || {
+                Violation::unless(ran <= 1, Property::AtMostOnce, || {
                     format!("key {number} was dispatched {ran} times")
                 })
             }
             ClaimDecision::Run => Ok(()),
             ClaimDecision::Unavailable | ClaimDecision::Full => {
-                tally.event("not claimed");
+                stats.event("not claimed");
                 node.ledger.release(&digest);
                 Ok(())
             }
             ClaimDecision::Forward { .. }
             | ClaimDecision::MayHaveRun(_)
             | ClaimDecision::Mismatch => {
-                tally.event("another's or spent");
+                stats.event("another's or spent");
                 node.ledger.forget(&digest);
                 Ok(())
             }
@@ -214,7 +214,7 @@
     }
 
     /// A message reaches the store, or an answer its node.
-    fn carry(&mut self, letter: Letter, tally: &mut Tally) -> Result<(), Breach> {
+    fn carry(&mut self, letter: Letter, stats: &mut RunStats) -> Result<(), Violation> {
         let Letter { node, life, message, orphan } = letter;
         let event = match message {
             Message::Read(page) => {
@@ -230,7 +230,7 @@
                         let message = Message::Answer(event);
                         self.letters.push(Letter { node, life, message, orphan });
                     }
-                    true => return self.on(node, event, tally),
+                    true => return self.on(node, event, stats),
                     false => {}
                 }
                 return Ok(());
@@ -244,7 +244,7 @@
     }
 
     /// A message or its answer is lost; with `late` a request takes effect all the same, later.
-    fn lose(&mut self, at: usize, late: bool, tally: &mut Tally) -> Result<(), Breach> {
+    fn lose(&mut self, at: usize, late: bool, stats: &mut RunStats) -> Result<(), Violation> {
         let letter = &mut self.letters[at];
         let (node, life, orphan) = (letter.node, letter.life, letter.orphan);
         let event = match &letter.message {
@@ -260,15 +260,15 @@
         };
         match (&letter.message, late) {
             (Message::Answer(_), _) => {
-                tally.fault("answer lost after the effect");
+                stats.fault("answer lost after the effect");
                 self.letters.swap_remove(at);
             }
             (_, true) => {
-                tally.fault("call given up, effect later");
+                stats.fault("call given up, effect later");
                 letter.orphan = true;
             }
             (_, false) => {
-                tally.fault("call lost");
+                stats.fault("call lost");
                 self.letters.swap_remove(at);
             }
         }
@@ -278,20 +278,20 @@
     }
 
     /// A dispatched request ends: whole, or with proof that it did not run.
-    fn end(&mut self, draw: &mut Draw, tally: &mut Tally) {
-        let (at, life, number) = self.open.swap_remove(draw.below(self.open.len()));
+    fn end(&mut self, entropy: &mut Entropy, stats: &mut RunStats) {
+        let (at, life, number) = self.open.swap_remove(entropy.below(self.open.len()));
         let node = &mut self.nodes[at];
         if node.life != life {
             return;
         }
         match Evidence::new().not_run() {
-            Some(proof) if draw.below(3) == 0 => {
-                tally.event("proved not run");
+            Some(proof) if entropy.below(3) == 0 => {
+                stats.event("proved not run");
                 node.ledger.mark_not_run(&key(number), proof);
                 self.ran.entry(number).and_modify(|n| *n -= 1);
             }
             _ => {
-                tally.event("ended");
+                stats.event("ended");
                 let body = vec![0; 8].into();
                 let outcome = Outcome::Done;
                 let record = StoredAnswer { status: 200, media: String::new(), body, outcome };
--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -3,19 +3,19 @@
 //! Each world drives the real state machines with random operations and faults and checks them
 //! against what really happened there. Nothing here is published.
 
-mod breach;
 mod config;
+mod feed;
 mod keys;
 mod matrix;
-mod members;
+mod membership;
 mod requests;
-mod tally;
-mod telling;
+mod run;
 mod upstreams;
+mod violation;
 
-pub use breach::{Breach, Promise};
-pub use matrix::{Cell, Fault, Step, Verdict as CellVerdict, cells, run_cell};
-pub use tally::Tally;
+pub use matrix::{Cell, CellResult, Fault, Step, cells, run_cell};
+pub use run::RunStats;
+pub use violation::{Property, Violation};
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -24,7 +24,7 @@
 
 /// A world of state machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum World {
+pub enum Simulation {
     /// Requests over paths of engines.
     Requests,
     /// Keys of requests that may not be repeated.
@@ -34,54 +34,58 @@
     /// Upstreams that come, fail and leave.
     Upstreams,
     /// Membership between nodes.
-    Members,
+    Membership,
     /// What the store holds, told between nodes.
-    Telling,
+    Feed,
 }
 
-impl World {
+impl Simulation {
     /// Every world.
-    pub const ALL: [World; 6] = [
-        World::Requests,
-        World::Keys,
-        World::Config,
-        World::Upstreams,
-        World::Members,
-        World::Telling,
+    pub const ALL: [Simulation; 6] = [
+        Simulation::Requests,
+        Simulation::Keys,
+        Simulation::Config,
+        Simulation::Upstreams,
+        Simulation::Membership,
+        Simulation::Feed,
     ];
 
     /// Runs one operation for each number.
     ///
     /// # Errors
     ///
-    /// The first [`Breach`] of a promise.
-    pub fn run(self, operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
+    /// The first [`Violation`] of a promise.
+    pub fn run(self, operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
         match self {
-            World::Requests => requests::run(operations, tally),
-            World::Keys => keys::run(operations, tally),
-            World::Config => config::run(operations, tally),
-            World::Upstreams => upstreams::run(operations, tally),
-            World::Members => members::run(operations, tally),
-            World::Telling => telling::run(operations, tally),
+            Simulation::Requests => requests::run(operations, stats),
+            Simulation::Keys => keys::run(operations, stats),
+            Simulation::Config => config::run(operations, stats),
+            Simulation::Upstreams => upstreams::run(operations, stats),
+            Simulation::Membership => membership::run(operations, stats),
+            Simulation::Feed => feed::run(operations, stats),
         }
     }
 
-    /// Runs as [`World::run`]; an invariant violated inside the program is a breach too.
+    /// Runs as [`Simulation::run`]; an invariant violated inside the program is a violation too.
     ///
     /// # Errors
     ///
-    /// The first [`Breach`].
-    pub fn run_caught(self, operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
-        let ran = catch_unwind(AssertUnwindSafe(|| self.run(operations, tally)));
+    /// The first [`Violation`].
+    pub fn run_catching_panics(
+        self,
+        operations: &[u64],
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
+        let ran = catch_unwind(AssertUnwindSafe(|| self.run(operations, stats)));
         ran.unwrap_or_else(|panic| {
             let text = panic.downcast_ref::<String>().cloned().unwrap_or_default();
-            Err(Breach::new(Promise::Invariant, text))
+            Err(Violation::new(Property::Invariant, text))
         })
     }
 }
 
 /// `count` operations drawn from a seed.
-pub fn draw(seed: u64, count: usize) -> Vec<u64> {
+pub fn random_operations(seed: u64, count: usize) -> Vec<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
     (0..count).map(|_| rng.random()).collect()
 }
--- a/crates/proof/src/matrix.rs
+++ b/crates/proof/src/matrix.rs
@@ -5,7 +5,7 @@
 use heathpitch_core::{Attempt, Epoch, LayerRange, Model, Outcome, Path, Stage, digest};
 use heathpitch_policy::{Broken, EndReason, Relay, RelayAction, RelayEvent, RelayPlan, Repeat};
 
-use crate::breach::{Breach, Promise};
+use crate::violation::{Property, Violation};
 
 const LAYERS: u32 = 4;
 const TOKENS: u32 = 4;
@@ -82,13 +82,13 @@
     /// Fault of the second attempt, at the same step.
     pub second: Option<Fault>,
     /// Whether the request may be repeated.
-    pub never: bool,
+    pub at_most_once: bool,
 }
 
 impl Cell {
     /// Whether the faults can come at the step: once an engine has started, neither it nor the
     /// network can truly say that it has not.
-    pub fn possible(self) -> bool {
+    pub fn is_possible(self) -> bool {
         let before = matches!(self.step, Step::Choosing | Step::Sent);
         let denies = |f: Fault| matches!(f, Fault::NoConnection | Fault::Refused);
         before || !(denies(self.first) || self.second.is_some_and(denies))
@@ -97,7 +97,7 @@
 
 /// What became of a cell's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct CellResult {
     /// Outcome told to the caller.
     pub outcome: Outcome,
     /// Attempts that an engine started.
@@ -113,9 +113,9 @@
     for second in seconds {
         for step in Step::ALL.iter().copied() {
             for first in Fault::ALL.iter().copied() {
-                for never in [false, true] {
-                    let cell = Cell { step, first, second, never };
-                    cells.extend(cell.possible().then_some(cell));
+                for at_most_once in [false, true] {
+                    let cell = Cell { step, first, second, at_most_once };
+                    cells.extend(cell.is_possible().then_some(cell));
                 }
             }
         }
@@ -136,9 +136,9 @@
 ///
 /// # Errors
 ///
-/// The [`Breach`] found.
-pub fn run_cell(cell: Cell) -> Result<Verdict, Breach> {
-    let repeat = if cell.never { Repeat::Never } else { Repeat::Allowed };
+/// The [`Violation`] found.
+pub fn run_cell(cell: Cell) -> Result<CellResult, Violation> {
+    let repeat = if cell.at_most_once { Repeat::Never } else { Repeat::Allowed };
     let plan = RelayPlan { wanted: TOKENS, layers: LAYERS, attempts: 4, repeat };
     let (sent, executions) = (Vec::new(), 0);
     let mut run =
@@ -151,15 +151,15 @@
         run.attempt_with(fault)?;
     }
     let Some(outcome) = run.outcome else {
-        return Err(Breach::new(Promise::WholeAnswer, "the request has no final answer"));
+        return Err(Violation::new(Property::CompleteResponse, "the request has no final answer"));
     };
     run.check(outcome)?;
-    Ok(Verdict { outcome, executions: run.executions, tokens: run.sent.len() as u32 })
+    Ok(CellResult { outcome, executions: run.executions, tokens: run.sent.len() as u32 })
 }
 
 impl Run {
     /// One attempt, in which `fault` comes at the cell's step.
-    fn attempt_with(&mut self, fault: Option<Fault>) -> Result<(), Breach> {
+    fn attempt_with(&mut self, fault: Option<Fault>) -> Result<(), Violation> {
         let step = self.cell.step;
         let at = |s: Step| fault.filter(|_| step == s);
         match at(Step::Choosing) {
@@ -202,7 +202,7 @@
     }
 
     /// Injects a fault; true if it ended the attempt.
-    fn inject(&mut self, fault: Fault) -> Result<bool, Breach> {
+    fn inject(&mut self, fault: Fault) -> Result<bool, Violation> {
         let attempt = self.attempt.unwrap_or(Attempt(1));
         let due = self.sent.len() as u32;
         let reason = EndReason::Length;
@@ -231,7 +231,7 @@
         Ok(ended)
     }
 
-    fn token(&mut self, position: u32, layers: u32) -> Result<(), Breach> {
+    fn token(&mut self, position: u32, layers: u32) -> Result<(), Violation> {
         match self.attempt {
             Some(attempt) => self.tell(token(attempt, position, layers)).map(drop),
             None => Ok(()),
@@ -239,7 +239,7 @@
     }
 
     /// Tells the relay of an event; true if the attempt ended with it.
-    fn tell(&mut self, event: RelayEvent) -> Result<bool, Breach> {
+    fn tell(&mut self, event: RelayEvent) -> Result<bool, Violation> {
         let mut ended = false;
         let mut actions = VecDeque::from(self.relay.on(event));
         while let Some(action) = actions.pop_front() {
@@ -248,7 +248,7 @@
                 RelayAction::Emit(given) => {
                     let right = value(self.attempt, self.sent.len() as u32);
                     self.sent.push(given);
-                    Breach::unless(given == right, Promise::Layers, || {
+                    Violation::unless(given == right, Property::Layers, || {
                         format!("{:?}: a wrong token was emitted", self.cell)
                     })?;
                 }
@@ -261,23 +261,25 @@
         Ok(ended || self.outcome.is_some())
     }
 
-    fn check(&self, outcome: Outcome) -> Result<(), Breach> {
+    fn check(&self, outcome: Outcome) -> Result<(), Violation> {
         let whole = self.sent.len() as u32 == TOKENS;
         let cell = self.cell;
-        Breach::unless(outcome != Outcome::Done || whole, Promise::WholeAnswer, || {
+        Violation::unless(outcome != Outcome::Done || whole, Property::CompleteResponse, || {
             format!("{cell:?}: done with {} tokens", self.sent.len())
         })?;
         let ran = self.executions > 0;
-        Breach::unless(outcome != Outcome::NotRun || !ran, Promise::NotRun, || {
+        Violation::unless(outcome != Outcome::NotRun || !ran, Property::NotRun, || {
             format!("{cell:?}: said not to have run")
         })?;
-        Breach::unless(!cell.never || self.executions <= 1, Promise::AtMostOnce, || {
-            format!("{cell:?}: ran {} times", self.executions)
-        })?;
+        Violation::unless(
+            !cell.at_most_once || self.executions <= 1,
+            Property::AtMostOnce,
+            || format!("{cell:?}: ran {} times", self.executions),
+        )?;
         let last = [Fault::NoPath, Fault::CallerGone, Fault::Deadline];
         let given_up = last.contains(&cell.first) || cell.second.is_some_and(|f| last.contains(&f));
-        let recovers = cell.never || given_up || outcome == Outcome::Done;
-        Breach::unless(recovers, Promise::WholeAnswer, || {
+        let recovers = cell.at_most_once || given_up || outcome == Outcome::Done;
+        Violation::unless(recovers, Property::CompleteResponse, || {
             format!("{cell:?}: {outcome} although it could be repeated")
         })
     }
--- a/crates/proof/src/members.rs
+++ b/crates/proof/src/membership.rs
@@ -5,8 +5,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::breach::{Breach, Promise};
-use crate::tally::{Draw, Tally};
+use crate::run::{Entropy, RunStats};
+use crate::violation::{Property, Violation};
 
 const NODES: usize = 12;
 const DOMAINS: usize = 3;
@@ -28,7 +28,7 @@
     rng: SmallRng,
 }
 
-pub(crate) fn run(operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
+pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
     let seed = operations.first().copied().unwrap_or_default();
     let mut world = World {
         nodes: (0..NODES).map(|i| node(i, 1)).collect(),
@@ -38,10 +38,10 @@
         rng: SmallRng::seed_from_u64(seed),
     };
     for number in operations {
-        tally.operations += 1;
-        world.operate(&mut Draw::new(*number), tally)?;
+        stats.operations += 1;
+        world.operate(&mut Entropy::new(*number), stats)?;
     }
-    world.settle(tally)
+    world.settle(stats)
 }
 
 fn name(i: usize) -> Name {
@@ -71,31 +71,31 @@
 }
 
 impl World {
-    fn operate(&mut self, draw: &mut Draw, tally: &mut Tally) -> Result<(), Breach> {
-        let kind = draw.below(40);
-        let at = draw.below(NODES);
+    fn operate(&mut self, entropy: &mut Entropy, stats: &mut RunStats) -> Result<(), Violation> {
+        let kind = entropy.below(40);
+        let at = entropy.below(NODES);
         match kind {
             0 => {
-                tally.fault("node killed");
+                stats.fault("node killed");
                 self.nodes[at].alive = false;
             }
             1 | 2 if !self.nodes[at].alive => {
-                tally.event("node restarted");
+                stats.event("node restarted");
                 self.life += 1;
                 self.nodes[at] = node(at, self.life);
             }
             3 => {
-                tally.fault("failure domain cut off");
+                stats.fault("failure domain cut off");
                 self.cut[at % DOMAINS] = true;
             }
             4 => self.cut[at % DOMAINS] = false,
-            _ => self.round(at, tally)?,
+            _ => self.round(at, stats)?,
         }
         Ok(())
     }
 
     /// Time passes; one node beats and exchanges with the peer it picks.
-    fn round(&mut self, at: usize, tally: &mut Tally) -> Result<(), Breach> {
+    fn round(&mut self, at: usize, stats: &mut RunStats) -> Result<(), Violation> {
         self.now += PERIOD / NODES as Millis;
         if !self.nodes[at].alive {
             return Ok(());
@@ -108,13 +108,13 @@
         let apart = at % DOMAINS != other % DOMAINS
             && (self.cut[at % DOMAINS] || self.cut[other % DOMAINS]);
         if apart || !self.nodes[other].alive || at == other {
-            tally.fault("exchange failed");
+            stats.fault("exchange failed");
             return Ok(());
         }
-        tally.event("exchange");
+        stats.event("exchange");
         let sent = self.nodes[at].members.freshest(PASSED_ON, self.now);
         let answer = self.nodes[other].members.freshest(PASSED_ON, self.now);
-        Breach::unless(sent.len().max(answer.len()) <= PASSED_ON, Promise::Members, || {
+        Violation::unless(sent.len().max(answer.len()) <= PASSED_ON, Property::Membership, || {
             "an exchange passed on more than its bound".to_owned()
         })?;
         self.nodes[other].members.merge(sent, self.now);
@@ -123,17 +123,17 @@
     }
 
     /// After every cut has healed, the living of a failure domain know each other, and no other.
-    fn settle(&mut self, tally: &mut Tally) -> Result<(), Breach> {
+    fn settle(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
         self.cut = [false; DOMAINS];
         self.nodes[0].alive = true;
         for i in 0..NODES * 60 {
-            self.round(i % NODES, tally)?;
+            self.round(i % NODES, stats)?;
         }
         for i in (0..NODES).filter(|i| self.nodes[*i].alive) {
             let near = |j: &usize| *j != i && j % DOMAINS == i % DOMAINS;
             for j in (0..NODES).filter(near) {
                 let known = self.nodes[i].members.alive(self.now).iter().any(|m| m.node == name(j));
-                Breach::unless(known == self.nodes[j].alive, Promise::Members, || {
+                Violation::unless(known == self.nodes[j].alive, Property::Membership, || {
                     format!("node {i} has node {j} alive: {known}")
                 })?;
             }
--- a/crates/proof/src/requests.rs
+++ b/crates/proof/src/requests.rs
@@ -5,8 +5,8 @@
 use heathpitch_core::{Attempt, Epoch, LayerRange, Model, Name, Outcome, Path, Stage};
 use heathpitch_policy::{Broken, EndReason, Relay, RelayAction, RelayEvent, RelayPlan, Repeat};
 
-use crate::breach::{Breach, Promise};
-use crate::tally::{Draw, Tally};
+use crate::run::{Entropy, RunStats};
+use crate::violation::{Property, Violation};
 
 const LAYERS: u32 = 6;
 const ENGINES: usize = 5;
@@ -47,38 +47,38 @@
     (request as u32).wrapping_mul(7_919) ^ (attempt.0 << 20) ^ position
 }
 
-pub(crate) fn run(operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
+pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
     let mut requests: Vec<Request> = Vec::new();
     let mut no_path = false;
     for number in operations {
-        tally.operations += 1;
-        let mut draw = Draw::new(*number);
-        match draw.below(20) {
+        stats.operations += 1;
+        let mut entropy = Entropy::new(*number);
+        match entropy.below(20) {
             0 | 1 if requests.iter().filter(|r| r.outcome.is_none()).count() < MAX_OPEN => {
-                let mut request = Request::new(requests.len(), &mut draw);
+                let mut request = Request::new(requests.len(), &mut entropy);
                 let actions = request.choose(no_path);
-                request.carry_out(actions, no_path, tally)?;
+                request.carry_out(actions, no_path, stats)?;
                 requests.push(request);
             }
-            2 => no_path = draw.below(6) == 0,
+            2 => no_path = entropy.below(6) == 0,
             _ if requests.is_empty() => {}
             kind => {
                 let recent = requests.len().min(2 * MAX_OPEN);
-                let at = requests.len() - 1 - draw.below(recent);
-                requests[at].operate(kind, &mut draw, no_path, tally)?;
+                let at = requests.len() - 1 - entropy.below(recent);
+                requests[at].operate(kind, &mut entropy, no_path, stats)?;
             }
         }
     }
-    requests.iter_mut().try_for_each(|r| r.settle(tally))
+    requests.iter_mut().try_for_each(|r| r.settle(stats))
 }
 
 impl Request {
-    fn new(number: usize, draw: &mut Draw) -> Self {
-        let repeat = if draw.below(2) == 0 { Repeat::Allowed } else { Repeat::Never };
-        let wanted = 1 + draw.below(6) as u32;
+    fn new(number: usize, entropy: &mut Entropy) -> Self {
+        let repeat = if entropy.below(2) == 0 { Repeat::Allowed } else { Repeat::Never };
+        let wanted = 1 + entropy.below(6) as u32;
         let plan = RelayPlan { wanted, layers: LAYERS, attempts: 4, repeat };
         // Some answers end before the wanted length.
-        let length = if draw.below(3) == 0 { wanted / 2 } else { wanted };
+        let length = if entropy.below(3) == 0 { wanted / 2 } else { wanted };
         Self {
             number,
             relay: Relay::new(plan),
@@ -94,31 +94,31 @@
     fn operate(
         &mut self,
         kind: usize,
-        draw: &mut Draw,
+        entropy: &mut Entropy,
         no_path: bool,
-        tally: &mut Tally,
-    ) -> Result<(), Breach> {
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
         let actions = match kind {
-            3 => self.tell("stall", RelayEvent::Stalled(vec![]), tally),
-            4 if draw.below(4) == 0 => self.tell("deadline", RelayEvent::Expired, tally),
-            5 if draw.below(4) == 0 => self.tell("caller gone", RelayEvent::Abandoned, tally),
+            3 => self.tell("stall", RelayEvent::Stalled(vec![]), stats),
+            4 if entropy.below(4) == 0 => self.tell("deadline", RelayEvent::Expired, stats),
+            5 if entropy.below(4) == 0 => self.tell("caller gone", RelayEvent::Abandoned, stats),
             _ if self.connections.is_empty() => vec![],
             kind => {
                 let recent = self.connections.len().min(3);
-                let at = self.connections.len() - 1 - draw.below(recent);
-                self.network(kind, at, draw, tally)?
+                let at = self.connections.len() - 1 - entropy.below(recent);
+                self.network(kind, at, entropy, stats)?
             }
         };
-        self.carry_out(actions, no_path, tally)
+        self.carry_out(actions, no_path, stats)
     }
 
     fn tell(
         &mut self,
         fault: &'static str,
         event: RelayEvent,
-        tally: &mut Tally,
+        stats: &mut RunStats,
     ) -> Vec<RelayAction> {
-        tally.fault(fault);
+        stats.fault(fault);
         self.relay.on(event)
     }
 
@@ -126,46 +126,46 @@
         &mut self,
         kind: usize,
         at: usize,
-        draw: &mut Draw,
-        tally: &mut Tally,
-    ) -> Result<Vec<RelayAction>, Breach> {
+        entropy: &mut Entropy,
+        stats: &mut RunStats,
+    ) -> Result<Vec<RelayAction>, Violation> {
         let number = self.number;
         let length = self.length;
         let c = &mut self.connections[at];
         match kind {
             6 if !c.arrived && !c.gone => {
-                tally.fault("refused with a statement");
+                stats.fault("refused with a statement");
                 c.gone = true;
                 c.wire.push_back(Wire::Broken(Broken::Refused));
             }
             7 if !c.arrived && !c.gone => {
-                tally.fault("no connection");
+                stats.fault("no connection");
                 c.gone = true;
                 c.wire.push_back(Wire::Broken(Broken::Unsent));
             }
             8 => {
-                tally.fault("connection lost");
+                stats.fault("connection lost");
                 c.wire.push_back(Wire::Broken(Broken::Lost));
                 // What was sent may still arrive, and frames on the way may still be read.
             }
             9 if c.arrived && !c.ended => {
-                tally.fault("stage failed");
+                stats.fault("stage failed");
                 c.ended = true;
                 c.wire.push_back(Wire::Broken(Broken::Faulted));
             }
             10 if c.wire.len() > 1 => {
-                tally.fault("frames swapped");
-                let other = 1 + draw.below(c.wire.len() - 1);
+                stats.fault("frames swapped");
+                let other = 1 + entropy.below(c.wire.len() - 1);
                 c.wire.swap(0, other);
             }
             11 if !c.wire.is_empty() => {
-                tally.fault("frame repeated");
+                stats.fault("frame repeated");
                 let again = c.wire[0].clone();
                 c.wire.push_front(again);
             }
             12 if !c.wire.is_empty() => {
-                tally.fault("frame lost");
-                let lost = draw.below(c.wire.len());
+                stats.fault("frame lost");
+                let lost = entropy.below(c.wire.len());
                 c.wire.remove(lost);
             }
             13 | 14 if !c.arrived && !c.gone => return self.arrive(at).map(|()| vec![]),
@@ -188,19 +188,19 @@
     }
 
     /// A dispatched request reaches its engine and runs.
-    fn arrive(&mut self, at: usize) -> Result<(), Breach> {
+    fn arrive(&mut self, at: usize) -> Result<(), Violation> {
         let c = &mut self.connections[at];
         c.arrived = true;
         c.next = c.start;
         self.executions += 1;
         let detail = || format!("request {} ran {} times", self.number, self.executions);
-        Breach::unless(
+        Violation::unless(
             self.repeat == Repeat::Allowed || self.executions <= 1,
-            Promise::AtMostOnce,
+            Property::AtMostOnce,
             detail,
         )?;
         let detail = || format!("request {} ran after it was said not to have", self.number);
-        Breach::unless(self.outcome != Some(Outcome::NotRun), Promise::NotRun, detail)
+        Violation::unless(self.outcome != Some(Outcome::NotRun), Property::NotRun, detail)
     }
 
     fn deliver(&mut self, at: usize) -> Vec<RelayAction> {
@@ -231,8 +231,8 @@
         &mut self,
         actions: Vec<RelayAction>,
         no_path: bool,
-        tally: &mut Tally,
-    ) -> Result<(), Breach> {
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
@@ -248,43 +248,43 @@
                 }),
                 RelayAction::Emit(token) => self.emitted(token)?,
                 RelayAction::Cancel(_) => {}
-                RelayAction::Finish(_) => self.finished(tally)?,
-                RelayAction::GiveUp(outcome) => self.given_up(outcome, tally)?,
+                RelayAction::Finish(_) => self.finished(stats)?,
+                RelayAction::GiveUp(outcome) => self.given_up(outcome, stats)?,
             }
         }
         Ok(())
     }
 
     /// A token left for the caller: it must be the newest attempt's at the position that is due.
-    fn emitted(&mut self, given: u32) -> Result<(), Breach> {
+    fn emitted(&mut self, given: u32) -> Result<(), Violation> {
         let position = self.sent.len() as u32;
         let right = token(self.number, self.relay.attempt(), position);
         self.sent.push(given);
-        Breach::unless(given == right, Promise::Layers, || {
+        Violation::unless(given == right, Property::Layers, || {
             format!("request {} got a wrong token at position {position}", self.number)
         })
     }
 
-    fn finished(&mut self, tally: &mut Tally) -> Result<(), Breach> {
-        tally.event("done");
+    fn finished(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
+        stats.event("done");
         self.outcome = Some(Outcome::Done);
-        Breach::unless(self.sent.len() as u32 == self.length, Promise::WholeAnswer, || {
+        Violation::unless(self.sent.len() as u32 == self.length, Property::CompleteResponse, || {
             let (number, got) = (self.number, self.sent.len());
             format!("request {number} ended with {got} of {} tokens", self.length)
         })
     }
 
-    fn given_up(&mut self, outcome: Outcome, tally: &mut Tally) -> Result<(), Breach> {
-        tally.event(outcome.as_str());
+    fn given_up(&mut self, outcome: Outcome, stats: &mut RunStats) -> Result<(), Violation> {
+        stats.event(outcome.as_str());
         self.outcome = Some(outcome);
         let ran = self.executions > 0 && outcome == Outcome::NotRun;
-        Breach::unless(!ran, Promise::NotRun, || {
+        Violation::unless(!ran, Property::NotRun, || {
             format!("request {} ran and was said not to have", self.number)
         })
     }
 
     /// Everything still on the way arrives in the end.
-    fn settle(&mut self, tally: &mut Tally) -> Result<(), Breach> {
+    fn settle(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
         for at in 0..self.connections.len() {
             let c = &self.connections[at];
             if !c.arrived && !c.gone {
@@ -292,11 +292,11 @@
             }
             while !self.connections[at].wire.is_empty() {
                 let actions = self.deliver(at);
-                self.carry_out(actions, true, tally)?;
+                self.carry_out(actions, true, stats)?;
             }
         }
         let actions = self.relay.on(RelayEvent::Expired);
-        self.carry_out(actions, true, tally)
+        self.carry_out(actions, true, stats)
     }
 }
 
--- a/crates/proof/src/tally.rs
+++ b/crates/proof/src/run.rs
@@ -1,19 +1,19 @@
-//! Counts of what a run did.
+//! Input and statistics of a run.
 
 use std::collections::BTreeMap;
 
-/// Operations and faults of a run.
+/// Counts of operations, events and faults of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Operations carried out.
+pub struct RunStats {
+    /// Operations executed.
     pub operations: u64,
-    /// Things that ended or were checked, by name.
+    /// Events and checks, by name.
     pub events: BTreeMap<&'static str, u64>,
-    /// Faults, by name.
+    /// Injected faults, by name.
     pub faults: BTreeMap<&'static str, u64>,
 }
 
-impl Tally {
+impl RunStats {
     pub(crate) fn event(&mut self, name: &'static str) {
         *self.events.entry(name).or_default() += 1;
     }
@@ -23,20 +23,20 @@
     }
 }
 
-/// The parts of one random number that an operation is made of.
+/// Random number from which the choices of one operation are taken.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Draw(u64);
+pub(crate) struct Entropy(u64);
 
-impl Draw {
+impl Entropy {
     pub(crate) fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// A number below `n`, used up.
+    /// Returns a number below `n` and replaces the state by one mixed from the rest of it.
     pub(crate) fn below(&mut self, n: usize) -> usize {
         let n = n.max(1) as u64;
-        let drawn = self.0 % n;
+        let value = self.0 % n;
         self.0 = (self.0 / n).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (self.0 >> 17);
-        drawn as usize
+        value as usize
     }
 }
--- a/crates/proof/src/upstreams.rs
+++ b/crates/proof/src/upstreams.rs
@@ -5,8 +5,8 @@
 };
 use heathpitch_policy::{EngineReport, EngineRole, Health, HealthEvent};
 
-use crate::breach::{Breach, Promise};
-use crate::tally::{Draw, Tally};
+use crate::run::{Entropy, RunStats};
+use crate::violation::{Property, Violation};
 
 const ENGINES: usize = 4;
 
@@ -31,7 +31,7 @@
     now: Millis,
 }
 
-pub(crate) fn run(operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
+pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
     let engine = Engine { life: 1, serial: 0, leaving: false, listed: VmState::Live, heard: None };
     let mut world = Upstreams {
         health: Health::new(),
@@ -43,31 +43,31 @@
         now: 1,
     };
     for number in operations {
-        tally.operations += 1;
-        world.operate(&mut Draw::new(*number), tally);
-        world.check(tally)?;
+        stats.operations += 1;
+        world.operate(&mut Entropy::new(*number), stats);
+        world.check(stats)?;
     }
     Ok(())
 }
 
 impl Upstreams {
-    fn operate(&mut self, draw: &mut Draw, tally: &mut Tally) {
-        let kind = draw.below(16);
-        let at = draw.below(ENGINES);
+    fn operate(&mut self, entropy: &mut Entropy, stats: &mut RunStats) {
+        let kind = entropy.below(16);
+        let at = entropy.below(ENGINES);
         match kind {
             0 => {
-                tally.fault("engine leaves");
+                stats.fault("engine leaves");
                 self.engines[at].leaving = true;
             }
             1 => {
-                tally.event("engine restarts");
+                stats.event("engine restarts");
                 let engine = &mut self.engines[at];
                 engine.life += 1;
                 engine.serial = 0;
                 engine.leaving = false;
             }
             2 => {
-                tally.fault("VM listed as leaving");
+                stats.fault("VM listed as leaving");
                 self.engines[at].listed = VmState::Leaving;
             }
             3 => self.engines[at].listed = VmState::Live,
@@ -78,11 +78,11 @@
             }
             // Lists and reports arrive in any order, and more than once.
             6 | 7 if !self.lists.is_empty() => {
-                let (number, vms) = self.lists[draw.below(self.lists.len())].clone();
+                let (number, vms) = self.lists[entropy.below(self.lists.len())].clone();
                 if self.newest.as_ref().is_none_or(|(n, _)| number > *n) {
                     self.newest = Some((number, vms.clone()));
                 } else {
-                    tally.fault("older list");
+                    stats.fault("older list");
                 }
                 self.health.on(HealthEvent::Listed(number, vms), self.now);
             }
@@ -93,42 +93,42 @@
                 self.reports.push((at, report));
             }
             11..=13 if !self.reports.is_empty() => {
-                let (at, report) = self.reports[draw.below(self.reports.len())].clone();
-                self.hear(at, &report, tally);
-                let event = match draw.below(2) {
+                let (at, report) = self.reports[entropy.below(self.reports.len())].clone();
+                self.hear(at, &report, stats);
+                let event = match entropy.below(2) {
                     0 => HealthEvent::Polled(report),
                     _ => HealthEvent::Relayed(report),
                 };
                 self.health.on(event, self.now);
             }
             14 => {
-                tally.fault("poll failed");
+                stats.fault("poll failed");
                 self.health.on(HealthEvent::PollFailed(name(at)), self.now);
             }
-            _ => self.now += draw.below(2_000) as Millis,
+            _ => self.now += entropy.below(2_000) as Millis,
         }
     }
 
-    fn hear(&mut self, at: usize, report: &EngineReport, tally: &mut Tally) {
+    fn hear(&mut self, at: usize, report: &EngineReport, stats: &mut RunStats) {
         let word = (report.life.0, report.serial, report.leaving);
         let heard = &mut self.engines[at].heard;
         match heard {
-            Some(old) if (old.0, old.1) >= (word.0, word.1) => tally.fault("older report"),
+            Some(old) if (old.0, old.1) >= (word.0, word.1) => stats.fault("older report"),
             _ => *heard = Some(word),
         }
     }
 
     /// No engine that the newest word of any source says to leave may take new work.
-    fn check(&self, tally: &mut Tally) -> Result<(), Breach> {
+    fn check(&self, stats: &mut RunStats) -> Result<(), Violation> {
         let fleet = self.health.fleet(self.now);
         for up in fleet.engines.values().flatten() {
-            tally.event("engine checked");
+            stats.event("engine checked");
             let at = (0..ENGINES).find(|i| name(*i) == up.vm.name).unwrap_or_default();
             let said = self.engines[at].heard.is_some_and(|h| h.2);
             let listed = self.newest.as_ref().is_some_and(|(_, vms)| {
                 vms.iter().any(|v| v.name == up.vm.name && v.state == VmState::Leaving)
             });
-            Breach::unless(!said && !listed, Promise::Leaving, || {
+            Violation::unless(!said && !listed, Property::Draining, || {
                 format!("engine {at} takes work; it said leaving: {said}, listed so: {listed}")
             })?;
         }
--- a/crates/proof/tests/matrix.rs
+++ b/crates/proof/tests/matrix.rs
@@ -21,14 +21,14 @@
 #[test]
 fn outcomes_of_single_faults() {
     let mut table = String::new();
-    for never in [false, true] {
-        let word = if never { "may not be repeated" } else { "may be repeated" };
+    for at_most_once in [false, true] {
+        let word = if at_most_once { "may not be repeated" } else { "may be repeated" };
         writeln!(table, "{word}").unwrap();
         for first in Fault::ALL.iter().copied() {
             write!(table, "  {:<13}", format!("{first:?}")).unwrap();
             for step in Step::ALL.iter().copied() {
-                let cell = Cell { step, first, second: None, never };
-                let text = match cell.possible() {
+                let cell = Cell { step, first, second: None, at_most_once };
+                let text = match cell.is_possible() {
                     true => {
                         let v = run_cell(cell).unwrap();
                         format!("{}/{}/{}", v.outcome, v.executions, v.tokens)
--- a/crates/proof/tests/worlds.rs
+++ b/crates/proof/tests/simulations.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-use heathpitch_proof::{Tally, World, draw};
+use heathpitch_proof::{RunStats, Simulation, random_operations};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -14,21 +14,25 @@
 const LARGE_CASES: u32 = 40;
 const LENGTH: usize = 400;
 
-fn holds(world: World) {
+fn holds(world: Simulation) {
     let seed = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|s| s.parse().ok());
     let seed = seed.unwrap_or(SEED);
     println!("seed {seed}");
     let config = Config {
-        cases: if matches!(world, World::Members | World::Telling) { LARGE_CASES } else { CASES },
+        cases: if matches!(world, Simulation::Membership | Simulation::Feed) {
+            LARGE_CASES
+        } else {
+            CASES
+        },
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(seed),
         ..Config::default()
     };
     let total = Cell::new(0);
     let result = TestRunner::new(config).run(&vec(any::<u64>(), 1..LENGTH), |operations| {
-        let mut tally = Tally::default();
-        let ran = world.run_caught(&operations, &mut tally);
-        total.set(total.get() + tally.operations);
+        let mut stats = RunStats::default();
+        let ran = world.run_catching_panics(&operations, &mut stats);
+        total.set(total.get() + stats.operations);
         ran.map_err(|b| TestCaseError::fail(b.to_string()))
     });
     println!("{world:?}: {} operations", total.get());
@@ -37,32 +41,32 @@
 
 #[test]
 fn requests_keep_their_promises() {
-    holds(World::Requests);
+    holds(Simulation::Requests);
 }
 
 #[test]
 fn keys_are_dispatched_at_most_once() {
-    holds(World::Keys);
+    holds(Simulation::Keys);
 }
 
 #[test]
 fn configuration_never_reverts() {
-    holds(World::Config);
+    holds(Simulation::Config);
 }
 
 #[test]
 fn leaving_upstreams_get_no_work() {
-    holds(World::Upstreams);
+    holds(Simulation::Upstreams);
 }
 
 #[test]
 fn members_find_each_other() {
-    holds(World::Members);
+    holds(Simulation::Membership);
 }
 
 #[test]
 fn what_is_told_of_the_store_is_true_and_young() {
-    holds(World::Telling);
+    holds(Simulation::Feed);
 }
 
 /// A node that had read the store at its turn knew it a moment later than its planner, took nothing from it
@@ -70,7 +74,8 @@
 #[test]
 fn a_node_that_reads_for_itself_is_told_again() {
     for seed in [10, 65, 80, 90, 191, 344, 362] {
-        let ran = World::Telling.run_caught(&draw(seed, 400), &mut Tally::default());
+        let ran = Simulation::Feed
+            .run_catching_panics(&random_operations(seed, 400), &mut RunStats::default());
         assert_eq!(ran, Ok(()), "seed {seed}");
     }
 }
@@ -79,7 +84,8 @@
 #[test]
 fn a_dead_node_is_not_kept_alive_by_others() {
     for seed in [18, 73, 145, 446, 452, 474, 483, 550] {
-        let ran = World::Members.run_caught(&draw(seed, 2_000), &mut Tally::default());
+        let ran = Simulation::Membership
+            .run_catching_panics(&random_operations(seed, 2_000), &mut RunStats::default());
         assert_eq!(ran, Ok(()), "seed {seed}");
     }
 }
@@ -89,7 +95,8 @@
 #[test]
 fn keys_of_found_seeds_are_dispatched_at_most_once() {
     for seed in [20_762, 25_713] {
-        let ran = World::Keys.run_caught(&draw(seed, 2_000), &mut Tally::default());
+        let ran = Simulation::Keys
+            .run_catching_panics(&random_operations(seed, 2_000), &mut RunStats::default());
         assert_eq!(ran, Ok(()), "seed {seed}");
     }
 }
@@ -97,6 +104,7 @@
 /// Two reports of an engine came before the first list, the older one last, and took the newer one's place.
 #[test]
 fn leaving_upstreams_of_a_found_seed_get_no_work() {
-    let ran = World::Upstreams.run_caught(&draw(5_208, 2_000), &mut Tally::default());
+    let ran = Simulation::Upstreams
+        .run_catching_panics(&random_operations(5_208, 2_000), &mut RunStats::default());
     assert_eq!(ran, Ok(()));
 }
