--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -1,7 +1,7 @@
-//! Proof of heathpitch's promises over its state machines.
+//! Randomized simulations and a fault matrix that check heathpitch's guarantees.
 //!
-//! Each world drives the real state machines with random operations and faults and checks them
-//! against what really happened there. Nothing here is published.
+//! Each simulation drives the production state machines with random operations and faults, and
+//! compares their results with the simulated state. This crate is not published.
 
 mod config;
 mod feed;
@@ -22,25 +22,25 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A world of state machines.
+/// Simulation of a group of state machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Simulation {
     /// Requests over paths of engines.
     Requests,
-    /// Keys of requests that may not be repeated.
+    /// Idempotency keys of requests that may not be repeated.
     Keys,
-    /// Copies of the configuration.
+    /// Replication of the configuration.
     Config,
-    /// Upstreams that come, fail and leave.
+    /// Upstreams that start, fail and drain.
     Upstreams,
-    /// Membership between nodes.
+    /// Membership of nodes.
     Membership,
-    /// What the store holds, told between nodes.
+    /// Content of the store, relayed between nodes.
     Feed,
 }
 
 impl Simulation {
-    /// Every world.
+    /// Every simulation.
     pub const ALL: [Simulation; 6] = [
         Simulation::Requests,
         Simulation::Keys,
@@ -50,11 +50,11 @@
         Simulation::Feed,
     ];
 
-    /// Runs one operation for each number.
+    /// Runs one operation per number.
     ///
     /// # Errors
     ///
-    /// The first [`Violation`] of a promise.
+    /// Returns the first [`Violation`].
     pub fn run(self, operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
         match self {
             Simulation::Requests => requests::run(operations, stats),
@@ -66,25 +66,25 @@
         }
     }
 
-    /// Runs as [`Simulation::run`]; an invariant violated inside the program is a violation too.
+    /// Runs like [`Simulation::run`], and reports a panic as a violated invariant.
     ///
     /// # Errors
     ///
-    /// The first [`Violation`].
+    /// Returns the first [`Violation`].
     pub fn run_catching_panics(
         self,
         operations: &[u64],
         stats: &mut RunStats,
     ) -> Result<(), Violation> {
-        let ran = catch_unwind(AssertUnwindSafe(|| self.run(operations, stats)));
-        ran.unwrap_or_else(|panic| {
+        let result = catch_unwind(AssertUnwindSafe(|| self.run(operations, stats)));
+        result.unwrap_or_else(|panic| {
             let text = panic.downcast_ref::<String>().cloned().unwrap_or_default();
             Err(Violation::new(Property::Invariant, text))
         })
     }
 }
 
-/// `count` operations drawn from a seed.
+/// Returns `count` operations generated from a seed.
 pub fn random_operations(seed: u64, count: usize) -> Vec<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
     (0..count).map(|_| rng.random()).collect()
--- a/crates/proof/src/matrix.rs
+++ b/crates/proof/src/matrix.rs
@@ -1,4 +1,5 @@
-//! Fault matrix of a request: every fault at every step, alone, in pairs and twice.
+//! Fault matrix of a request: every fault at every step, alone and followed by every fault at the
+//! same step of the second attempt.
 
 use std::collections::VecDeque;
 
@@ -10,64 +11,64 @@
 const LAYERS: u32 = 4;
 const TOKENS: u32 = 4;
 
-/// Declares a closed enum together with the list of all its values.
-macro_rules! closed {
+/// Declares an enum without data and a constant that lists its variants.
+macro_rules! listed_enum {
     ($(#[$doc:meta])* $name:ident { $($(#[$item:meta])* $value:ident,)* }) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum $name { $($(#[$item])* $value,)* }
 
         impl $name {
-            /// Every value.
+            /// Every variant.
             pub const ALL: &'static [$name] = &[$($name::$value,)*];
         }
     };
 }
 
-closed! {
-    /// Step of an attempt at which a fault comes.
+listed_enum! {
+    /// Step of an attempt at which a fault is injected.
     Step {
-        /// A path is being chosen.
+        /// A path is being selected.
         Choosing,
         /// The request was sent; no engine has started.
         Sent,
-        /// The engines have started; there is no token yet.
+        /// The engines have started; no token has arrived.
         Started,
-        /// Some tokens have come.
+        /// Some tokens have arrived.
         Decoding,
-        /// Every token has come, the end has not.
+        /// Every token has arrived, the end of the stream has not.
         Ending,
     }
 }
 
-closed! {
-    /// Fault that comes at a step.
+listed_enum! {
+    /// Fault to inject.
     Fault {
-        /// No path can be had.
+        /// No path is available.
         NoPath,
-        /// No connection is made.
+        /// The connection could not be opened.
         NoConnection,
-        /// The engine refuses with a statement of no start.
+        /// The engine refuses and states that it did not start.
         Refused,
         /// The connection is lost.
         Lost,
-        /// A stage fails and the engine says so.
+        /// A stage fails and the engine reports it.
         StageFailed,
-        /// Nothing comes any more.
+        /// No more frames arrive.
         Silence,
-        /// The end comes with too few tokens.
+        /// The stream ends with too few tokens.
         CutShort,
-        /// A token comes twice.
+        /// A token arrives twice.
         TokenTwice,
         /// A token is skipped.
         TokenSkipped,
         /// A token has run too few layers.
         LayerSkipped,
-        /// A frame of an older attempt comes.
+        /// A frame of an earlier attempt arrives.
         OldFrame,
-        /// The caller goes away.
+        /// The client disconnects.
         CallerGone,
-        /// The time for the request is over.
+        /// The deadline of the request passes.
         Deadline,
     }
 }
@@ -75,38 +76,38 @@
 /// One cell of the matrix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Cell {
-    /// Step.
+    /// Step at which the faults are injected.
     pub step: Step,
     /// Fault of the first attempt.
     pub first: Fault,
     /// Fault of the second attempt, at the same step.
     pub second: Option<Fault>,
-    /// Whether the request may be repeated.
+    /// Whether the request may not be repeated.
     pub at_most_once: bool,
 }
 
 impl Cell {
-    /// Whether the faults can come at the step: once an engine has started, neither it nor the
-    /// network can truly say that it has not.
+    /// Whether the faults can occur at the step: once an engine has started, neither the engine nor
+    /// the network can correctly report that it has not.
     pub fn is_possible(self) -> bool {
-        let before = matches!(self.step, Step::Choosing | Step::Sent);
-        let denies = |f: Fault| matches!(f, Fault::NoConnection | Fault::Refused);
-        before || !(denies(self.first) || self.second.is_some_and(denies))
+        let not_started = matches!(self.step, Step::Choosing | Step::Sent);
+        let excludes_start = |f: Fault| matches!(f, Fault::NoConnection | Fault::Refused);
+        not_started || !(excludes_start(self.first) || self.second.is_some_and(excludes_start))
     }
 }
 
-/// What became of a cell's request.
+/// Result of a cell's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CellResult {
-    /// Outcome told to the caller.
+    /// Outcome reported to the client.
     pub outcome: Outcome,
     /// Attempts that an engine started.
     pub executions: u32,
-    /// Tokens the caller got.
+    /// Tokens sent to the client.
     pub tokens: u32,
 }
 
-/// Every cell, singles first.
+/// Returns every cell, those with a single fault first.
 pub fn cells() -> Vec<Cell> {
     let mut cells = Vec::new();
     let seconds = std::iter::once(None).chain(Fault::ALL.iter().copied().map(Some));
@@ -132,11 +133,11 @@
     outcome: Option<Outcome>,
 }
 
-/// Runs one cell and checks every promise in it.
+/// Runs one cell and checks every property.
 ///
 /// # Errors
 ///
-/// The [`Violation`] found.
+/// Returns the [`Violation`] found.
 pub fn run_cell(cell: Cell) -> Result<CellResult, Violation> {
     let repeat = if cell.at_most_once { Repeat::Never } else { Repeat::Allowed };
     let plan = RelayPlan { wanted: TOKENS, layers: LAYERS, attempts: 4, repeat };
@@ -148,63 +149,63 @@
         if run.outcome.is_some() {
             break;
         }
-        run.attempt_with(fault)?;
+        run.run_attempt(fault)?;
     }
     let Some(outcome) = run.outcome else {
-        return Err(Violation::new(Property::CompleteResponse, "the request has no final answer"));
+        return Err(Violation::new(Property::CompleteResponse, "the request has no final outcome"));
     };
     run.check(outcome)?;
     Ok(CellResult { outcome, executions: run.executions, tokens: run.sent.len() as u32 })
 }
 
 impl Run {
-    /// One attempt, in which `fault` comes at the cell's step.
-    fn attempt_with(&mut self, fault: Option<Fault>) -> Result<(), Violation> {
+    /// Runs one attempt, with `fault` injected at the cell's step.
+    fn run_attempt(&mut self, fault: Option<Fault>) -> Result<(), Violation> {
         let step = self.cell.step;
-        let at = |s: Step| fault.filter(|_| step == s);
-        match at(Step::Choosing) {
+        let fault_at = |s: Step| fault.filter(|_| step == s);
+        match fault_at(Step::Choosing) {
             Some(fault) if self.inject(fault)? => return Ok(()),
             _ => {}
         }
         let Some(path) = path() else { return Ok(()) };
-        self.tell(RelayEvent::Chosen(path))?;
-        let before = self.attempt;
-        match at(Step::Sent) {
+        self.send_event(RelayEvent::Chosen(path))?;
+        let current = self.attempt;
+        match fault_at(Step::Sent) {
             Some(fault) if self.inject(fault)? => return Ok(()),
             _ => {}
         }
         self.executions += 1;
-        match at(Step::Started) {
+        match fault_at(Step::Started) {
             Some(fault) if self.inject(fault)? => return Ok(()),
             _ => {}
         }
         let start = self.sent.len() as u32;
         for position in start..TOKENS {
             if position == start + (TOKENS - start) / 2 {
-                match at(Step::Decoding) {
+                match fault_at(Step::Decoding) {
                     Some(fault) if self.inject(fault)? => return Ok(()),
                     _ => {}
                 }
             }
             self.token(position, LAYERS)?;
         }
-        match at(Step::Ending) {
+        match fault_at(Step::Ending) {
             Some(fault) if self.inject(fault)? => return Ok(()),
             _ => {}
         }
         match (self.attempt, self.outcome) {
-            (Some(attempt), None) if self.attempt == before => {
+            (Some(attempt), None) if self.attempt == current => {
                 let (count, reason) = (TOKENS, EndReason::Length);
-                self.tell(RelayEvent::Ended { attempt, count, reason }).map(drop)
+                self.send_event(RelayEvent::Ended { attempt, count, reason }).map(drop)
             }
             _ => Ok(()),
         }
     }
 
-    /// Injects a fault; true if it ended the attempt.
+    /// Injects a fault; returns whether it ended the attempt.
     fn inject(&mut self, fault: Fault) -> Result<bool, Violation> {
         let attempt = self.attempt.unwrap_or(Attempt(1));
-        let due = self.sent.len() as u32;
+        let next = self.sent.len() as u32;
         let reason = EndReason::Length;
         let broken = |how| RelayEvent::Broken { attempt, how, engine: None };
         let event = match fault {
@@ -214,16 +215,16 @@
             Fault::Lost => broken(Broken::Lost),
             Fault::StageFailed => broken(Broken::Faulted),
             Fault::Silence => RelayEvent::Stalled(vec![]),
-            Fault::CutShort => RelayEvent::Ended { attempt, count: due + 1, reason },
-            Fault::TokenTwice => token(attempt, due.saturating_sub(1), LAYERS),
-            Fault::TokenSkipped => token(attempt, due + 1, LAYERS),
-            Fault::LayerSkipped => token(attempt, due, LAYERS - 1),
-            Fault::OldFrame => token(Attempt(attempt.0.saturating_sub(1)), due, LAYERS),
+            Fault::CutShort => RelayEvent::Ended { attempt, count: next + 1, reason },
+            Fault::TokenTwice => token(attempt, next.saturating_sub(1), LAYERS),
+            Fault::TokenSkipped => token(attempt, next + 1, LAYERS),
+            Fault::LayerSkipped => token(attempt, next, LAYERS - 1),
+            Fault::OldFrame => token(Attempt(attempt.0.saturating_sub(1)), next, LAYERS),
             Fault::CallerGone => RelayEvent::Abandoned,
             Fault::Deadline => RelayEvent::Expired,
         };
-        let ended = self.tell(event)?;
-        // What was sent and lost may have run: take it that it did.
+        let ended = self.send_event(event)?;
+        // A request that was sent and lost may have run, and counts as run.
         let ambiguous = !matches!(fault, Fault::NoConnection | Fault::Refused | Fault::NoPath);
         if self.cell.step == Step::Sent && ambiguous && ended {
             self.executions += 1;
@@ -233,23 +234,23 @@
 
     fn token(&mut self, position: u32, layers: u32) -> Result<(), Violation> {
         match self.attempt {
-            Some(attempt) => self.tell(token(attempt, position, layers)).map(drop),
+            Some(attempt) => self.send_event(token(attempt, position, layers)).map(drop),
             None => Ok(()),
         }
     }
 
-    /// Tells the relay of an event; true if the attempt ended with it.
-    fn tell(&mut self, event: RelayEvent) -> Result<bool, Violation> {
+    /// Passes an event to the relay; returns whether it ended the attempt.
+    fn send_event(&mut self, event: RelayEvent) -> Result<bool, Violation> {
         let mut ended = false;
         let mut actions = VecDeque::from(self.relay.on(event));
         while let Some(action) = actions.pop_front() {
             match action {
                 RelayAction::Dispatch { attempt, .. } => self.attempt = Some(attempt),
-                RelayAction::Emit(given) => {
-                    let right = value(self.attempt, self.sent.len() as u32);
-                    self.sent.push(given);
-                    Violation::unless(given == right, Property::Layers, || {
-                        format!("{:?}: a wrong token was emitted", self.cell)
+                RelayAction::Emit(emitted) => {
+                    let expected = value(self.attempt, self.sent.len() as u32);
+                    self.sent.push(emitted);
+                    Violation::unless(emitted == expected, Property::Layers, || {
+                        format!("{:?}: the relay emitted a wrong token", self.cell)
                     })?;
                 }
                 RelayAction::Finish(_) => self.outcome = Some(Outcome::Done),
@@ -262,25 +263,28 @@
     }
 
     fn check(&self, outcome: Outcome) -> Result<(), Violation> {
-        let whole = self.sent.len() as u32 == TOKENS;
+        let complete = self.sent.len() as u32 == TOKENS;
         let cell = self.cell;
-        Violation::unless(outcome != Outcome::Done || whole, Property::CompleteResponse, || {
-            format!("{cell:?}: done with {} tokens", self.sent.len())
-        })?;
+        Violation::unless(
+            outcome != Outcome::Done || complete,
+            Property::CompleteResponse,
+            || format!("{cell:?}: reported as done with {} tokens", self.sent.len()),
+        )?;
         let ran = self.executions > 0;
         Violation::unless(outcome != Outcome::NotRun || !ran, Property::NotRun, || {
-            format!("{cell:?}: said not to have run")
+            format!("{cell:?}: reported as not run although an engine started")
         })?;
         Violation::unless(
             !cell.at_most_once || self.executions <= 1,
             Property::AtMostOnce,
             || format!("{cell:?}: ran {} times", self.executions),
         )?;
-        let last = [Fault::NoPath, Fault::CallerGone, Fault::Deadline];
-        let given_up = last.contains(&cell.first) || cell.second.is_some_and(|f| last.contains(&f));
+        let terminal = [Fault::NoPath, Fault::CallerGone, Fault::Deadline];
+        let given_up =
+            terminal.contains(&cell.first) || cell.second.is_some_and(|f| terminal.contains(&f));
         let recovers = cell.at_most_once || given_up || outcome == Outcome::Done;
         Violation::unless(recovers, Property::CompleteResponse, || {
-            format!("{cell:?}: {outcome} although it could be repeated")
+            format!("{cell:?}: gave up with {outcome} although a retry was allowed")
         })
     }
 }
