--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -1,5 +1,5 @@
-//! Slopes of processor time, memory and message size of each controller, at sizes up to the
-//! design's in one process.
+//! Scaling of processor time, memory and message size of each component, in one process and up to
+//! the sizes that the design supports.
 //!
 //! `cargo run --release -p heathpitch-proof --example slopes`
 
@@ -26,7 +26,7 @@
 const MODELS: usize = 17;
 
 fn main() {
-    println!("| what | sizes | time | memory or bytes |");
+    println!("| operation | size | time | memory or bytes |");
     println!("|---|---|---|---|");
     routing();
     fleet();
@@ -35,18 +35,18 @@
     demand();
     prefixes();
     limits();
-    ledger();
+    idempotency();
     claims();
     placement();
 }
 
 fn name(text: &str) -> Name {
-    // Every text here is a name.
+    // Every text in this program is a valid name.
     text.parse().unwrap_or_else(|_| digest(&[text.as_bytes()]))
 }
 
-/// Median time of a call, nanoseconds.
-fn time(calls: usize, mut call: impl FnMut()) -> f64 {
+/// Median time per call, nanoseconds.
+fn time_ns(calls: usize, mut call: impl FnMut()) -> f64 {
     let mut samples: Vec<f64> = (0..7)
         .map(|_| {
             let start = Instant::now();
@@ -58,23 +58,23 @@
     samples[3]
 }
 
-/// Bytes of resident memory that `copies` of a value take, each.
-fn memory<T>(copies: usize, make: impl Fn() -> T) -> usize {
-    let before = resident();
+/// Resident memory per copy of a value, bytes.
+fn memory_bytes<T>(copies: usize, make: impl Fn() -> T) -> usize {
+    let before = resident_bytes();
     let all: Vec<T> = (0..copies).map(|_| make()).collect();
-    let after = resident();
+    let after = resident_bytes();
     drop(black_box(all));
     after.saturating_sub(before) / copies
 }
 
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|p| p.parse::<usize>().ok());
     pages.unwrap_or(0) * 4_096
 }
 
-fn row(what: &str, size: usize, ns: f64, bytes: usize) {
-    println!("| {what} | {size} | {:.1} us | {bytes} |", ns / 1_000.0);
+fn print_row(operation: &str, size: usize, ns: f64, bytes: usize) {
+    println!("| {operation} | {size} | {:.1} us | {bytes} |", ns / 1_000.0);
 }
 
 fn report(i: usize, model: &Name, layers: LayerRange) -> EngineReport {
@@ -120,7 +120,8 @@
 fn routing() {
     let model = Model::new(name("m"), name("v1"), LAYERS);
     let (domain, prefixes) = (name("d0"), PrefixIndex::new());
-    // All engines of one model is the worst case; at the design's size a model has about 35.
+    // A model that all engines serve is the worst case; at the design size a model has about 35
+    // engines.
     for engines in [35, 40, 150, 300, 600] {
         let all: Vec<Upstream> = (0..engines)
             .map(|i| Upstream {
@@ -132,7 +133,7 @@
             })
             .collect();
         let mut rng = SmallRng::seed_from_u64(1);
-        let ask = PathRequest {
+        let request = PathRequest {
             model: &model,
             domain: &domain,
             tokens: 500,
@@ -143,8 +144,8 @@
             now: 1_000,
             strategy: Strategy::Affinity,
         };
-        let ns = time(500, || drop(black_box(choose(&all, |_| true, &ask, &mut rng))));
-        row("routing decision, engines of one model", engines, ns, 0);
+        let ns = time_ns(500, || drop(black_box(choose(&all, |_| true, &request, &mut rng))));
+        print_row("routing decision, engines of one model", engines, ns, 0);
     }
 }
 
@@ -160,9 +161,9 @@
 
 fn fleet() {
     for engines in [40, 150, 300, 600] {
-        let of = health(engines);
-        let ns = time(50, || drop(black_box(of.fleet(10))));
-        row("fleet snapshot, engines", engines, ns, memory(20, || health(engines)));
+        let fleet_health = health(engines);
+        let ns = time_ns(50, || drop(black_box(fleet_health.fleet(10))));
+        print_row("fleet snapshot, engines", engines, ns, memory_bytes(20, || health(engines)));
     }
 }
 
@@ -184,11 +185,11 @@
     for accounts in [10, 500, 2_000, 5_500] {
         let doc = document(accounts);
         let text = serde_json::to_string(&doc).unwrap_or_default();
-        let ns = time(5, || drop(black_box(heathpitch_core::parse_document(&text))));
-        row("configuration read and checked, accounts", accounts, ns, text.len());
-        let ns = time(5, || drop(black_box(Index::new(Revision(1), &doc))));
-        let bytes = memory(10, || Index::new(Revision(1), &doc));
-        row("configuration indexed, accounts", accounts, ns, bytes);
+        let ns = time_ns(5, || drop(black_box(heathpitch_core::parse_document(&text))));
+        print_row("configuration parsed and validated, accounts", accounts, ns, text.len());
+        let ns = time_ns(5, || drop(black_box(Index::new(Revision(1), &doc))));
+        let bytes = memory_bytes(10, || Index::new(Revision(1), &doc));
+        print_row("configuration indexed, accounts", accounts, ns, bytes);
     }
 }
 
@@ -215,19 +216,19 @@
 
 fn membership() {
     for nodes in [8, 100, 200, 410] {
-        let mut of = members(nodes);
+        let mut table = members(nodes);
         let mut beat = 2;
-        let ns = time(200, || {
+        let ns = time_ns(200, || {
             beat += 1;
             let fresh = (1..17).map(|i| Member { beat, ..member(i * 6) }).collect();
-            of.merge(fresh, 1_000);
-            black_box(of.freshest(16, 1_000));
+            table.merge(fresh, 1_000);
+            black_box(table.freshest(16, 1_000));
         });
-        row("exchange of members, nodes", nodes, ns, memory(400, || members(nodes)));
+        print_row("membership exchange, nodes", nodes, ns, memory_bytes(400, || members(nodes)));
     }
 }
 
-fn demanded(accounts: usize) -> Demand {
+fn demand_of(accounts: usize) -> Demand {
     let mut demand = Demand::new();
     (0..accounts as u64).for_each(|a| demand.count(a));
     demand.tick(1_000, 80_000);
@@ -236,13 +237,18 @@
 
 fn demand() {
     for accounts in [10, 500, 2_000, 5_500] {
-        let mut of = demanded(accounts);
-        let (round, told) = of.values();
-        let ns = time(50, || {
-            of.merge(round, &told);
-            black_box(of.values());
+        let mut demand = demand_of(accounts);
+        let (round, values) = demand.values();
+        let ns = time_ns(50, || {
+            demand.merge(round, &values);
+            black_box(demand.values());
         });
-        row("exchange of demand, accounts", accounts, ns, memory(100, || demanded(accounts)));
+        print_row(
+            "demand exchange, accounts",
+            accounts,
+            ns,
+            memory_bytes(100, || demand_of(accounts)),
+        );
     }
 }
 
@@ -254,13 +260,13 @@
             index.replace(&name("e"), Incarnation(1), 1, &held);
             index
         };
-        let of = index(&());
+        let prefix_index = index(&());
         let chain: Vec<u64> = (0..64).map(|b| b * 7_919).collect();
-        let ns = time(1_000, || {
-            black_box(of.hit("e", &chain));
+        let ns = time_ns(1_000, || {
+            black_box(prefix_index.hit("e", &chain));
         });
-        let bytes = memory(400, || index(&()));
-        row("prefix look-up of 64 blocks, blocks of one engine", blocks as usize, ns, bytes);
+        let bytes = memory_bytes(400, || index(&()));
+        print_row("prefix lookup of 64 blocks, blocks of one engine", blocks as usize, ns, bytes);
     }
 }
 
@@ -274,46 +280,53 @@
             })
             .collect();
         let make = || {
-            let (mut limiter, mut gate) = (AccountLimiter::new(), AdmissionControl::new());
+            let (mut limiter, mut admission) = (AccountLimiter::new(), AdmissionControl::new());
             for a in &all {
-                let _ = (limiter.admit(a, 1.0, 0), gate.admit(a, Default::default(), 1 << 20));
+                let _ = (limiter.admit(a, 1.0, 0), admission.admit(a, Default::default(), 1 << 20));
             }
-            (limiter, gate)
+            (limiter, admission)
         };
-        let (mut limiter, mut gate) = make();
+        let (mut limiter, mut admission) = make();
         let mut i = 0;
-        let ns = time(2_000, || {
+        let ns = time_ns(2_000, || {
             i = (i + 1) % all.len();
-            let _ =
-                (limiter.admit(&all[i], 1.0, 1), gate.admit(&all[i], Default::default(), 1 << 20));
+            let _ = (
+                limiter.admit(&all[i], 1.0, 1),
+                admission.admit(&all[i], Default::default(), 1 << 20),
+            );
             limiter.release(&all[i].name);
-            gate.release(&all[i].name);
+            admission.release(&all[i].name);
         });
-        row("limit and gate, accounts", accounts, ns, memory(10, make));
+        print_row(
+            "account limit and admission control, accounts",
+            accounts,
+            ns,
+            memory_bytes(10, make),
+        );
     }
 }
 
-fn ledger() {
+fn idempotency() {
     for keys in [1_000, 2_500, 5_000, 10_000] {
         let make = || {
-            let mut ledger = IdempotencyTable::new();
+            let mut table = IdempotencyTable::new();
             for i in 0..keys {
                 let key = digest(&[&(i as u64).to_le_bytes()]);
-                ledger.start(&key, 1);
-                ledger.dispatch(&key);
+                table.start(&key, 1);
+                table.dispatch(&key);
                 let body: Arc<[u8]> = vec![0; 200].into();
                 let (media, outcome) = (String::new(), heathpitch_core::Outcome::Done);
-                ledger.finish(&key, StoredAnswer { status: 200, media, body, outcome }, 1);
+                table.finish(&key, StoredAnswer { status: 200, media, body, outcome }, 1);
             }
-            ledger
+            table
         };
-        let mut of = make();
+        let mut table = make();
         let key = digest(&[b"another"]);
-        let ns = time(2_000, || {
-            black_box(of.start(&key, 1));
-            of.release(&key);
+        let ns = time_ns(2_000, || {
+            black_box(table.start(&key, 1));
+            table.release(&key);
         });
-        row("ledger look-up, keys", keys, ns, memory(4, make));
+        print_row("idempotency table lookup, keys", keys, ns, memory_bytes(4, make));
     }
 }
 
@@ -326,14 +339,14 @@
             page.entries.insert(digest(&[&i.to_le_bytes()]), entry);
         }
         let text = serde_json::to_string(&page).unwrap_or_default();
-        let ns = time(5, || drop(black_box(serde_json::to_string(&page))));
-        row("claims page written, claims", claims, ns, text.len());
+        let ns = time_ns(5, || drop(black_box(serde_json::to_string(&page))));
+        print_row("claims page serialized, claims", claims, ns, text.len());
     }
 }
 
 fn placement() {
     for engines in [10, 40, 70, 100] {
-        let wanted: Vec<ModelDemand> = (0..MODELS)
+        let demands: Vec<ModelDemand> = (0..MODELS)
             .map(|i| ModelDemand {
                 model: Model::new(name(&format!("m{i}")), name("v1"), LAYERS),
                 demand: 1.0 + i as f64,
@@ -353,7 +366,7 @@
                 }),
             })
             .collect();
-        let ns = time(1, || drop(black_box(plan_placement(&wanted, &all))));
-        row("plan of a failure domain, engines", engines, ns, 0);
+        let ns = time_ns(1, || drop(black_box(plan_placement(&demands, &all))));
+        print_row("placement plan of a failure domain, engines", engines, ns, 0);
     }
 }
--- a/crates/proof/src/config.rs
+++ b/crates/proof/src/config.rs
@@ -1,4 +1,5 @@
-//! World of configuration: a store with outages and stale reads, operators, nodes and cuts.
+//! Simulation of configuration: a store with outages and stale reads, operators, nodes and
+//! partitions.
 
 use heathpitch_core::Revision;
 use heathpitch_policy::{Adoption, Replica};
@@ -11,64 +12,68 @@
 #[derive(Debug, Default)]
 struct Node {
     replica: Replica,
-    cut: bool,
+    partitioned: bool,
 }
 
 #[derive(Debug, Default)]
-struct Config {
+struct Cluster {
     nodes: Vec<Node>,
     history: Vec<(Revision, String)>,
-    letters: Vec<(usize, Revision, String)>,
+    in_flight: Vec<(usize, Revision, String)>,
     revision: u64,
-    down: bool,
+    store_unavailable: bool,
 }
 
 pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
-    let mut world =
-        Config { nodes: (0..NODES).map(|_| Node::default()).collect(), ..Config::default() };
+    let mut cluster =
+        Cluster { nodes: (0..NODES).map(|_| Node::default()).collect(), ..Cluster::default() };
     for number in operations {
         stats.operations += 1;
-        world.operate(&mut Entropy::new(*number), stats)?;
+        cluster.apply_operation(&mut Entropy::new(*number), stats)?;
     }
-    world.settle()
+    cluster.heal_and_check()
 }
 
-impl Config {
-    fn operate(&mut self, entropy: &mut Entropy, stats: &mut RunStats) -> Result<(), Violation> {
+impl Cluster {
+    fn apply_operation(
+        &mut self,
+        entropy: &mut Entropy,
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
         let kind = entropy.below(14);
         let node = entropy.below(NODES);
         let other = entropy.below(NODES);
         match kind {
-            0 | 1 if !self.down => self.write(stats),
+            0 | 1 if !self.store_unavailable => self.write(stats),
             2 => {
-                stats.fault("store down");
-                self.down = true;
+                stats.fault("store unavailable");
+                self.store_unavailable = true;
             }
-            3 => self.down = false,
+            3 => self.store_unavailable = false,
             4 => {
-                stats.fault("node cut off");
-                self.nodes[node].cut = true;
+                stats.fault("node partitioned");
+                self.nodes[node].partitioned = true;
             }
-            5 | 6 => self.nodes[node].cut = false,
+            5 | 6 => self.nodes[node].partitioned = false,
             7 => {
                 stats.fault("node replaced");
                 self.nodes[node].replica = Replica::new();
             }
-            // An answer of the store is made now and read whenever it arrives: it may be stale.
-            8 | 9 if !self.down && !self.nodes[node].cut => {
+            // The store's response is created now and delivered later, so it may be stale.
+            8 | 9 if !self.store_unavailable && !self.nodes[node].partitioned => {
                 if let Some((revision, text)) = self.history.last().cloned() {
-                    self.letters.push((node, revision, text));
+                    self.in_flight.push((node, revision, text));
                 }
             }
-            10 | 11 if !self.letters.is_empty() => {
-                let at = entropy.below(self.letters.len());
-                let (node, revision, text) = self.letters.swap_remove(at);
+            10 | 11 if !self.in_flight.is_empty() => {
+                let at = entropy.below(self.in_flight.len());
+                let (node, revision, text) = self.in_flight.swap_remove(at);
                 if revision < self.nodes[node].replica.revision() {
                     stats.fault("stale read");
                 }
                 return self.offer(node, revision, &text, stats);
             }
-            _ if !self.nodes[node].cut && !self.nodes[other].cut => {
+            _ if !self.nodes[node].partitioned && !self.nodes[other].partitioned => {
                 return self.exchange(node, other, stats);
             }
             _ => {}
@@ -86,11 +91,12 @@
 
     fn exchange(&mut self, a: usize, b: usize, stats: &mut RunStats) -> Result<(), Violation> {
         stats.event("exchange");
-        let of = |n: &Node| (n.replica.revision(), n.replica.text().to_string());
-        let ((one, text), (two, other)) = (of(&self.nodes[a]), of(&self.nodes[b]));
-        match one.cmp(&two) {
-            std::cmp::Ordering::Less => self.offer(a, two, &other, stats),
-            std::cmp::Ordering::Greater => self.offer(b, one, &text, stats),
+        let state = |n: &Node| (n.replica.revision(), n.replica.text().to_string());
+        let ((revision_a, text_a), (revision_b, text_b)) =
+            (state(&self.nodes[a]), state(&self.nodes[b]));
+        match revision_a.cmp(&revision_b) {
+            std::cmp::Ordering::Less => self.offer(a, revision_b, &text_b, stats),
+            std::cmp::Ordering::Greater => self.offer(b, revision_a, &text_a, stats),
             std::cmp::Ordering::Equal => Ok(()),
         }
     }
@@ -111,18 +117,19 @@
         Violation::unless(after >= before, Property::Config, || {
             format!("node {at} went from revision {before} to {after}")
         })?;
-        let right = self.history.iter().find(|(r, _)| *r == after).map(|(_, t)| t.as_str());
-        let same = right.is_none_or(|t| t == &*replica.text());
+        let expected = self.history.iter().find(|(r, _)| *r == after).map(|(_, t)| t.as_str());
+        let same = expected.is_none_or(|t| t == &*replica.text());
         Violation::unless(same, Property::Config, || {
-            format!("node {at} has another revision {after}")
+            format!("node {at} has a text that differs from revision {after}")
         })
     }
 
-    /// After every cut has healed, all nodes come to the newest revision that any of them has.
-    fn settle(&mut self) -> Result<(), Violation> {
+    /// Heals every partition, then checks that all nodes reach the newest revision that any of them
+    /// has.
+    fn heal_and_check(&mut self) -> Result<(), Violation> {
         let newest = self.nodes.iter().map(|n| n.replica.revision()).max().unwrap_or_default();
         let mut stats = RunStats::default();
-        self.nodes.iter_mut().for_each(|n| n.cut = false);
+        self.nodes.iter_mut().for_each(|n| n.partitioned = false);
         for a in 0..NODES {
             for b in 0..NODES {
                 self.exchange(a, b, &mut stats)?;
@@ -133,7 +140,7 @@
         }
         let behind = self.nodes.iter().position(|n| n.replica.revision() < newest);
         Violation::unless(behind.is_none(), Property::Config, || {
-            format!("node {behind:?} stays behind revision {newest}")
+            format!("node {behind:?} did not reach revision {newest}")
         })
     }
 }
--- a/crates/proof/src/feed/node.rs
+++ b/crates/proof/src/feed/node.rs
@@ -1,38 +1,38 @@
-//! A node of the world of telling, with its own clock.
+//! Node of the feed simulation, with its own clock.
 
 use heathpitch_core::{Millis, Name};
 use heathpitch_policy::{Clocks, Followers, Quarantine, Source, Sources};
 
-use super::{BESIDE, NODES};
+use super::{DOMAIN_SIZE, NODES};
 
-/// A node: what it knows, and whether it runs.
+/// State of a node.
 #[derive(Debug)]
 pub(super) struct Node {
     pub(super) sources: Sources,
     pub(super) followers: Followers,
     pub(super) quarantine: Quarantine,
     pub(super) alive: bool,
-    /// Until when it stands still.
-    pub(super) frozen: Millis,
-    /// Time in which its VM was suspended, which its steady clock did not count.
+    pub(super) frozen_until: Millis,
+    /// Time for which its VM was suspended, which its monotonic clock did not count.
     pub(super) suspended: Millis,
-    pub(super) plans: bool,
-    pub(super) reachable: bool,
-    /// Version of the list that it knows, and when that was proven, on its own clock.
+    pub(super) is_planner: bool,
+    /// Whether its last read of the store succeeded.
+    pub(super) last_read_ok: bool,
+    /// Version of its list, and the time of its proof on the node's clock.
     pub(super) list: Option<(usize, Millis)>,
-    pub(super) next_ask: Millis,
+    pub(super) next_poll: Millis,
     pub(super) next_read: Millis,
-    pub(super) next_near: Millis,
+    pub(super) next_remote_poll: Millis,
 }
 
 impl Node {
-    /// A moment of the world on the node's own clock.
+    /// Converts a time of the simulation to the node's own clock.
     pub(super) fn clock(&self, at: Millis) -> Millis {
-        // The world begins late enough for it never to be negative.
+        // Never negative, because the simulation starts late enough.
         Clocks { boot: at, monotonic: at - self.suspended }.now()
     }
 
-    /// The list that it knows, and how old its proof seems to it.
+    /// Version of its list, and the age of its proof by the node's clock.
     pub(super) fn known(&self, now: Millis) -> Option<(usize, Millis)> {
         self.list.map(|(version, at)| (version, self.clock(now).saturating_sub(at)))
     }
@@ -47,12 +47,12 @@
     NAMES.with(|names| names[i].clone())
 }
 
-/// Domains have names of the same kind.
+/// Name of the failure domain of a node; domains share the names of the first nodes.
 pub(super) fn domain(i: usize) -> Name {
-    name(i / BESIDE)
+    name(i / DOMAIN_SIZE)
 }
 
-/// The node that a source names.
+/// Index of the node of a source.
 pub(super) fn index(source: &Source) -> Option<usize> {
     NAMES.with(|names| names.iter().position(|n| n == &source.node))
 }
@@ -67,13 +67,13 @@
         followers: Followers::default(),
         quarantine: Quarantine::default(),
         alive: true,
-        frozen: 0,
+        frozen_until: 0,
         suspended: 0,
-        plans: false,
-        reachable: true,
+        is_planner: false,
+        last_read_ok: true,
         list: None,
-        next_ask: now,
+        next_poll: now,
         next_read: now,
-        next_near: now,
+        next_remote_poll: now,
     }
 }
--- a/crates/proof/src/keys.rs
+++ b/crates/proof/src/keys.rs
@@ -1,4 +1,5 @@
-//! World of keys: nodes that claim, dispatch, pause and die, and a store that loses answers.
+//! Simulation of idempotency keys: nodes that claim, dispatch, pause and crash, and a store whose
+//! responses get lost.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,15 +14,16 @@
 
 const NODES: usize = 3;
 const KEYS: usize = 24;
-/// Keys a ledger remembers: few, so that it forgets.
-const ROOM: usize = 8;
+/// Capacity of an idempotency table, less than the number of keys so that it evicts some.
+const TABLE_CAPACITY: usize = 8;
 
 #[derive(Debug)]
 struct Node {
-    life: Incarnation,
+    incarnation: Incarnation,
     claims: Claims,
-    ledger: IdempotencyTable,
-    asks: HashMap<u64, (usize, bool, u64)>,
+    idempotency: IdempotencyTable,
+    /// By claim: number of the key, whether the table held it as not dispatched, and body.
+    pending: HashMap<u64, (usize, bool, u64)>,
     paused: bool,
 }
 
@@ -29,16 +31,16 @@
 enum Message {
     Read(u32),
     Write(u32, Revision, ClaimPage),
-    Answer(ClaimEvent),
+    Response(ClaimEvent),
 }
 
 #[derive(Debug)]
-struct Letter {
+struct Envelope {
     node: usize,
-    life: Incarnation,
+    incarnation: Incarnation,
     message: Message,
-    /// Nobody waits for the answer any more.
-    orphan: bool,
+    /// Whether the node no longer waits for the response.
+    abandoned: bool,
 }
 
 #[derive(Debug, Default)]
@@ -48,44 +50,46 @@
 }
 
 #[derive(Debug)]
-struct Keys {
+struct Cluster {
     nodes: Vec<Node>,
-    letters: Vec<Letter>,
+    in_flight: Vec<Envelope>,
     store: Store,
     now: Millis,
-    next: u64,
-    ran: BTreeMap<usize, u32>,
+    last_id: u64,
+    /// Executions by key.
+    executions: BTreeMap<usize, u32>,
+    /// Dispatched requests: node, its incarnation, and key.
     open: Vec<(usize, Incarnation, usize)>,
 }
 
 pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
-    let mut world = Keys {
+    let mut cluster = Cluster {
         nodes: (0..NODES).map(|i| node(i, i as u64 + 1)).collect(),
-        letters: Vec::new(),
+        in_flight: Vec::new(),
         store: Store::default(),
         now: 0,
-        next: NODES as u64 + 1,
-        ran: BTreeMap::new(),
+        last_id: NODES as u64 + 1,
+        executions: BTreeMap::new(),
         open: Vec::new(),
     };
     for number in operations {
         stats.operations += 1;
-        world.operate(&mut Entropy::new(*number), stats)?;
+        cluster.apply_operation(&mut Entropy::new(*number), stats)?;
     }
-    world.nodes.iter_mut().for_each(|n| n.paused = false);
-    while let Some(letter) = world.letters.pop() {
-        world.carry(letter, stats)?;
+    cluster.nodes.iter_mut().for_each(|n| n.paused = false);
+    while let Some(envelope) = cluster.in_flight.pop() {
+        cluster.deliver(envelope, stats)?;
     }
     Ok(())
 }
 
-fn node(i: usize, life: u64) -> Node {
-    let life = Incarnation(life);
+fn node(i: usize, incarnation: u64) -> Node {
+    let incarnation = Incarnation(incarnation);
     Node {
-        life,
-        claims: Claims::new(name(i), life),
-        ledger: IdempotencyTable::with_capacity(ROOM),
-        asks: HashMap::new(),
+        incarnation,
+        claims: Claims::new(name(i), incarnation),
+        idempotency: IdempotencyTable::with_capacity(TABLE_CAPACITY),
+        pending: HashMap::new(),
         paused: false,
     }
 }
@@ -98,17 +102,21 @@
     digest(&[b"key", &[i as u8]])
 }
 
-impl Keys {
-    fn operate(&mut self, entropy: &mut Entropy, stats: &mut RunStats) -> Result<(), Violation> {
+impl Cluster {
+    fn apply_operation(
+        &mut self,
+        entropy: &mut Entropy,
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
         let kind = entropy.below(24);
         let node = entropy.below(NODES);
-        let letter = entropy.below(self.letters.len());
+        let index = entropy.below(self.in_flight.len());
         match kind {
-            0..=6 => return self.ask(node, entropy.below(KEYS), entropy.below(12) == 0, stats),
+            0..=6 => return self.request(node, entropy.below(KEYS), entropy.below(12) == 0, stats),
             7 => {
                 stats.fault("node killed");
-                self.next += 1;
-                self.nodes[node] = self::node(node, self.next);
+                self.last_id += 1;
+                self.nodes[node] = self::node(node, self.last_id);
             }
             8 => {
                 stats.fault("node paused");
@@ -119,20 +127,20 @@
                 self.now += 1 + entropy.below(1_500) as Millis;
                 return self.on(node, ClaimEvent::Tick, stats);
             }
-            12 if !self.letters.is_empty() => return self.lose(letter, true, stats),
-            13 if !self.letters.is_empty() => return self.lose(letter, false, stats),
-            14 | 15 if !self.open.is_empty() => self.end(entropy, stats),
-            _ if !self.letters.is_empty() => {
-                let letter = self.letters.swap_remove(letter);
-                return self.carry(letter, stats);
+            12 if !self.in_flight.is_empty() => return self.lose(index, true, stats),
+            13 if !self.in_flight.is_empty() => return self.lose(index, false, stats),
+            14 | 15 if !self.open.is_empty() => self.finish_request(entropy, stats),
+            _ if !self.in_flight.is_empty() => {
+                let envelope = self.in_flight.swap_remove(index);
+                return self.deliver(envelope, stats);
             }
             _ => {}
         }
         Ok(())
     }
 
-    /// A caller's request with a key arrives at a node.
-    fn ask(
+    /// Delivers a client's request with a key to a node.
+    fn request(
         &mut self,
         at: usize,
         number: usize,
@@ -144,39 +152,39 @@
         }
         let body = body(number) + u64::from(other_body);
         let digest = key(number);
-        let idle = match self.nodes[at].ledger.start(&digest, body) {
+        let not_dispatched = match self.nodes[at].idempotency.start(&digest, body) {
             KeyState::New => false,
             KeyState::NotDispatched => true,
             _ => {
-                stats.event("found in the ledger");
+                stats.event("found in the idempotency table");
                 return Ok(());
             }
         };
-        self.next += 1;
-        let id = self.next;
-        self.nodes[at].asks.insert(id, (number, idle, body));
+        self.last_id += 1;
+        let id = self.last_id;
+        self.nodes[at].pending.insert(id, (number, not_dispatched, body));
         let event = ClaimEvent::Ask { id, digest, body, nonce: id };
         self.on(at, event, stats)
     }
 
     fn on(&mut self, at: usize, event: ClaimEvent, stats: &mut RunStats) -> Result<(), Violation> {
         let node = &mut self.nodes[at];
-        let life = node.life;
+        let incarnation = node.incarnation;
         for action in node.claims.on(event, self.now, self.now) {
             let message = match action {
                 ClaimAction::Read(page) => Message::Read(page),
                 ClaimAction::Write(page, expect, content) => Message::Write(page, expect, content),
                 ClaimAction::Answer(id, verdict) => {
-                    self.answered(at, id, verdict, stats)?;
+                    self.apply_verdict(at, id, verdict, stats)?;
                     continue;
                 }
             };
-            self.letters.push(Letter { node: at, life, message, orphan: false });
+            self.in_flight.push(Envelope { node: at, incarnation, message, abandoned: false });
         }
         Ok(())
     }
 
-    fn answered(
+    fn apply_verdict(
         &mut self,
         at: usize,
         id: u64,
@@ -184,51 +192,51 @@
         stats: &mut RunStats,
     ) -> Result<(), Violation> {
         let node = &mut self.nodes[at];
-        let Some((number, idle, asked)) = node.asks.remove(&id) else { return Ok(()) };
+        let Some((number, not_dispatched, body)) = node.pending.remove(&id) else { return Ok(()) };
         let digest = key(number);
-        match decide_claim(verdict, idle, node.life, asked) {
-            ClaimDecision::Run if node.ledger.dispatch(&digest) => {
+        match decide_claim(verdict, not_dispatched, node.incarnation, body) {
+            ClaimDecision::Run if node.idempotency.dispatch(&digest) => {
                 stats.event("dispatched");
-                self.open.push((at, self.nodes[at].life, number));
-                let ran = self.ran.entry(number).or_default();
-                *ran += 1;
-                let ran = *ran;
-                Violation::unless(ran <= 1, Property::AtMostOnce, || {
-                    format!("key {number} was dispatched {ran} times")
+                self.open.push((at, self.nodes[at].incarnation, number));
+                let executions = self.executions.entry(number).or_default();
+                *executions += 1;
+                let executions = *executions;
+                Violation::unless(executions <= 1, Property::AtMostOnce, || {
+                    format!("key {number} was dispatched {executions} times")
                 })
             }
             ClaimDecision::Run => Ok(()),
             ClaimDecision::Unavailable | ClaimDecision::Full => {
                 stats.event("not claimed");
-                node.ledger.release(&digest);
+                node.idempotency.release(&digest);
                 Ok(())
             }
             ClaimDecision::Forward { .. }
             | ClaimDecision::MayHaveRun(_)
             | ClaimDecision::Mismatch => {
-                stats.event("another's or spent");
-                node.ledger.forget(&digest);
+                stats.event("owned by another node or not runnable");
+                node.idempotency.forget(&digest);
                 Ok(())
             }
         }
     }
 
-    /// A message reaches the store, or an answer its node.
-    fn carry(&mut self, letter: Letter, stats: &mut RunStats) -> Result<(), Violation> {
-        let Letter { node, life, message, orphan } = letter;
+    /// Delivers a message to the store, or a response to its node.
+    fn deliver(&mut self, envelope: Envelope, stats: &mut RunStats) -> Result<(), Violation> {
+        let Envelope { node, incarnation, message, abandoned } = envelope;
         let event = match message {
             Message::Read(page) => {
-                let found = self.store.pages.get(&page).cloned();
-                let revision = found.as_ref().map_or(Revision(0), |f| f.0);
-                ClaimEvent::Read(page, revision, found.map(|f| f.1))
+                let stored = self.store.pages.get(&page).cloned();
+                let revision = stored.as_ref().map_or(Revision(0), |s| s.0);
+                ClaimEvent::Read(page, revision, stored.map(|s| s.1))
             }
             Message::Write(page, expect, content) => self.store.write(page, expect, content),
-            Message::Answer(event) => {
-                let here = self.nodes[node].life == life;
-                match here {
+            Message::Response(event) => {
+                let same_incarnation = self.nodes[node].incarnation == incarnation;
+                match same_incarnation {
                     true if self.nodes[node].paused => {
-                        let message = Message::Answer(event);
-                        self.letters.push(Letter { node, life, message, orphan });
+                        let message = Message::Response(event);
+                        self.in_flight.push(Envelope { node, incarnation, message, abandoned });
                     }
                     true => return self.on(node, event, stats),
                     false => {}
@@ -236,66 +244,68 @@
                 return Ok(());
             }
         };
-        if !orphan {
-            let message = Message::Answer(event);
-            self.letters.push(Letter { node, life, message, orphan });
+        if !abandoned {
+            let message = Message::Response(event);
+            self.in_flight.push(Envelope { node, incarnation, message, abandoned });
         }
         Ok(())
     }
 
-    /// A message or its answer is lost; with `late` a request takes effect all the same, later.
+    /// Loses a message or its response; with `late`, a request to the store still takes effect
+    /// later.
     fn lose(&mut self, at: usize, late: bool, stats: &mut RunStats) -> Result<(), Violation> {
-        let letter = &mut self.letters[at];
-        let (node, life, orphan) = (letter.node, letter.life, letter.orphan);
-        let event = match &letter.message {
-            _ if orphan => return Ok(()),
-            Message::Read(page) | Message::Answer(ClaimEvent::Read(page, ..)) => {
+        let envelope = &mut self.in_flight[at];
+        let (node, incarnation, abandoned) =
+            (envelope.node, envelope.incarnation, envelope.abandoned);
+        let event = match &envelope.message {
+            _ if abandoned => return Ok(()),
+            Message::Read(page) | Message::Response(ClaimEvent::Read(page, ..)) => {
                 ClaimEvent::ReadFailed(*page)
             }
             Message::Write(page, ..)
-            | Message::Answer(ClaimEvent::Written(page, _) | ClaimEvent::Conflict(page)) => {
+            | Message::Response(ClaimEvent::Written(page, _) | ClaimEvent::Conflict(page)) => {
                 ClaimEvent::Unsure(*page)
             }
-            Message::Answer(_) => return Ok(()),
+            Message::Response(_) => return Ok(()),
         };
-        match (&letter.message, late) {
-            (Message::Answer(_), _) => {
-                stats.fault("answer lost after the effect");
-                self.letters.swap_remove(at);
+        match (&envelope.message, late) {
+            (Message::Response(_), _) => {
+                stats.fault("response lost after the effect");
+                self.in_flight.swap_remove(at);
             }
             (_, true) => {
-                stats.fault("call given up, effect later");
-                letter.orphan = true;
+                stats.fault("call timed out, effect later");
+                envelope.abandoned = true;
             }
             (_, false) => {
                 stats.fault("call lost");
-                self.letters.swap_remove(at);
+                self.in_flight.swap_remove(at);
             }
         }
-        let message = Message::Answer(event);
-        self.letters.push(Letter { node, life, message, orphan: false });
+        let message = Message::Response(event);
+        self.in_flight.push(Envelope { node, incarnation, message, abandoned: false });
         Ok(())
     }
 
-    /// A dispatched request ends: whole, or with proof that it did not run.
-    fn end(&mut self, entropy: &mut Entropy, stats: &mut RunStats) {
-        let (at, life, number) = self.open.swap_remove(entropy.below(self.open.len()));
+    /// Ends a dispatched request, either complete or with evidence that it did not run.
+    fn finish_request(&mut self, entropy: &mut Entropy, stats: &mut RunStats) {
+        let (at, incarnation, number) = self.open.swap_remove(entropy.below(self.open.len()));
         let node = &mut self.nodes[at];
-        if node.life != life {
+        if node.incarnation != incarnation {
             return;
         }
         match Evidence::new().not_run() {
-            Some(proof) if entropy.below(3) == 0 => {
-                stats.event("proved not run");
-                node.ledger.mark_not_run(&key(number), proof);
-                self.ran.entry(number).and_modify(|n| *n -= 1);
+            Some(evidence) if entropy.below(3) == 0 => {
+                stats.event("not run, with evidence");
+                node.idempotency.mark_not_run(&key(number), evidence);
+                self.executions.entry(number).and_modify(|n| *n -= 1);
             }
             _ => {
                 stats.event("ended");
                 let body = vec![0; 8].into();
                 let outcome = Outcome::Done;
                 let record = StoredAnswer { status: 200, media: String::new(), body, outcome };
-                node.ledger.finish(&key(number), record, self.now);
+                node.idempotency.finish(&key(number), record, self.now);
             }
         }
     }
@@ -303,8 +313,8 @@
 
 impl Store {
     fn write(&mut self, page: u32, expect: Revision, content: ClaimPage) -> ClaimEvent {
-        let stands = self.pages.get(&page).map_or(Revision(0), |p| p.0);
-        if stands != expect {
+        let current = self.pages.get(&page).map_or(Revision(0), |p| p.0);
+        if current != expect {
             return ClaimEvent::Conflict(page);
         }
         self.revision += 1;
--- a/crates/proof/src/membership.rs
+++ b/crates/proof/src/membership.rs
@@ -1,4 +1,5 @@
-//! World of membership: exchanges, cuts between failure domains, deaths and restarts.
+//! Simulation of membership: exchanges between nodes, partitions of failure domains, crashes and
+//! restarts.
 
 use heathpitch_core::{Incarnation, Millis, Name, Revision, digest};
 use heathpitch_policy::{Member, MemberState, Members};
@@ -10,8 +11,9 @@
 
 const NODES: usize = 12;
 const DOMAINS: usize = 3;
-const PERIOD: Millis = 100;
-const PASSED_ON: usize = 16;
+const PERIOD_MS: Millis = 100;
+/// Most members in one message of an exchange.
+const MAX_MEMBERS: usize = 16;
 
 #[derive(Debug)]
 struct Node {
@@ -20,28 +22,28 @@
 }
 
 #[derive(Debug)]
-struct World {
+struct Cluster {
     nodes: Vec<Node>,
-    cut: [bool; DOMAINS],
+    partitioned: [bool; DOMAINS],
     now: Millis,
-    life: u64,
+    incarnation: u64,
     rng: SmallRng,
 }
 
 pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
     let seed = operations.first().copied().unwrap_or_default();
-    let mut world = World {
+    let mut cluster = Cluster {
         nodes: (0..NODES).map(|i| node(i, 1)).collect(),
-        cut: [false; DOMAINS],
+        partitioned: [false; DOMAINS],
         now: 1,
-        life: 1,
+        incarnation: 1,
         rng: SmallRng::seed_from_u64(seed),
     };
     for number in operations {
         stats.operations += 1;
-        world.operate(&mut Entropy::new(*number), stats)?;
+        cluster.apply_operation(&mut Entropy::new(*number), stats)?;
     }
-    world.settle(stats)
+    cluster.heal_and_check(stats)
 }
 
 fn name(i: usize) -> Name {
@@ -52,10 +54,10 @@
     digest(&[b"domain", &[(i % DOMAINS) as u8]])
 }
 
-fn node(i: usize, life: u64) -> Node {
-    let me = Member {
+fn node(i: usize, incarnation: u64) -> Node {
+    let member = Member {
         node: name(i),
-        life: Incarnation(life),
+        life: Incarnation(incarnation),
         beat: 0,
         domain: domain(i),
         peer: name(i),
@@ -65,13 +67,17 @@
         config: Revision(0),
         age: 0,
     };
-    let mut members = Members::new(me, PERIOD);
+    let mut members = Members::new(member, PERIOD_MS);
     members.set_seeds([name(0), name(1), name(2)]);
     Node { members, alive: true }
 }
 
-impl World {
-    fn operate(&mut self, entropy: &mut Entropy, stats: &mut RunStats) -> Result<(), Violation> {
+impl Cluster {
+    fn apply_operation(
+        &mut self,
+        entropy: &mut Entropy,
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
         let kind = entropy.below(40);
         let at = entropy.below(NODES);
         match kind {
@@ -81,22 +87,22 @@
             }
             1 | 2 if !self.nodes[at].alive => {
                 stats.event("node restarted");
-                self.life += 1;
-                self.nodes[at] = node(at, self.life);
+                self.incarnation += 1;
+                self.nodes[at] = node(at, self.incarnation);
             }
             3 => {
-                stats.fault("failure domain cut off");
-                self.cut[at % DOMAINS] = true;
+                stats.fault("failure domain partitioned");
+                self.partitioned[at % DOMAINS] = true;
             }
-            4 => self.cut[at % DOMAINS] = false,
+            4 => self.partitioned[at % DOMAINS] = false,
             _ => self.round(at, stats)?,
         }
         Ok(())
     }
 
-    /// Time passes; one node beats and exchanges with the peer it picks.
+    /// Advances the clock; one node increments its heartbeat and exchanges members with a peer.
     fn round(&mut self, at: usize, stats: &mut RunStats) -> Result<(), Violation> {
-        self.now += PERIOD / NODES as Millis;
+        self.now += PERIOD_MS / NODES as Millis;
         if !self.nodes[at].alive {
             return Ok(());
         }
@@ -105,36 +111,39 @@
         let Some(other) = picked.and_then(|p| (0..NODES).find(|i| name(*i) == p)) else {
             return Ok(());
         };
-        let apart = at % DOMAINS != other % DOMAINS
-            && (self.cut[at % DOMAINS] || self.cut[other % DOMAINS]);
-        if apart || !self.nodes[other].alive || at == other {
+        let unreachable = at % DOMAINS != other % DOMAINS
+            && (self.partitioned[at % DOMAINS] || self.partitioned[other % DOMAINS]);
+        if unreachable || !self.nodes[other].alive || at == other {
             stats.fault("exchange failed");
             return Ok(());
         }
         stats.event("exchange");
-        let sent = self.nodes[at].members.freshest(PASSED_ON, self.now);
-        let answer = self.nodes[other].members.freshest(PASSED_ON, self.now);
-        Violation::unless(sent.len().max(answer.len()) <= PASSED_ON, Property::Membership, || {
-            "an exchange passed on more than its bound".to_owned()
-        })?;
+        let sent = self.nodes[at].members.freshest(MAX_MEMBERS, self.now);
+        let response = self.nodes[other].members.freshest(MAX_MEMBERS, self.now);
+        Violation::unless(
+            sent.len().max(response.len()) <= MAX_MEMBERS,
+            Property::Membership,
+            || "an exchange sent more members than its limit".to_owned(),
+        )?;
         self.nodes[other].members.merge(sent, self.now);
-        self.nodes[at].members.merge(answer, self.now);
+        self.nodes[at].members.merge(response, self.now);
         Ok(())
     }
 
-    /// After every cut has healed, the living of a failure domain know each other, and no other.
-    fn settle(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
-        self.cut = [false; DOMAINS];
+    /// Heals every partition, then checks that each live node of a failure domain knows exactly the
+    /// other live ones of that domain.
+    fn heal_and_check(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
+        self.partitioned = [false; DOMAINS];
         self.nodes[0].alive = true;
         for i in 0..NODES * 60 {
             self.round(i % NODES, stats)?;
         }
         for i in (0..NODES).filter(|i| self.nodes[*i].alive) {
-            let near = |j: &usize| *j != i && j % DOMAINS == i % DOMAINS;
-            for j in (0..NODES).filter(near) {
+            let same_domain = |j: &usize| *j != i && j % DOMAINS == i % DOMAINS;
+            for j in (0..NODES).filter(same_domain) {
                 let known = self.nodes[i].members.alive(self.now).iter().any(|m| m.node == name(j));
                 Violation::unless(known == self.nodes[j].alive, Property::Membership, || {
-                    format!("node {i} has node {j} alive: {known}")
+                    format!("node {i} has a wrong state for node {j}: alive: {known}")
                 })?;
             }
         }
--- a/crates/proof/src/requests.rs
+++ b/crates/proof/src/requests.rs
@@ -1,4 +1,5 @@
-//! World of requests: relays, engines, and a network that loses, repeats and reorders.
+//! Simulation of requests: relays, engines, and a network that drops, duplicates and reorders
+//! frames.
 
 use std::collections::VecDeque;
 
@@ -13,7 +14,7 @@
 const MAX_OPEN: usize = 12;
 
 #[derive(Clone, Debug)]
-enum Wire {
+enum Frame {
     Token { position: u32, token: u32 },
     End { count: u32 },
     Broken(Broken),
@@ -22,12 +23,17 @@
 #[derive(Debug)]
 struct Connection {
     attempt: Attempt,
+    /// Tokens already sent to the client when the attempt was dispatched.
     start: u32,
+    /// Whether the request has reached its engine.
     arrived: bool,
-    gone: bool,
+    /// Whether the request was refused or not sent, so that it never runs.
+    rejected: bool,
+    /// Position of the next token that the engine generates.
     next: u32,
     ended: bool,
-    wire: VecDeque<Wire>,
+    /// Frames in flight.
+    in_flight: VecDeque<Frame>,
 }
 
 #[derive(Debug)]
@@ -42,7 +48,7 @@
     outcome: Option<Outcome>,
 }
 
-/// Token that an attempt gives at a position; attempts differ, as sampling does.
+/// Token of an attempt at a position; attempts differ, as sampled output does.
 fn token(request: usize, attempt: Attempt, position: u32) -> u32 {
     (request as u32).wrapping_mul(7_919) ^ (attempt.0 << 20) ^ position
 }
@@ -56,8 +62,8 @@
         match entropy.below(20) {
             0 | 1 if requests.iter().filter(|r| r.outcome.is_none()).count() < MAX_OPEN => {
                 let mut request = Request::new(requests.len(), &mut entropy);
-                let actions = request.choose(no_path);
-                request.carry_out(actions, no_path, stats)?;
+                let actions = request.choose_path(no_path);
+                request.execute(actions, no_path, stats)?;
                 requests.push(request);
             }
             2 => no_path = entropy.below(6) == 0,
@@ -65,11 +71,11 @@
             kind => {
                 let recent = requests.len().min(2 * MAX_OPEN);
                 let at = requests.len() - 1 - entropy.below(recent);
-                requests[at].operate(kind, &mut entropy, no_path, stats)?;
+                requests[at].apply_operation(kind, &mut entropy, no_path, stats)?;
             }
         }
     }
-    requests.iter_mut().try_for_each(|r| r.settle(stats))
+    requests.iter_mut().try_for_each(|r| r.finish_run(stats))
 }
 
 impl Request {
@@ -77,7 +83,7 @@
         let repeat = if entropy.below(2) == 0 { Repeat::Allowed } else { Repeat::Never };
         let wanted = 1 + entropy.below(6) as u32;
         let plan = RelayPlan { wanted, layers: LAYERS, attempts: 4, repeat };
-        // Some answers end before the wanted length.
+        // Some responses end before the requested length.
         let length = if entropy.below(3) == 0 { wanted / 2 } else { wanted };
         Self {
             number,
@@ -91,7 +97,7 @@
         }
     }
 
-    fn operate(
+    fn apply_operation(
         &mut self,
         kind: usize,
         entropy: &mut Entropy,
@@ -99,20 +105,22 @@
         stats: &mut RunStats,
     ) -> Result<(), Violation> {
         let actions = match kind {
-            3 => self.tell("stall", RelayEvent::Stalled(vec![]), stats),
-            4 if entropy.below(4) == 0 => self.tell("deadline", RelayEvent::Expired, stats),
-            5 if entropy.below(4) == 0 => self.tell("caller gone", RelayEvent::Abandoned, stats),
+            3 => self.inject("stall", RelayEvent::Stalled(vec![]), stats),
+            4 if entropy.below(4) == 0 => self.inject("deadline", RelayEvent::Expired, stats),
+            5 if entropy.below(4) == 0 => {
+                self.inject("client disconnected", RelayEvent::Abandoned, stats)
+            }
             _ if self.connections.is_empty() => vec![],
             kind => {
                 let recent = self.connections.len().min(3);
                 let at = self.connections.len() - 1 - entropy.below(recent);
-                self.network(kind, at, entropy, stats)?
+                self.apply_network(kind, at, entropy, stats)?
             }
         };
-        self.carry_out(actions, no_path, stats)
+        self.execute(actions, no_path, stats)
     }
 
-    fn tell(
+    fn inject(
         &mut self,
         fault: &'static str,
         event: RelayEvent,
@@ -122,7 +130,7 @@
         self.relay.on(event)
     }
 
-    fn network(
+    fn apply_network(
         &mut self,
         kind: usize,
         at: usize,
@@ -133,62 +141,62 @@
         let length = self.length;
         let c = &mut self.connections[at];
         match kind {
-            6 if !c.arrived && !c.gone => {
-                stats.fault("refused with a statement");
-                c.gone = true;
-                c.wire.push_back(Wire::Broken(Broken::Refused));
+            6 if !c.arrived && !c.rejected => {
+                stats.fault("refused before start");
+                c.rejected = true;
+                c.in_flight.push_back(Frame::Broken(Broken::Refused));
             }
-            7 if !c.arrived && !c.gone => {
-                stats.fault("no connection");
-                c.gone = true;
-                c.wire.push_back(Wire::Broken(Broken::Unsent));
+            7 if !c.arrived && !c.rejected => {
+                stats.fault("connection not opened");
+                c.rejected = true;
+                c.in_flight.push_back(Frame::Broken(Broken::Unsent));
             }
             8 => {
                 stats.fault("connection lost");
-                c.wire.push_back(Wire::Broken(Broken::Lost));
-                // What was sent may still arrive, and frames on the way may still be read.
+                c.in_flight.push_back(Frame::Broken(Broken::Lost));
+                // A sent request may still arrive, and frames in flight may still be read.
             }
             9 if c.arrived && !c.ended => {
                 stats.fault("stage failed");
                 c.ended = true;
-                c.wire.push_back(Wire::Broken(Broken::Faulted));
+                c.in_flight.push_back(Frame::Broken(Broken::Faulted));
             }
-            10 if c.wire.len() > 1 => {
-                stats.fault("frames swapped");
-                let other = 1 + entropy.below(c.wire.len() - 1);
-                c.wire.swap(0, other);
+            10 if c.in_flight.len() > 1 => {
+                stats.fault("frames reordered");
+                let other = 1 + entropy.below(c.in_flight.len() - 1);
+                c.in_flight.swap(0, other);
             }
-            11 if !c.wire.is_empty() => {
-                stats.fault("frame repeated");
-                let again = c.wire[0].clone();
-                c.wire.push_front(again);
+            11 if !c.in_flight.is_empty() => {
+                stats.fault("frame duplicated");
+                let duplicate = c.in_flight[0].clone();
+                c.in_flight.push_front(duplicate);
             }
-            12 if !c.wire.is_empty() => {
+            12 if !c.in_flight.is_empty() => {
                 stats.fault("frame lost");
-                let lost = entropy.below(c.wire.len());
-                c.wire.remove(lost);
+                let dropped = entropy.below(c.in_flight.len());
+                c.in_flight.remove(dropped);
             }
-            13 | 14 if !c.arrived && !c.gone => return self.arrive(at).map(|()| vec![]),
+            13 | 14 if !c.arrived && !c.rejected => return self.run_on_engine(at).map(|()| vec![]),
             13..=16 if c.arrived && !c.ended => {
-                let wire = match c.next {
+                let frame = match c.next {
                     next if next >= length => {
                         c.ended = true;
-                        Wire::End { count: next }
+                        Frame::End { count: next }
                     }
                     next => {
                         c.next += 1;
-                        Wire::Token { position: next, token: token(number, c.attempt, next) }
+                        Frame::Token { position: next, token: token(number, c.attempt, next) }
                     }
                 };
-                c.wire.push_back(wire);
+                c.in_flight.push_back(frame);
             }
             _ => return Ok(self.deliver(at)),
         }
         Ok(vec![])
     }
 
-    /// A dispatched request reaches its engine and runs.
-    fn arrive(&mut self, at: usize) -> Result<(), Violation> {
+    /// Lets a dispatched request reach its engine and run.
+    fn run_on_engine(&mut self, at: usize) -> Result<(), Violation> {
         let c = &mut self.connections[at];
         c.arrived = true;
         c.next = c.start;
@@ -199,27 +207,27 @@
             Property::AtMostOnce,
             detail,
         )?;
-        let detail = || format!("request {} ran after it was said not to have", self.number);
+        let detail = || format!("request {} ran although it was reported as not run", self.number);
         Violation::unless(self.outcome != Some(Outcome::NotRun), Property::NotRun, detail)
     }
 
     fn deliver(&mut self, at: usize) -> Vec<RelayAction> {
         let c = &mut self.connections[at];
         let attempt = c.attempt;
-        let event = match c.wire.pop_front() {
-            Some(Wire::Token { position, token }) => {
+        let event = match c.in_flight.pop_front() {
+            Some(Frame::Token { position, token }) => {
                 RelayEvent::Token { attempt, position, token, layers: LAYERS }
             }
-            Some(Wire::End { count }) => {
+            Some(Frame::End { count }) => {
                 RelayEvent::Ended { attempt, count, reason: EndReason::Length }
             }
-            Some(Wire::Broken(how)) => RelayEvent::Broken { attempt, how, engine: None },
+            Some(Frame::Broken(how)) => RelayEvent::Broken { attempt, how, engine: None },
             None => return vec![],
         };
         self.relay.on(event)
     }
 
-    fn choose(&mut self, no_path: bool) -> Vec<RelayAction> {
+    fn choose_path(&mut self, no_path: bool) -> Vec<RelayAction> {
         let event = match path(self.relay.avoid()) {
             Some(path) if !no_path => RelayEvent::Chosen(path),
             _ => RelayEvent::NoPath,
@@ -227,7 +235,7 @@
         self.relay.on(event)
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         actions: Vec<RelayAction>,
         no_path: bool,
@@ -236,80 +244,81 @@
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                RelayAction::Choose => actions.extend(self.choose(no_path)),
+                RelayAction::Choose => actions.extend(self.choose_path(no_path)),
                 RelayAction::Dispatch { attempt, .. } => self.connections.push(Connection {
                     attempt,
                     start: self.relay.sent().len() as u32,
                     arrived: false,
-                    gone: false,
+                    rejected: false,
                     next: 0,
                     ended: false,
-                    wire: VecDeque::new(),
+                    in_flight: VecDeque::new(),
                 }),
-                RelayAction::Emit(token) => self.emitted(token)?,
+                RelayAction::Emit(token) => self.check_token(token)?,
                 RelayAction::Cancel(_) => {}
-                RelayAction::Finish(_) => self.finished(stats)?,
-                RelayAction::GiveUp(outcome) => self.given_up(outcome, stats)?,
+                RelayAction::Finish(_) => self.record_finish(stats)?,
+                RelayAction::GiveUp(outcome) => self.record_give_up(outcome, stats)?,
             }
         }
         Ok(())
     }
 
-    /// A token left for the caller: it must be the newest attempt's at the position that is due.
-    fn emitted(&mut self, given: u32) -> Result<(), Violation> {
+    /// Checks a token sent to the client: it must be that of the latest attempt at the next
+    /// position.
+    fn check_token(&mut self, emitted: u32) -> Result<(), Violation> {
         let position = self.sent.len() as u32;
-        let right = token(self.number, self.relay.attempt(), position);
-        self.sent.push(given);
-        Violation::unless(given == right, Property::Layers, || {
+        let expected = token(self.number, self.relay.attempt(), position);
+        self.sent.push(emitted);
+        Violation::unless(emitted == expected, Property::Layers, || {
             format!("request {} got a wrong token at position {position}", self.number)
         })
     }
 
-    fn finished(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
+    fn record_finish(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
         stats.event("done");
         self.outcome = Some(Outcome::Done);
         Violation::unless(self.sent.len() as u32 == self.length, Property::CompleteResponse, || {
             let (number, got) = (self.number, self.sent.len());
-            format!("request {number} ended with {got} of {} tokens", self.length)
+            format!("request {number} finished with {got} of {} tokens", self.length)
         })
     }
 
-    fn given_up(&mut self, outcome: Outcome, stats: &mut RunStats) -> Result<(), Violation> {
+    fn record_give_up(&mut self, outcome: Outcome, stats: &mut RunStats) -> Result<(), Violation> {
         stats.event(outcome.as_str());
         self.outcome = Some(outcome);
         let ran = self.executions > 0 && outcome == Outcome::NotRun;
         Violation::unless(!ran, Property::NotRun, || {
-            format!("request {} ran and was said not to have", self.number)
+            format!("request {} ran but was reported as not run", self.number)
         })
     }
 
-    /// Everything still on the way arrives in the end.
-    fn settle(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
+    /// Delivers everything in flight, then lets the deadline pass.
+    fn finish_run(&mut self, stats: &mut RunStats) -> Result<(), Violation> {
         for at in 0..self.connections.len() {
             let c = &self.connections[at];
-            if !c.arrived && !c.gone {
-                self.arrive(at)?;
+            if !c.arrived && !c.rejected {
+                self.run_on_engine(at)?;
             }
-            while !self.connections[at].wire.is_empty() {
+            while !self.connections[at].in_flight.is_empty() {
                 let actions = self.deliver(at);
-                self.carry_out(actions, true, stats)?;
+                self.execute(actions, true, stats)?;
             }
         }
         let actions = self.relay.on(RelayEvent::Expired);
-        self.carry_out(actions, true, stats)
+        self.execute(actions, true, stats)
     }
 }
 
-/// A path of two stages over engines that are not avoided.
+/// Returns a path of two stages over engines outside `avoid`.
 fn path(avoid: &[Name]) -> Option<Path> {
-    let free: Vec<Name> = (0..ENGINES)
+    let engines: Vec<Name> = (0..ENGINES)
         .filter_map(|i| format!("engine-{i}").parse().ok())
         .filter(|n| !avoid.contains(n))
         .collect();
     let model = Model::new("m".parse().ok()?, "v".parse().ok()?, LAYERS);
     let address: Name = "127.0.0.1:1".parse().ok()?;
     let stage = |i: usize, first, end| {
-        let (engine, address) = (free.get(i)?.clone(), address.clone());
+        let (engine, address) = (engines.get(i)?.clone(), address.clone());
         Some(Stage { engine, address, layers: LayerRange::new(first, end), epoch: Epoch(0) })
     };
     Path::new(&model, vec![stage(0, 0, 3)?, stage(1, 3, LAYERS)?]).ok()
--- a/crates/proof/src/upstreams.rs
+++ b/crates/proof/src/upstreams.rs
@@ -1,4 +1,5 @@
-//! World of upstreams: a lagging list, late reports, failed polls, engines that leave and return.
+//! Simulation of upstreams: a stale list of VMs, delayed reports, failed polls, and engines that
+//! drain and restart.
 
 use heathpitch_core::{
     Epoch, Incarnation, LayerRange, Millis, Name, Revision, Vm, VmRole, VmState, digest,
@@ -12,79 +13,85 @@
 
 #[derive(Clone, Debug)]
 struct Engine {
-    life: u64,
+    incarnation: u64,
     serial: u64,
-    leaving: bool,
+    draining: bool,
     listed: VmState,
-    /// Newest words that have arrived: of the engine itself, and whether it is leaving.
-    heard: Option<(u64, u64, bool)>,
+    /// Incarnation, serial number and drain state of the newest report delivered.
+    newest_report: Option<(u64, u64, bool)>,
 }
 
 #[derive(Debug)]
 struct Upstreams {
     health: Health,
     engines: Vec<Engine>,
-    number: u64,
+    revision: u64,
     lists: Vec<(Revision, Vec<Vm>)>,
     reports: Vec<(usize, EngineReport)>,
-    newest: Option<(Revision, Vec<Vm>)>,
+    newest_list: Option<(Revision, Vec<Vm>)>,
     now: Millis,
 }
 
 pub(crate) fn run(operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
-    let engine = Engine { life: 1, serial: 0, leaving: false, listed: VmState::Live, heard: None };
-    let mut world = Upstreams {
+    let engine = Engine {
+        incarnation: 1,
+        serial: 0,
+        draining: false,
+        listed: VmState::Live,
+        newest_report: None,
+    };
+    let mut upstreams = Upstreams {
         health: Health::new(),
         engines: vec![engine; ENGINES],
-        number: 0,
+        revision: 0,
         lists: Vec::new(),
         reports: Vec::new(),
-        newest: None,
+        newest_list: None,
         now: 1,
     };
     for number in operations {
         stats.operations += 1;
-        world.operate(&mut Entropy::new(*number), stats);
-        world.check(stats)?;
+        upstreams.apply_operation(&mut Entropy::new(*number), stats);
+        upstreams.check(stats)?;
     }
     Ok(())
 }
 
 impl Upstreams {
-    fn operate(&mut self, entropy: &mut Entropy, stats: &mut RunStats) {
+    fn apply_operation(&mut self, entropy: &mut Entropy, stats: &mut RunStats) {
         let kind = entropy.below(16);
         let at = entropy.below(ENGINES);
         match kind {
             0 => {
-                stats.fault("engine leaves");
-                self.engines[at].leaving = true;
+                stats.fault("engine draining");
+                self.engines[at].draining = true;
             }
             1 => {
-                stats.event("engine restarts");
+                stats.event("engine restarted");
                 let engine = &mut self.engines[at];
-                engine.life += 1;
+                engine.incarnation += 1;
                 engine.serial = 0;
-                engine.leaving = false;
+                engine.draining = false;
             }
             2 => {
-                stats.fault("VM listed as leaving");
+                stats.fault("VM listed as draining");
                 self.engines[at].listed = VmState::Leaving;
             }
             3 => self.engines[at].listed = VmState::Live,
             4 | 5 => {
-                self.number += 1;
+                self.revision += 1;
                 let vms = (0..ENGINES).map(|i| vm(i, self.engines[i].listed)).collect();
-                self.lists.push((Revision(self.number), vms));
+                self.lists.push((Revision(self.revision), vms));
             }
-            // Lists and reports arrive in any order, and more than once.
+            // Lists and reports arrive in any order, some more than once.
             6 | 7 if !self.lists.is_empty() => {
-                let (number, vms) = self.lists[entropy.below(self.lists.len())].clone();
-                if self.newest.as_ref().is_none_or(|(n, _)| number > *n) {
-                    self.newest = Some((number, vms.clone()));
+                let (revision, vms) = self.lists[entropy.below(self.lists.len())].clone();
+                if self.newest_list.as_ref().is_none_or(|(n, _)| revision > *n) {
+                    self.newest_list = Some((revision, vms.clone()));
                 } else {
-                    stats.fault("older list");
+                    stats.fault("stale list");
                 }
-                self.health.on(HealthEvent::Listed(number, vms), self.now);
+                self.health.on(HealthEvent::Listed(revision, vms), self.now);
             }
             8..=10 => {
                 let engine = &mut self.engines[at];
@@ -94,7 +101,7 @@
             }
             11..=13 if !self.reports.is_empty() => {
                 let (at, report) = self.reports[entropy.below(self.reports.len())].clone();
-                self.hear(at, &report, stats);
+                self.record_report(at, &report, stats);
                 let event = match entropy.below(2) {
                     0 => HealthEvent::Polled(report),
                     _ => HealthEvent::Relayed(report),
@@ -109,27 +116,30 @@
         }
     }
 
-    fn hear(&mut self, at: usize, report: &EngineReport, stats: &mut RunStats) {
-        let word = (report.life.0, report.serial, report.leaving);
-        let heard = &mut self.engines[at].heard;
-        match heard {
-            Some(old) if (old.0, old.1) >= (word.0, word.1) => stats.fault("older report"),
-            _ => *heard = Some(word),
+    fn record_report(&mut self, at: usize, report: &EngineReport, stats: &mut RunStats) {
+        let delivered = (report.life.0, report.serial, report.leaving);
+        let newest_report = &mut self.engines[at].newest_report;
+        match newest_report {
+            Some(old) if (old.0, old.1) >= (delivered.0, delivered.1) => {
+                stats.fault("stale report")
+            }
+            _ => *newest_report = Some(delivered),
         }
     }
 
-    /// No engine that the newest word of any source says to leave may take new work.
+    /// Checks that no engine is in service if its newest report or the newest list shows it as
+    /// draining.
     fn check(&self, stats: &mut RunStats) -> Result<(), Violation> {
         let fleet = self.health.fleet(self.now);
         for up in fleet.engines.values().flatten() {
             stats.event("engine checked");
             let at = (0..ENGINES).find(|i| name(*i) == up.vm.name).unwrap_or_default();
-            let said = self.engines[at].heard.is_some_and(|h| h.2);
-            let listed = self.newest.as_ref().is_some_and(|(_, vms)| {
+            let reported = self.engines[at].newest_report.is_some_and(|h| h.2);
+            let listed = self.newest_list.as_ref().is_some_and(|(_, vms)| {
                 vms.iter().any(|v| v.name == up.vm.name && v.state == VmState::Leaving)
             });
-            Violation::unless(!said && !listed, Property::Draining, || {
-                format!("engine {at} takes work; it said leaving: {said}, listed so: {listed}")
+            Violation::unless(!reported && !listed, Property::Draining, || {
+                format!("draining engine {at} in service; reported: {reported}, listed: {listed}")
             })?;
         }
         Ok(())
@@ -155,14 +165,14 @@
 fn report(i: usize, engine: &Engine) -> EngineReport {
     EngineReport {
         engine: name(i),
-        life: Incarnation(engine.life),
+        life: Incarnation(engine.incarnation),
         serial: engine.serial,
         model: Some(name(98)),
         version: name(97),
         layers: LayerRange::new(0, 4),
         epoch: Epoch(0),
         role: EngineRole::Both,
-        leaving: engine.leaving,
+        leaving: engine.draining,
         slots: 4,
         running: 0,
         queued: 0,
--- a/crates/proof/tests/matrix.rs
+++ b/crates/proof/tests/matrix.rs
@@ -5,25 +5,26 @@
 use heathpitch_proof::{Cell, Fault, Step, cells, run_cell};
 
 #[test]
-fn every_cell_keeps_every_promise() {
+fn every_cell_satisfies_every_property() {
     let all = cells();
     let failed: Vec<String> =
         all.iter().filter_map(|c| run_cell(*c).err().map(|e| e.to_string())).collect();
     println!("{} cells, {} failed", all.len(), failed.len());
     assert_eq!(failed, Vec::<String>::new());
     let (steps, faults) = (Step::ALL.len(), Fault::ALL.len());
-    let (late, true_late) = (steps - 2, faults - 2);
-    let possible = 2 * faults * (faults + 1) + late * true_late * (true_late + 1);
-    assert_eq!(all.len(), 2 * possible);
+    let (started_steps, started_faults) = (steps - 2, faults - 2);
+    let possible_per_mode =
+        2 * faults * (faults + 1) + started_steps * started_faults * (started_faults + 1);
+    assert_eq!(all.len(), 2 * possible_per_mode);
 }
 
-/// Outcome, executions and tokens of each single fault: what callers see.
+/// Outcome, executions and tokens of each single fault, as visible to clients.
 #[test]
 fn outcomes_of_single_faults() {
     let mut table = String::new();
     for at_most_once in [false, true] {
-        let word = if at_most_once { "may not be repeated" } else { "may be repeated" };
-        writeln!(table, "{word}").unwrap();
+        let heading = if at_most_once { "may not be repeated" } else { "may be repeated" };
+        writeln!(table, "{heading}").unwrap();
         for first in Fault::ALL.iter().copied() {
             write!(table, "  {:<13}", format!("{first:?}")).unwrap();
             for step in Step::ALL.iter().copied() {
--- a/crates/proof/tests/mechanisms.rs
+++ b/crates/proof/tests/mechanisms.rs
@@ -1,14 +1,14 @@
-//! Each mechanism carries a promise: with it off, the runs find the violation.
+//! Checks that each mechanism is necessary: with it switched off, a simulation finds a violation.
 
 use heathpitch_policy::{Mechanism, without};
 use heathpitch_proof::{RunStats, Simulation, random_operations};
 
-/// Seeds tried before a mechanism counts as carrying nothing.
+/// Seeds tried before a mechanism counts as unnecessary.
 const SEEDS: u64 = 400;
-const LENGTH: usize = 600;
+const OPERATIONS: usize = 600;
 
-/// Simulation in which a mechanism carries its promise.
-fn world(mechanism: Mechanism) -> Simulation {
+/// Simulation in which a mechanism is necessary.
+fn simulation(mechanism: Mechanism) -> Simulation {
     match mechanism {
         Mechanism::AttemptNumbers
         | Mechanism::Positions
@@ -27,14 +27,15 @@
     }
 }
 
-/// Operations until the first violation with the mechanism off.
+/// Operations until the first violation with the mechanism off, if any is found.
 fn operations_to_breach(mechanism: Mechanism) -> Option<u64> {
     let mut stats = RunStats::default();
     for seed in 0..SEEDS {
-        let operations = random_operations(seed, LENGTH);
-        let ran =
-            without(mechanism, || world(mechanism).run_catching_panics(&operations, &mut stats));
-        if let Err(violation) = ran {
+        let operations = random_operations(seed, OPERATIONS);
+        let result = without(mechanism, || {
+            simulation(mechanism).run_catching_panics(&operations, &mut stats)
+        });
+        if let Err(violation) = result {
             println!("{mechanism:?}: after {} operations: {violation}", stats.operations);
             return Some(stats.operations);
         }
@@ -43,21 +44,25 @@
 }
 
 #[test]
-fn every_mechanism_carries_a_promise() {
+fn every_mechanism_is_necessary() {
     std::panic::set_hook(Box::new(|_| {}));
-    let idle: Vec<Mechanism> =
+    let unnecessary: Vec<Mechanism> =
         Mechanism::ALL.into_iter().filter(|m| operations_to_breach(*m).is_none()).collect();
-    assert_eq!(idle, Vec::<Mechanism>::new(), "no violation was found with these off");
+    assert_eq!(
+        unnecessary,
+        Vec::<Mechanism>::new(),
+        "no violation was found with these mechanisms off"
+    );
 }
 
 #[test]
-fn the_same_runs_hold_with_every_mechanism_on() {
+fn same_runs_pass_with_every_mechanism_on() {
     for mechanism in Mechanism::ALL {
         for seed in 0..40 {
             let mut stats = RunStats::default();
-            let ran =
-                world(mechanism).run_catching_panics(&random_operations(seed, LENGTH), &mut stats);
-            assert_eq!(ran, Ok(()), "seed {seed}");
+            let result = simulation(mechanism)
+                .run_catching_panics(&random_operations(seed, OPERATIONS), &mut stats);
+            assert_eq!(result, Ok(()), "seed {seed}");
         }
     }
 }
--- a/crates/proof/tests/simulations.rs
+++ b/crates/proof/tests/simulations.rs
@@ -1,4 +1,4 @@
-//! Short randomised runs of every world. `PROPTEST_RNG_SEED` replays one.
+//! Short randomized runs of every simulation. `PROPTEST_RNG_SEED` replays one.
 
 use std::cell::Cell;
 
@@ -7,19 +7,19 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 
-/// Seed used if none is given.
-const SEED: u64 = 20_261_202;
+/// Seed used unless the environment sets one.
+const DEFAULT_SEED: u64 = 20_261_202;
 const CASES: u32 = 300;
-/// The worlds of members and of telling run many rounds of every node in each case.
+/// Cases of the membership and feed simulations, each of which runs many rounds of every node.
 const LARGE_CASES: u32 = 40;
-const LENGTH: usize = 400;
+const MAX_OPERATIONS: usize = 400;
 
-fn holds(world: Simulation) {
+fn assert_holds(simulation: Simulation) {
     let seed = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|s| s.parse().ok());
-    let seed = seed.unwrap_or(SEED);
+    let seed = seed.unwrap_or(DEFAULT_SEED);
     println!("seed {seed}");
     let config = Config {
-        cases: if matches!(world, Simulation::Membership | Simulation::Feed) {
+        cases: if matches!(simulation, Simulation::Membership | Simulation::Feed) {
             LARGE_CASES
         } else {
             CASES
@@ -29,82 +29,84 @@
         ..Config::default()
     };
     let total = Cell::new(0);
-    let result = TestRunner::new(config).run(&vec(any::<u64>(), 1..LENGTH), |operations| {
+    let result = TestRunner::new(config).run(&vec(any::<u64>(), 1..MAX_OPERATIONS), |operations| {
         let mut stats = RunStats::default();
-        let ran = world.run_catching_panics(&operations, &mut stats);
+        let result = simulation.run_catching_panics(&operations, &mut stats);
         total.set(total.get() + stats.operations);
-        ran.map_err(|b| TestCaseError::fail(b.to_string()))
+        result.map_err(|v| TestCaseError::fail(v.to_string()))
     });
-    println!("{world:?}: {} operations", total.get());
-    assert!(result.is_ok(), "{world:?}: {result:?}");
+    println!("{simulation:?}: {} operations", total.get());
+    assert!(result.is_ok(), "{simulation:?}: {result:?}");
 }
 
 #[test]
-fn requests_keep_their_promises() {
-    holds(Simulation::Requests);
+fn requests_satisfy_their_properties() {
+    assert_holds(Simulation::Requests);
 }
 
 #[test]
 fn keys_are_dispatched_at_most_once() {
-    holds(Simulation::Keys);
+    assert_holds(Simulation::Keys);
 }
 
 #[test]
 fn configuration_never_reverts() {
-    holds(Simulation::Config);
+    assert_holds(Simulation::Config);
 }
 
 #[test]
-fn leaving_upstreams_get_no_work() {
-    holds(Simulation::Upstreams);
+fn draining_upstreams_get_no_requests() {
+    assert_holds(Simulation::Upstreams);
 }
 
 #[test]
 fn members_find_each_other() {
-    holds(Simulation::Membership);
+    assert_holds(Simulation::Membership);
 }
 
 #[test]
-fn what_is_told_of_the_store_is_true_and_young() {
-    holds(Simulation::Feed);
+fn relayed_store_data_is_correct_and_fresh() {
+    assert_holds(Simulation::Feed);
 }
 
-/// A node that had read the store at its turn knew it a moment later than its planner, took nothing from it
-/// for that reason, and read for ever.
+/// A node that had read the store itself had a slightly newer proof than its planner, declined the
+/// planner's list for that reason, and kept reading the store forever.
 #[test]
-fn a_node_that_reads_for_itself_is_told_again() {
+fn a_node_that_read_the_store_returns_to_its_source() {
     for seed in [10, 65, 80, 90, 191, 344, 362] {
-        let ran = Simulation::Feed
+        let result = Simulation::Feed
             .run_catching_panics(&random_operations(seed, 400), &mut RunStats::default());
-        assert_eq!(ran, Ok(()), "seed {seed}");
+        assert_eq!(result, Ok(()), "seed {seed}");
     }
 }
 
-/// Runs in which nodes passed a dead one on to each other for ever.
+/// Nodes kept relaying a dead node to each other, so that it was never removed.
 #[test]
 fn a_dead_node_is_not_kept_alive_by_others() {
     for seed in [18, 73, 145, 446, 452, 474, 483, 550] {
-        let ran = Simulation::Membership
+        let result = Simulation::Membership
             .run_catching_panics(&random_operations(seed, 2_000), &mut RunStats::default());
-        assert_eq!(ran, Ok(()), "seed {seed}");
+        assert_eq!(result, Ok(()), "seed {seed}");
     }
 }
 
-/// A key that ran was forgotten, asked for again, not claimed because the store did not answer, and then taken
-/// for one that never ran. Found by a long run among 23 500 seeds.
+/// A key that had run was evicted from the idempotency table and requested again. The claim failed
+/// because the store did not respond, and the key was then treated as never run. Found by a long run
+/// over 23,500 seeds.
 #[test]
-fn keys_of_found_seeds_are_dispatched_at_most_once() {
+fn evicted_keys_are_dispatched_at_most_once() {
     for seed in [20_762, 25_713] {
-        let ran = Simulation::Keys
+        let result = Simulation::Keys
             .run_catching_panics(&random_operations(seed, 2_000), &mut RunStats::default());
-        assert_eq!(ran, Ok(()), "seed {seed}");
+        assert_eq!(result, Ok(()), "seed {seed}");
     }
 }
 
-/// Two reports of an engine came before the first list, the older one last, and took the newer one's place.
+/// Two reports of an engine arrived before the first list of VMs, in reverse order, and the older
+/// one replaced the newer one.
 #[test]
-fn leaving_upstreams_of_a_found_seed_get_no_work() {
-    let ran = Simulation::Upstreams
+fn reports_before_the_first_list_do_not_revert() {
+    let result = Simulation::Upstreams
         .run_catching_panics(&random_operations(5_208, 2_000), &mut RunStats::default());
-    assert_eq!(ran, Ok(()));
+    assert_eq!(result, Ok(()));
 }
