--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -1,87 +1,91 @@
-//! Proof of heathpitch's promises over its state machines.
+//! Randomized simulations and a fault matrix that check heathpitch's guarantees.
 //!
-//! Each world drives the real state machines with random operations and faults and checks them
-//! against what really happened there. Nothing here is published.
+//! Each simulation drives the production state machines with random operations and faults, and
+//! compares their results with the simulated state. This crate is not published.
 
-mod breach;
 mod config;
+mod feed;
 mod keys;
 mod matrix;
-mod members;
+mod membership;
 mod requests;
-mod tally;
-mod telling;
+mod run;
 mod upstreams;
+mod violation;
 
-pub use breach::{Breach, Promise};
-pub use matrix::{Cell, Fault, Step, Verdict as CellVerdict, cells, run_cell};
-pub use tally::Tally;
+pub use matrix::{Cell, CellResult, Fault, Step, cells, run_cell};
+pub use run::RunStats;
+pub use violation::{Property, Violation};
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A world of state machines.
+/// Simulation of a group of state machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum World {
+pub enum Simulation {
     /// Requests over paths of engines.
     Requests,
-    /// Keys of requests that may not be repeated.
+    /// Idempotency keys of requests that may not be repeated.
     Keys,
-    /// Copies of the configuration.
+    /// Replication of the configuration.
     Config,
-    /// Upstreams that come, fail and leave.
+    /// Upstreams that start, fail and drain.
     Upstreams,
-    /// Membership between nodes.
-    Members,
-    /// What the store holds, told between nodes.
-    Telling,
+    /// Membership of nodes.
+    Membership,
+    /// Content of the store, relayed between nodes.
+    Feed,
 }
 
-impl World {
-    /// Every world.
-    pub const ALL: [World; 6] = [
-        World::Requests,
-        World::Keys,
-        World::Config,
-        World::Upstreams,
-        World::Members,
-        World::Telling,
+impl Simulation {
+    /// Every simulation.
+    pub const ALL: [Simulation; 6] = [
+        Simulation::Requests,
+        Simulation::Keys,
+        Simulation::Config,
+        Simulation::Upstreams,
+        Simulation::Membership,
+        Simulation::Feed,
     ];
 
-    /// Runs one operation for each number.
+    /// Runs one operation per number.
     ///
     /// # Errors
     ///
-    /// The first [`Breach`] of a promise.
-    pub fn run(self, operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
+    /// Returns the first [`Violation`].
+    pub fn run(self, operations: &[u64], stats: &mut RunStats) -> Result<(), Violation> {
         match self {
-            World::Requests => requests::run(operations, tally),
-            World::Keys => keys::run(operations, tally),
-            World::Config => config::run(operations, tally),
-            World::Upstreams => upstreams::run(operations, tally),
-            World::Members => members::run(operations, tally),
-            World::Telling => telling::run(operations, tally),
+            Simulation::Requests => requests::run(operations, stats),
+            Simulation::Keys => keys::run(operations, stats),
+            Simulation::Config => config::run(operations, stats),
+            Simulation::Upstreams => upstreams::run(operations, stats),
+            Simulation::Membership => membership::run(operations, stats),
+            Simulation::Feed => feed::run(operations, stats),
         }
     }
 
-    /// Runs as [`World::run`]; an invariant violated inside the program is a breach too.
+    /// Runs like [`Simulation::run`], and reports a panic as a violated invariant.
     ///
     /// # Errors
     ///
-    /// The first [`Breach`].
-    pub fn run_caught(self, operations: &[u64], tally: &mut Tally) -> Result<(), Breach> {
-        let ran = catch_unwind(AssertUnwindSafe(|| self.run(operations, tally)));
-        ran.unwrap_or_else(|panic| {
+    /// Returns the first [`Violation`].
+    pub fn run_catching_panics(
+        self,
+        operations: &[u64],
+        stats: &mut RunStats,
+    ) -> Result<(), Violation> {
+        let result = catch_unwind(AssertUnwindSafe(|| self.run(operations, stats)));
+        result.unwrap_or_else(|panic| {
             let text = panic.downcast_ref::<String>().cloned().unwrap_or_default();
-            Err(Breach::new(Promise::Invariant, text))
+            Err(Violation::new(Property::Invariant, text))
         })
     }
 }
 
-/// `count` operations drawn from a seed.
-pub fn draw(seed: u64, count: usize) -> Vec<u64> {
+/// Returns `count` operations generated from a seed.
+pub fn random_operations(seed: u64, count: usize) -> Vec<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
     (0..count).map(|_| rng.random()).collect()
 }
