--- a/crates/heathpitchd/tests/gateway_soak.rs
+++ b/crates/heathpitchd/tests/gateway_soak.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use heathpitch_soak::{Script, run};
+use heathpitch_soak::{FaultSchedule, run};
 
 /// Seeds, and the time in which faults are injected.
 const SEEDS: [(u64, Duration); 3] = [
@@ -19,34 +19,39 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_under_random_faults() {
     for (seed, length) in SEEDS {
-        let script = Script::draw(seed, length);
-        run_script(&script).await;
+        let schedule = FaultSchedule::generate(seed, length);
+        run_schedule(&schedule).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_while_engines_restart_and_others_write_entries() {
-    run_script(&Script::draw(3, Duration::from_secs(5)).with_lives()).await;
+    run_schedule(&FaultSchedule::generate(3, Duration::from_secs(5)).with_restarts()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_while_vms_are_suspended_and_a_request_crashes_engines() {
     for seed in [4, 5] {
-        run_script(&Script::draw(seed, Duration::from_secs(8)).with_ends()).await;
+        run_schedule(&FaultSchedule::generate(seed, Duration::from_secs(8)).with_crashes()).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_while_engines_ask_for_pauses_and_the_store_is_restored() {
     for seed in [6, 7] {
-        run_script(&Script::draw(seed, Duration::from_secs(8)).with_wishes().with_returns()).await;
+        run_schedule(
+            &FaultSchedule::generate(seed, Duration::from_secs(8))
+                .with_backpressure()
+                .with_store_restores(),
+        )
+        .await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_while_engines_set_rate_limits() {
     for seed in [8, 9] {
-        run_script(&Script::draw(seed, Duration::from_secs(12)).with_limits()).await;
+        run_schedule(&FaultSchedule::generate(seed, Duration::from_secs(12)).with_limits()).await;
     }
 }
 
@@ -54,14 +59,22 @@
 /// nodes had restarted, the limit never ended for them.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_a_limit_ends_after_all_nodes_restarted() {
-    let script = Script::draw(44_029, Duration::from_secs(12));
-    run_script(&script.with_lives().with_ends().with_wishes().with_returns().with_limits()).await;
+    let schedule = FaultSchedule::generate(44_029, Duration::from_secs(12));
+    run_schedule(
+        &schedule
+            .with_restarts()
+            .with_crashes()
+            .with_backpressure()
+            .with_store_restores()
+            .with_limits(),
+    )
+    .await;
 }
 
-async fn run_script(script: &Script) {
-    println!("seed {}: {:?}", script.seed, script.steps);
+async fn run_schedule(schedule: &FaultSchedule) {
+    println!("seed {}: {:?}", schedule.seed, schedule.faults);
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_heathpitchd"));
-    let report = run(binary, script).await.unwrap();
+    let report = run(binary, schedule).await.unwrap();
     assert!(report.calls > 100, "{} calls", report.calls);
-    assert_eq!(report.breaches, [], "seed {}", script.seed);
+    assert_eq!(report.violations, [], "seed {}", schedule.seed);
 }
--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use gumdrop::Options;
-use heathpitch_soak::{Script, run};
+use heathpitch_soak::{FaultSchedule, run};
 
 /// Plays seeds of the soak.
 #[derive(Debug, Options)]
@@ -40,37 +40,37 @@
     let arguments = Arguments::parse_args_default_or_exit();
     let length = Duration::from_secs(arguments.length);
     let seeds: Vec<u64> = (arguments.from..arguments.from + arguments.seeds).collect();
-    let mut broken = 0;
-    for some in seeds.chunks(arguments.jobs.max(1)) {
-        let runs = some.iter().map(|seed| {
-            let (binary, script) = (
+    let mut failed = 0;
+    for batch in seeds.chunks(arguments.jobs.max(1)) {
+        let runs = batch.iter().map(|seed| {
+            let (binary, schedule) = (
                 arguments.binary.clone(),
-                Script::draw(*seed, length)
-                    .with_lives()
-                    .with_ends()
-                    .with_wishes()
-                    .with_returns()
+                FaultSchedule::generate(*seed, length)
+                    .with_restarts()
+                    .with_crashes()
+                    .with_backpressure()
+                    .with_store_restores()
                     .with_limits(),
             );
-            tokio::spawn(async move { (script.seed, run(binary, &script).await) })
+            tokio::spawn(async move { (schedule.seed, run(binary, &schedule).await) })
         });
-        for one in runs.collect::<Vec<_>>() {
-            let (seed, report) = one.await.unwrap();
+        for run in runs.collect::<Vec<_>>() {
+            let (seed, report) = run.await.unwrap();
             let report = report.unwrap();
-            broken += usize::from(!report.breaches.is_empty());
+            failed += usize::from(!report.violations.is_empty());
             println!(
                 "seed {seed}: {} calls, {} served, {:.3} in calm, {} breaches",
                 report.calls,
-                report.served,
-                report.calm,
-                report.breaches.len()
+                report.succeeded,
+                report.recovery_rate,
+                report.violations.len()
             );
-            for breach in report.breaches.iter().take(4) {
-                println!("  {}: {:?}, {}", breach.promise, breach.id, breach.what);
+            for violation in report.violations.iter().take(4) {
+                println!("  {}: {:?}, {}", violation.invariant, violation.id, violation.detail);
             }
-            report.story.iter().take(20).for_each(|line| println!("    {line}"));
+            report.request_logs.iter().take(20).for_each(|line| println!("    {line}"));
         }
     }
-    println!("{broken} of {} seeds broke a promise", seeds.len());
-    std::process::exit(i32::from(broken > 0));
+    println!("{failed} of {} seeds broke a promise", seeds.len());
+    std::process::exit(i32::from(failed > 0));
 }
--- /dev/null
+++ b/crates/soak/src/cluster.rs
@@ -0,0 +1,419 @@
+//! Processes, engines and the store of a run, and what faults do to them.
+
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use heathpitch_standin::{
+    Behavior, Caller, Engine, GatewayProcess, LinkMode, Proxy, RouteSpec, StandInError, Store,
+    StoreMode, TestConfig,
+};
+use parking_lot::Mutex;
+use serde_json::json;
+
+use crate::invariants::{DrainedEngine, EngineDisruption, History, NodeDisruption, RevokedKey};
+use crate::load::{self, CallKind, CallRecord};
+use crate::schedule::{LAYERED_ENGINES, NODES, PLAIN_ENGINES};
+
+/// Key that stays.
+pub(crate) const API_KEY: &str = "key-of-desk";
+/// Body of the request that ends every engine which begins to run it.
+pub(crate) const FATAL_BODY: &str = "fatal";
+/// Time after which another engine starts in the place of one that ended, and after which its entry lapses.
+const RESPAWN_DELAY: Duration = Duration::from_millis(1_500);
+const DEREGISTER_DELAY: Duration = Duration::from_millis(1_000);
+/// Time after which operator and engines write again to a store that came back older.
+const REWRITE_DELAY: Duration = Duration::from_millis(700);
+/// Route that comes and goes.
+pub(crate) const TOGGLED_PREFIX: &str = "/coming/";
+/// Events of a whole stream.
+pub(crate) const STREAM_EVENTS: u64 = 20;
+/// Time of the routes of plain calls, and of streams.
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(3_000);
+pub(crate) const STREAM_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Time between two events.
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
+/// Time after which the engine in a place is looked up again.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Layers of the stand-in's model, and of its first half.
+const LAYER_RANGE_ENDS: (u32, u32) = (4, 8);
+/// Time for which a stopped node may go on.
+const NODE_TIMEOUT: Duration = Duration::from_secs(9);
+/// Agreed bounds of the nodes: short, so that runs meet them.
+const REVOKE_MS: u64 = 2_500;
+
+/// Why a run could not be made.
+#[derive(Debug, thiserror::Error)]
+pub enum SoakError {
+    /// A process could not be started.
+    #[error(transparent)]
+    Node(#[from] StandInError),
+    /// What the system says.
+    #[error(transparent)]
+    System(#[from] std::io::Error),
+}
+
+/// An engine and the link before it.
+pub(crate) struct ProxiedEngine {
+    pub(crate) engine: Engine,
+    pub(crate) proxy: Proxy,
+}
+
+/// Everything that runs.
+pub(crate) struct TestCluster {
+    binary: PathBuf,
+    pub(crate) store: Store,
+    config: Mutex<TestConfig>,
+    store_proxies: Vec<Proxy>,
+    nodes: Vec<Mutex<Option<GatewayProcess>>>,
+    engines: Mutex<Vec<ProxiedEngine>>,
+    /// Engines that were replaced; what they saw still counts.
+    replaced: Mutex<Vec<Engine>>,
+    revoked_keys: Mutex<Vec<RevokedKey>>,
+    /// Nodes that stood still, and when they went on.
+    pauses: Mutex<Vec<(usize, Instant)>>,
+    drained: Mutex<Vec<DrainedEngine>>,
+    /// What callers of the fatal request were told.
+    fatal_calls: Mutex<Vec<CallRecord>>,
+    node_disruptions: Mutex<Vec<NodeDisruption>>,
+    /// Engines whose links held requests up, or that started again, and when.
+    engine_disruptions: Mutex<Vec<EngineDisruption>>,
+}
+
+/// # Start
+impl TestCluster {
+    /// Starts the store, the engines and the nodes; gives them back once all are ready.
+    pub(crate) async fn start(binary: PathBuf) -> Result<Self, SoakError> {
+        let store = Store::spawn()?;
+        let store_proxies =
+            (0..NODES).map(|_| Proxy::spawn(store.address())).collect::<Result<_, _>>()?;
+        let cluster = Self {
+            binary,
+            store,
+            config: Mutex::new(initial_config()),
+            store_proxies,
+            nodes: (0..NODES).map(|_| Mutex::new(None)).collect(),
+            engines: Mutex::default(),
+            replaced: Mutex::default(),
+            revoked_keys: Mutex::default(),
+            pauses: Mutex::default(),
+            drained: Mutex::default(),
+            fatal_calls: Mutex::default(),
+            node_disruptions: Mutex::default(),
+            engine_disruptions: Mutex::default(),
+        };
+        cluster.update_config(|_| {});
+        for index in 0..PLAIN_ENGINES + LAYERED_ENGINES {
+            let engine = cluster.spawn_engine(index, 0)?;
+            cluster.engines.lock().push(engine);
+        }
+        for index in 0..NODES {
+            cluster.start_node(index)?;
+        }
+        Ok(cluster)
+    }
+
+    fn spawn_engine(&self, index: usize, incarnation: u64) -> Result<ProxiedEngine, SoakError> {
+        let id = format!("e{index}-{incarnation}");
+        let layered = index >= PLAIN_ENGINES;
+        let (service, kind) = if layered { ("llm", Some("small")) } else { ("api", None) };
+        let mut engine = Engine::spawn(&self.store, &id, service, "mem", kind)?;
+        engine.deregister();
+        let proxy = Proxy::spawn(engine.address)?;
+        engine.address = proxy.address();
+        engine.set_behavior(default_behavior(index));
+        engine.exit_on_body(FATAL_BODY);
+        match index {
+            i if i < PLAIN_ENGINES => engine.register("ready"),
+            i if i % 2 == 1 => engine.set_layers(0, LAYER_RANGE_ENDS.0),
+            _ => engine.set_layers(LAYER_RANGE_ENDS.0, LAYER_RANGE_ENDS.1),
+        }
+        Ok(ProxiedEngine { engine, proxy })
+    }
+
+    /// Starts a node; two of the three share a failure domain.
+    pub(crate) fn start_node(&self, index: usize) -> Result<(), SoakError> {
+        let domain = if index < 2 { "mem" } else { "atl" };
+        let bounds = json!({ "revoke_ms": REVOKE_MS });
+        let store = self.store_proxies[index].address();
+        let name = format!("n{index}");
+        let node = GatewayProcess::spawn(&self.binary, store, &name, domain, &bounds)?;
+        *self.nodes[index].lock() = Some(node);
+        Ok(())
+    }
+
+    /// Waits until every node that runs is ready; false if one is not in time.
+    pub(crate) async fn wait_ready(&self) -> bool {
+        for node in &self.nodes {
+            let start = Instant::now();
+            loop {
+                let address = node.lock().as_ref().map(|n| n.ready);
+                match address {
+                    Some(a) if GatewayProcess::answers_ready(a).await => break,
+                    _ if start.elapsed() > NODE_TIMEOUT => return false,
+                    _ => tokio::time::sleep(Duration::from_millis(50)).await,
+                }
+            }
+        }
+        true
+    }
+}
+
+/// # Reading
+impl TestCluster {
+    /// Where callers reach a node, if it runs.
+    pub(crate) fn listen_address(&self, index: usize) -> Option<std::net::SocketAddr> {
+        self.nodes[index].lock().as_ref().map(|n| n.listen)
+    }
+
+    /// What callers were told, beside what engines saw.
+    pub(crate) fn history(&self, calls: Vec<CallRecord>) -> History {
+        let engines = self.engines.lock();
+        let replaced = self.replaced.lock();
+        let engines = engines.iter().map(|s| &s.engine).chain(replaced.iter());
+        History {
+            calls,
+            received: engines.flat_map(Engine::requests).collect(),
+            revoked_keys: self.revoked_keys.lock().clone(),
+            revocation_bound: Duration::from_millis(REVOKE_MS),
+            pauses: self.pauses.lock().clone(),
+            drained: self.drained.lock().clone(),
+            node_disruptions: self.node_disruptions.lock().clone(),
+            engine_disruptions: self.engine_disruptions.lock().clone(),
+        }
+    }
+
+    /// Lines of the nodes' logs that name a call.
+    pub(crate) fn request_log(&self, request: &str) -> Vec<String> {
+        let lines = |n: &Mutex<Option<GatewayProcess>>| {
+            n.lock().as_ref().map(|n| n.request_log(request)).unwrap_or_default()
+        };
+        self.nodes.iter().flat_map(lines).collect()
+    }
+}
+
+/// # Faults
+impl TestCluster {
+    /// Has a node stand still for a while.
+    pub(crate) async fn pause_node(
+        &self,
+        index: usize,
+        duration: Duration,
+    ) -> Result<(), SoakError> {
+        self.signal_node(index, "STOP")?;
+        tokio::time::sleep(duration).await;
+        self.signal_node(index, "CONT")?;
+        self.pauses.lock().push((index, Instant::now()));
+        Ok(())
+    }
+
+    /// Sends a node a signal.
+    pub(crate) fn signal_node(&self, index: usize, name: &str) -> Result<(), SoakError> {
+        match &*self.nodes[index].lock() {
+            Some(node) => Ok(node.signal(name)?),
+            None => Ok(()),
+        }
+    }
+
+    /// Ends a node by a signal and waits until it is gone; gives its exit code.
+    pub(crate) async fn stop_node(
+        &self,
+        index: usize,
+        signal: &str,
+    ) -> Result<Option<i32>, SoakError> {
+        let Some(mut node) = self.nodes[index].lock().take() else { return Ok(None) };
+        // A node that was paused meanwhile has to go on first.
+        node.signal("CONT")?;
+        node.signal(signal)?;
+        let ended = tokio::task::spawn_blocking(move || node.wait_exit(NODE_TIMEOUT)).await;
+        Ok(ended.ok().flatten())
+    }
+
+    /// Treats a node's bytes to and from the store in this way.
+    pub(crate) fn set_store_link(&self, index: usize, link: LinkMode) {
+        self.store_proxies[index].set_mode(link);
+    }
+
+    /// Leaves a node's connections to the store silent for good.
+    pub(crate) fn blackhole_store(&self, index: usize) {
+        self.store_proxies[index].blackhole_open();
+    }
+
+    /// Takes note of a time in which a node was disturbed, or all were.
+    pub(crate) fn record_node_disruption(&self, node: Option<usize>, from: Instant) {
+        self.node_disruptions.lock().push(NodeDisruption { node, from, until: Instant::now() });
+    }
+
+    /// Has the store behave in this way.
+    pub(crate) fn set_store_mode(&self, mode: StoreMode) {
+        self.store.set_mode(mode);
+    }
+
+    /// Treats an engine's bytes in this way.
+    pub(crate) fn set_engine_link(&self, index: usize, link: LinkMode) {
+        self.engines.lock()[index].proxy.set_mode(link);
+    }
+
+    /// Has an engine treat requests in this way; none: as usual.
+    pub(crate) fn set_engine_behavior(&self, index: usize, behavior: Option<Behavior>) {
+        self.engine(index).set_behavior(behavior.unwrap_or(default_behavior(index)));
+    }
+
+    /// A plain engine says that it leaves, and another one comes.
+    pub(crate) fn replace_engine(&self, index: usize, incarnation: u64) -> Result<(), SoakError> {
+        let new = self.spawn_engine(index, incarnation)?;
+        let old = std::mem::replace(&mut self.engines.lock()[index], new);
+        // What its link held back comes before its word, not after.
+        old.proxy.set_mode(LinkMode::Pass);
+        old.engine.register("draining");
+        self.drained
+            .lock()
+            .push(DrainedEngine { engine: old.engine.id.clone(), at: Instant::now() });
+        self.replaced.lock().push(old.engine);
+        // Its link goes on for as long as the engine is kept.
+        std::mem::forget(old.proxy);
+        Ok(())
+    }
+
+    /// Has the store come back from a copy that is `age` old by then; operator and engines write again.
+    pub(crate) async fn restore_store(&self, age: Duration, changes: u64) {
+        self.store.take_snapshot();
+        tokio::time::sleep(age).await;
+        self.store.restore_snapshot(&[], changes);
+        tokio::time::sleep(REWRITE_DELAY).await;
+        self.store.put_config(&self.config.lock().json());
+        let register = |engine: &Engine, state| match engine.has_exited() {
+            true => engine.deregister(),
+            false => engine.register(state),
+        };
+        self.engines.lock().iter().for_each(|s| register(&s.engine, "ready"));
+        self.replaced.lock().iter().for_each(|engine| register(engine, "draining"));
+    }
+
+    /// Has an engine turn everybody away and tell this Retry-After; none: as usual again.
+    pub(crate) fn set_retry_after(&self, index: usize, value: Option<&str>) {
+        let engine = self.engine(index);
+        match value {
+            Some(value) => engine.set_retry_after(value),
+            None => engine.clear_retry_after(),
+        }
+        engine.set_behavior(value.map_or(default_behavior(index), |_| Behavior::Refuse));
+    }
+
+    /// The engine in a place.
+    pub(crate) fn engine(&self, index: usize) -> Engine {
+        self.engines.lock()[index].engine.clone()
+    }
+
+    /// Takes note of a time in which requests to an engine were held up, or in which it started again.
+    pub(crate) fn record_engine_disruption(&self, index: usize, from: Instant) {
+        let engine = self.engine(index).id;
+        self.engine_disruptions.lock().push(EngineDisruption {
+            engine,
+            from,
+            until: Instant::now(),
+        });
+    }
+
+    /// An engine starts again under its id.
+    pub(crate) fn restart_engine(&self, index: usize) {
+        let engine = self.engine(index);
+        engine.restart();
+        engine.register("ready");
+    }
+
+    /// Has the fatal request come to a node, under another id each time.
+    pub(crate) async fn send_fatal_request(&self, node: usize, serial: u64) {
+        let Some(address) = self.listen_address(node) else { return };
+        let (caller, id, key) =
+            (Caller::new(address).key(API_KEY), format!("f{serial}"), API_KEY.to_owned());
+        let call = load::send(caller, node, CallKind::Stream, id, key, FATAL_BODY.to_owned()).await;
+        self.fatal_calls.lock().push(call);
+    }
+
+    /// What callers of the fatal request were told.
+    pub(crate) fn take_fatal_calls(&self) -> Vec<CallRecord> {
+        std::mem::take(&mut *self.fatal_calls.lock())
+    }
+
+    /// Has the links of engines that end go with them, and others start in their places.
+    pub(crate) async fn replace_exited(self: Arc<Self>) {
+        let every =
+            (0..PLAIN_ENGINES + LAYERED_ENGINES).map(|index| self.clone().replace_exited_at(index));
+        futures::future::join_all(every).await;
+    }
+
+    async fn replace_exited_at(self: Arc<Self>, index: usize) {
+        for incarnation in 1_000_000.. {
+            // A plain engine may be replaced meanwhile; the one that took its place is waited for then.
+            let engine = self.engine(index);
+            if tokio::time::timeout(EXIT_CHECK_INTERVAL, engine.wait_exit()).await.is_err() {
+                continue;
+            }
+            self.engines.lock()[index].proxy.shut_down();
+            tokio::time::sleep(DEREGISTER_DELAY).await;
+            engine.deregister();
+            tokio::time::sleep(RESPAWN_DELAY.saturating_sub(DEREGISTER_DELAY)).await;
+            let Ok(new) = self.spawn_engine(index, incarnation) else { return };
+            let old = std::mem::replace(&mut self.engines.lock()[index], new);
+            self.replaced.lock().push(old.engine);
+        }
+    }
+
+    /// Another writer's text stands where an engine's entry would.
+    pub(crate) fn write_foreign_entry(&self, serial: u64, text: &str) {
+        self.store.put_bytes(&format!("servers/f{serial}"), text.as_bytes());
+    }
+
+    /// Changes the configuration.
+    pub(crate) fn update_config(&self, change: impl FnOnce(&mut TestConfig)) {
+        let mut config = self.config.lock();
+        change(&mut config);
+        config.version += 3;
+        self.store.put_config(&config.json());
+    }
+
+    /// Takes a key away and gives the account a new one, `serial` in its name.
+    pub(crate) fn revoke_key(&self, serial: u64) {
+        let new_key = format!("key-{serial}");
+        let mut old = String::new();
+        self.update_config(|config| old = std::mem::replace(&mut config.tenants[0].1[1], new_key));
+        self.revoked_keys.lock().push(RevokedKey { key: old, at: Instant::now() });
+    }
+
+    /// The key that is taken away next.
+    pub(crate) fn revocable_key(&self) -> String {
+        self.config.lock().tenants[0].1[1].clone()
+    }
+
+    /// Adds the route that comes and goes, or removes it.
+    pub(crate) fn toggle_route(&self) {
+        self.update_config(|config| match config.routes.len() {
+            4.. => drop(config.routes.pop()),
+            _ => config.routes.push(RouteSpec::idempotent(TOGGLED_PREFIX, "api")),
+        });
+    }
+}
+
+fn default_behavior(index: usize) -> Behavior {
+    if index < PLAIN_ENGINES {
+        Behavior::Echo
+    } else {
+        Behavior::Stream(STREAM_EVENTS, EVENT_INTERVAL)
+    }
+}
+
+fn initial_config() -> TestConfig {
+    let plain = CALL_TIMEOUT.as_millis() as u64;
+    TestConfig {
+        version: 3,
+        routes: vec![
+            RouteSpec::idempotent("/get/", "api").timeout(plain),
+            RouteSpec::at_most_once("/book/", "api").timeout(plain),
+            RouteSpec::stream("/tell/", "llm"),
+        ],
+        services: vec!["api".to_owned()],
+        models: vec!["llm".to_owned()],
+        tenants: vec![("desk".to_owned(), vec![API_KEY.to_owned(), "key-0".to_owned()])],
+    }
+}
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -4,14 +4,16 @@
 //! misbehaves, engines that come, go and fail, configurations that change. [`run`] plays it on
 //! real processes under load and gives every [`Breach`] that callers and engines saw.
 
-mod judge;
+mod cluster;
+mod invariants;
 mod load;
-mod play;
-mod script;
-mod world;
+mod runner;
+mod schedule;
 
-pub use judge::{Breach, Evidence, HeldUp, Left, Revoked, Trouble};
-pub use load::{Kind, Told};
-pub use play::{SoakReport, run};
-pub use script::{Fault, Script, Step};
-pub use world::SoakError;
+pub use cluster::SoakError;
+pub use invariants::{
+    DrainedEngine, EngineDisruption, History, NodeDisruption, RevokedKey, Violation,
+};
+pub use load::{CallKind, CallRecord};
+pub use runner::{SoakReport, run};
+pub use schedule::{Fault, FaultSchedule, ScheduledFault};
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -10,57 +10,57 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::script::NODES;
-use crate::world::{KEY, PLAIN_LIMIT, STREAM_LIMIT, World};
+use crate::cluster::{API_KEY, CALL_TIMEOUT, STREAM_TIMEOUT, TestCluster};
+use crate::schedule::NODES;
 
 /// Callers of each node.
-const CALLERS: usize = 3;
+const CALLERS_PER_NODE: usize = 3;
 /// Time after which a caller leaves an answer that does not end.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Kinds of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum CallKind {
     /// May run more than once.
-    Get,
+    Idempotent,
     /// May run once.
-    Book,
+    AtMostOnce,
     /// A stream.
-    Tell,
+    Stream,
 }
 
-impl Kind {
+impl CallKind {
     /// Time of its route.
-    pub(crate) fn limit(self) -> Duration {
+    pub(crate) fn timeout(self) -> Duration {
         match self {
-            Self::Get | Self::Book => PLAIN_LIMIT,
-            Self::Tell => STREAM_LIMIT,
+            Self::Idempotent | Self::AtMostOnce => CALL_TIMEOUT,
+            Self::Stream => STREAM_TIMEOUT,
         }
     }
 }
 
 /// A call and what its caller saw.
 #[derive(Debug)]
-pub struct Told {
+pub struct CallRecord {
     /// Its id.
     pub id: String,
     /// Node it was sent to.
     pub node: usize,
     /// Its kind.
-    pub kind: Kind,
+    pub kind: CallKind,
     /// Its body.
     pub body: String,
     /// Its key.
     pub key: String,
     /// When it was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// Time to the end of the answer.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// None if no head of an answer came.
     pub reply: Option<Reply>,
 }
 
-impl Told {
+impl CallRecord {
     /// Status of the answer.
     pub(crate) fn status(&self) -> Option<u16> {
         self.reply.as_ref().map(|r| r.status)
@@ -75,22 +75,22 @@
     }
 
     /// Whether a success came whole.
-    pub(crate) fn served(&self) -> bool {
+    pub(crate) fn succeeded(&self) -> bool {
         self.reply.as_ref().is_some_and(|r| r.status == 200 && r.complete)
     }
 }
 
 /// Calls until `stop` turns true.
 pub(crate) async fn run(
-    world: Arc<World>,
+    cluster: Arc<TestCluster>,
     seed: u64,
     stop: Arc<AtomicBool>,
-    told: Arc<Mutex<Vec<Told>>>,
+    calls: Arc<Mutex<Vec<CallRecord>>>,
 ) {
     let mut callers = Vec::new();
-    for index in 0..NODES * CALLERS {
-        let (world, stop, told) = (world.clone(), stop.clone(), told.clone());
-        callers.push(tokio::spawn(call(world, index, seed, stop, told)));
+    for index in 0..NODES * CALLERS_PER_NODE {
+        let (cluster, stop, calls) = (cluster.clone(), stop.clone(), calls.clone());
+        callers.push(tokio::spawn(run_caller(cluster, index, seed, stop, calls)));
     }
     for caller in callers {
         // A caller that panicked is seen by the missing calls.
@@ -98,43 +98,50 @@
     }
 }
 
-async fn call(
-    world: Arc<World>,
+async fn run_caller(
+    cluster: Arc<TestCluster>,
     index: usize,
     seed: u64,
     stop: Arc<AtomicBool>,
-    told: Arc<Mutex<Vec<Told>>>,
+    calls: Arc<Mutex<Vec<CallRecord>>>,
 ) {
     let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(31) + index as u64);
-    let mut kept: Option<Caller> = None;
+    let mut open: Option<Caller> = None;
     let mut serial = 0;
     while !stop.load(Relaxed) {
         let node = index % NODES;
-        let address = world.listen(node);
-        let Some(address) = address.or(kept.as_ref().map(Caller::address)) else {
+        let address = cluster.listen_address(node);
+        let Some(address) = address.or(open.as_ref().map(Caller::address)) else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let caller = match kept.take().filter(|c| c.address() == address) {
+        let caller = match open.take().filter(|c| c.address() == address) {
             Some(caller) => caller,
             None => Caller::new(address).keep_alive(),
         };
         serial += 1;
-        let kind = [Kind::Get, Kind::Book, Kind::Tell][rng.random_range(0..3)];
-        let key = if rng.random_bool(0.3) { world.passing_key() } else { KEY.to_owned() };
+        let kind =
+            [CallKind::Idempotent, CallKind::AtMostOnce, CallKind::Stream][rng.random_range(0..3)];
+        let key = if rng.random_bool(0.3) { cluster.revocable_key() } else { API_KEY.to_owned() };
         let id = format!("c{index}-{serial}");
-        let one = once(caller.clone().key(&key), node, kind, id, key).await;
-        if one.reply.is_some() {
-            kept = Some(caller);
+        let record = send_default(caller.clone().key(&key), node, kind, id, key).await;
+        if record.reply.is_some() {
+            open = Some(caller);
         }
-        told.lock().push(one);
+        calls.lock().push(record);
         tokio::time::sleep(Duration::from_millis(rng.random_range(5..60))).await;
     }
 }
 
 /// Sends one call and gives what its caller saw.
-async fn once(caller: Caller, node: usize, kind: Kind, id: String, key: String) -> Told {
-    let body = if kind == Kind::Get { String::new() } else { format!("body of {id}") };
+async fn send_default(
+    caller: Caller,
+    node: usize,
+    kind: CallKind,
+    id: String,
+    key: String,
+) -> CallRecord {
+    let body = if kind == CallKind::Idempotent { String::new() } else { format!("body of {id}") };
     send(caller, node, kind, id, key, body).await
 }
 
@@ -142,19 +149,19 @@
 pub(crate) async fn send(
     caller: Caller,
     node: usize,
-    kind: Kind,
+    kind: CallKind,
     id: String,
     key: String,
     body: String,
-) -> Told {
+) -> CallRecord {
     let (method, target) = match kind {
-        Kind::Get => (Method::GET, "/get/x"),
-        Kind::Book => (Method::POST, "/book/x"),
-        Kind::Tell => (Method::POST, "/tell/x"),
+        CallKind::Idempotent => (Method::GET, "/get/x"),
+        CallKind::AtMostOnce => (Method::POST, "/book/x"),
+        CallKind::Stream => (Method::POST, "/tell/x"),
     };
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let caller = caller.call_id(&id);
-    let answered = tokio::time::timeout(ANSWER_TIMEOUT, caller.call(method, target, &body)).await;
-    let reply = answered.ok().and_then(Result::ok);
-    Told { id, node, kind, body, key, sent, took: sent.elapsed(), reply }
+    let result = tokio::time::timeout(ANSWER_TIMEOUT, caller.call(method, target, &body)).await;
+    let reply = result.ok().and_then(Result::ok);
+    CallRecord { id, node, kind, body, key, sent_at, elapsed: sent_at.elapsed(), reply }
 }
--- /dev/null
+++ b/crates/soak/tests/schedule.rs
@@ -0,0 +1,50 @@
+//! Scripts: the same for the same seed, every fault drawn, none after the end.
+
+use std::collections::HashSet;
+use std::mem::discriminant;
+use std::time::Duration;
+
+use heathpitch_soak::FaultSchedule;
+
+const LENGTH: Duration = Duration::from_secs(20);
+
+#[test]
+fn a_seed_always_gives_the_same_script() {
+    assert_eq!(FaultSchedule::generate(7, LENGTH), FaultSchedule::generate(7, LENGTH));
+    assert_ne!(
+        FaultSchedule::generate(7, LENGTH).faults,
+        FaultSchedule::generate(8, LENGTH).faults
+    );
+}
+
+#[test]
+fn every_fault_is_drawn_in_order_and_some_overlap() {
+    let mut kinds = HashSet::new();
+    for seed in 0..20 {
+        let schedule = FaultSchedule::generate(seed, LENGTH);
+        assert!(schedule.faults.iter().all(|s| s.at < LENGTH));
+        assert!(schedule.faults.is_sorted_by_key(|s| s.at));
+        let close =
+            schedule.faults.windows(2).filter(|w| w[1].at - w[0].at < Duration::from_millis(150));
+        assert!(close.count() > 0, "seed {seed}");
+        kinds.extend(schedule.faults.iter().map(|s| discriminant(&s.fault)));
+    }
+    assert_eq!(kinds.len(), 13);
+}
+
+#[test]
+fn additions_leave_the_rest_of_a_script_as_it_is() {
+    let mut kinds = HashSet::new();
+    for seed in 0..20 {
+        let plain = FaultSchedule::generate(seed, LENGTH);
+        let schedule = FaultSchedule::generate(seed, LENGTH).with_restarts();
+        assert_eq!(schedule, FaultSchedule::generate(seed, LENGTH).with_restarts());
+        assert!(schedule.faults.is_sorted_by_key(|s| s.at));
+        assert!(plain.faults.iter().all(|s| schedule.faults.contains(s)));
+        kinds.extend(schedule.faults.iter().map(|s| discriminant(&s.fault)));
+    }
+    assert_eq!(kinds.len(), 15);
+    let limited = FaultSchedule::generate(1, LENGTH).with_limits();
+    assert!(FaultSchedule::generate(1, LENGTH).faults.iter().all(|s| limited.faults.contains(s)));
+    assert!(limited.faults.iter().any(|s| matches!(s.fault, heathpitch_soak::Fault::Limit(..))));
+}
