--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -1,11 +1,15 @@
-//! Plays seeds of the soak by hand.
+//! Runs the soak for a range of seeds.
 //!
 //! ```sh
 //! cargo build --release -p heathpitchd --features seams
 //! cargo run --release -p heathpitch-soak --example soak -- --seeds 50 --from 1
 //! ```
 
-#![allow(clippy::unwrap_used, clippy::print_stdout, reason = "a tool's own output")]
+#![allow(
+    clippy::unwrap_used,
+    clippy::print_stdout,
+    reason = "a command-line tool prints its results"
+)]
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -13,24 +17,24 @@
 use gumdrop::Options;
 use heathpitch_soak::{FaultSchedule, run};
 
-/// Plays seeds of the soak.
+/// Runs the soak for a range of seeds.
 #[derive(Debug, Options)]
 struct Arguments {
     /// Prints this help.
     help: bool,
-    /// The node's binary.
+    /// Path of the node binary.
     #[options(default = "target/release/heathpitchd")]
     binary: PathBuf,
-    /// Seeds to play.
+    /// Number of seeds to run.
     #[options(default = "10")]
     seeds: u64,
     /// First seed.
     #[options(default = "1")]
     from: u64,
-    /// Runs at once.
+    /// Concurrent runs.
     #[options(default = "3")]
     jobs: usize,
-    /// Time for which faults begin, seconds.
+    /// Time within which faults start, in seconds.
     #[options(default = "12")]
     length: u64,
 }
@@ -59,7 +63,7 @@
             let report = report.unwrap();
             failed += usize::from(!report.violations.is_empty());
             println!(
-                "seed {seed}: {} calls, {} served, {:.3} in calm, {} breaches",
+                "seed {seed}: {} calls, {} succeeded, {:.3} after recovery, {} violations",
                 report.calls,
                 report.succeeded,
                 report.recovery_rate,
@@ -71,6 +75,6 @@
             report.request_logs.iter().take(20).for_each(|line| println!("    {line}"));
         }
     }
-    println!("{failed} of {} seeds broke a promise", seeds.len());
+    println!("{failed} of {} seeds violated an invariant", seeds.len());
     std::process::exit(i32::from(failed > 0));
 }
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Processes, engines and the store of a run, and what faults do to them.
+//! Test cluster of a run: node processes, engines and the store, with operations that inject faults.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -15,51 +15,53 @@
 use crate::load::{self, CallKind, CallRecord};
 use crate::schedule::{LAYERED_ENGINES, NODES, PLAIN_ENGINES};
 
-/// Key that stays.
+/// API key that is never revoked.
 pub(crate) const API_KEY: &str = "key-of-desk";
-/// Body of the request that ends every engine which begins to run it.
+/// Body of the request that crashes every engine which starts to run it.
 pub(crate) const FATAL_BODY: &str = "fatal";
-/// Time after which another engine starts in the place of one that ended, and after which its entry lapses.
+/// Time from the exit of an engine to the start of its replacement.
 const RESPAWN_DELAY: Duration = Duration::from_millis(1_500);
+/// Time from the exit of an engine to the removal of its store entry.
 const DEREGISTER_DELAY: Duration = Duration::from_millis(1_000);
-/// Time after which operator and engines write again to a store that came back older.
+/// Time from a restore of the store to the rewrite of configuration and engine entries.
 const REWRITE_DELAY: Duration = Duration::from_millis(700);
-/// Route that comes and goes.
+/// Path prefix of the route that is added and removed.
 pub(crate) const TOGGLED_PREFIX: &str = "/coming/";
-/// Events of a whole stream.
+/// Events in a complete stream.
 pub(crate) const STREAM_EVENTS: u64 = 20;
-/// Time of the routes of plain calls, and of streams.
+/// Timeout of routes without streaming.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Timeout of the streaming route.
 pub(crate) const STREAM_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// Time between two events.
+/// Time between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(15);
-/// Time after which the engine in a place is looked up again.
+/// Longest wait for an engine to exit before its slot is read again.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Layers of the stand-in's model, and of its first half.
+/// Ends of the layer ranges of the model's first and second half.
 const LAYER_RANGE_ENDS: (u32, u32) = (4, 8);
-/// Time for which a stopped node may go on.
+/// Longest time for a node to become ready or to exit.
 const NODE_TIMEOUT: Duration = Duration::from_secs(9);
-/// Agreed bounds of the nodes: short, so that runs meet them.
+/// Bound on key revocation; short, so that a run reaches it.
 const REVOKE_MS: u64 = 2_500;
 
-/// Why a run could not be made.
+/// Why a run could not be carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// A process could not be started.
+    /// A test process could not be started or signalled.
     #[error(transparent)]
     Node(#[from] StandInError),
-    /// What the system says.
+    /// The operating system reported an error.
     #[error(transparent)]
     System(#[from] std::io::Error),
 }
 
-/// An engine and the link before it.
+/// An engine and the proxy in front of it.
 pub(crate) struct ProxiedEngine {
     pub(crate) engine: Engine,
     pub(crate) proxy: Proxy,
 }
 
-/// Everything that runs.
+/// All processes of a run and the disruptions recorded so far.
 pub(crate) struct TestCluster {
     binary: PathBuf,
     pub(crate) store: Store,
@@ -67,22 +69,22 @@
     store_proxies: Vec<Proxy>,
     nodes: Vec<Mutex<Option<GatewayProcess>>>,
     engines: Mutex<Vec<ProxiedEngine>>,
-    /// Engines that were replaced; what they saw still counts.
+    /// Replaced engines; requests they received still count.
     replaced: Mutex<Vec<Engine>>,
     revoked_keys: Mutex<Vec<RevokedKey>>,
-    /// Nodes that stood still, and when they went on.
+    /// Paused nodes and when each resumed.
     pauses: Mutex<Vec<(usize, Instant)>>,
     drained: Mutex<Vec<DrainedEngine>>,
-    /// What callers of the fatal request were told.
+    /// Calls with the fatal body.
     fatal_calls: Mutex<Vec<CallRecord>>,
     node_disruptions: Mutex<Vec<NodeDisruption>>,
-    /// Engines whose links held requests up, or that started again, and when.
+    /// Engines whose requests may have been delayed, or that restarted.
     engine_disruptions: Mutex<Vec<EngineDisruption>>,
 }
 
-/// # Start
+/// # Startup
 impl TestCluster {
-    /// Starts the store, the engines and the nodes; gives them back once all are ready.
+    /// Starts the store, the engines and the nodes; does not wait until the nodes are ready.
     pub(crate) async fn start(binary: PathBuf) -> Result<Self, SoakError> {
         let store = Store::spawn()?;
         let store_proxies =
@@ -142,7 +144,7 @@
         Ok(())
     }
 
-    /// Waits until every node that runs is ready; false if one is not in time.
+    /// Waits until every node is ready; false if one is not ready in time.
     pub(crate) async fn wait_ready(&self) -> bool {
         for node in &self.nodes {
             let start = Instant::now();
@@ -159,18 +161,18 @@
     }
 }
 
-/// # Reading
+/// # Observations
 impl TestCluster {
-    /// Where callers reach a node, if it runs.
+    /// Address where a node accepts calls, if it is running.
     pub(crate) fn listen_address(&self, index: usize) -> Option<std::net::SocketAddr> {
         self.nodes[index].lock().as_ref().map(|n| n.listen)
     }
 
-    /// What callers were told, beside what engines saw.
+    /// History of the run: the given calls, the requests engines received and all disruptions.
     pub(crate) fn history(&self, calls: Vec<CallRecord>) -> History {
         let engines = self.engines.lock();
         let replaced = self.replaced.lock();
-        let engines = engines.iter().map(|s| &s.engine).chain(replaced.iter());
+        let engines = engines.iter().map(|e| &e.engine).chain(replaced.iter());
         History {
             calls,
             received: engines.flat_map(Engine::requests).collect(),
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Lines of the nodes' logs that name a call.
+    /// Log lines of all nodes that mention a call.
     pub(crate) fn request_log(&self, request: &str) -> Vec<String> {
         let lines = |n: &Mutex<Option<GatewayProcess>>| {
             n.lock().as_ref().map(|n| n.request_log(request)).unwrap_or_default()
@@ -194,7 +196,7 @@
 
 /// # Faults
 impl TestCluster {
-    /// Has a node stand still for a while.
+    /// Stops a node process with SIGSTOP for a time.
     pub(crate) async fn pause_node(
         &self,
         index: usize,
@@ -207,7 +209,7 @@
         Ok(())
     }
 
-    /// Sends a node a signal.
+    /// Sends a signal to a node if it is running.
     pub(crate) fn signal_node(&self, index: usize, name: &str) -> Result<(), SoakError> {
         match &*self.nodes[index].lock() {
             Some(node) => Ok(node.signal(name)?),
@@ -215,67 +217,68 @@
         }
     }
 
-    /// Ends a node by a signal and waits until it is gone; gives its exit code.
+    /// Stops a node with a signal, waits for it to exit and returns its exit code.
     pub(crate) async fn stop_node(
         &self,
         index: usize,
         signal: &str,
     ) -> Result<Option<i32>, SoakError> {
         let Some(mut node) = self.nodes[index].lock().take() else { return Ok(None) };
-        // A node that was paused meanwhile has to go on first.
+        // A paused node handles SIGTERM only after it has resumed.
         node.signal("CONT")?;
         node.signal(signal)?;
-        let ended = tokio::task::spawn_blocking(move || node.wait_exit(NODE_TIMEOUT)).await;
-        Ok(ended.ok().flatten())
+        let exit = tokio::task::spawn_blocking(move || node.wait_exit(NODE_TIMEOUT)).await;
+        Ok(exit.ok().flatten())
     }
 
-    /// Treats a node's bytes to and from the store in this way.
+    /// Sets how traffic between a node and the store is handled.
     pub(crate) fn set_store_link(&self, index: usize, link: LinkMode) {
         self.store_proxies[index].set_mode(link);
     }
 
-    /// Leaves a node's connections to the store silent for good.
+    /// Drops all further traffic on a node's open connections to the store.
     pub(crate) fn blackhole_store(&self, index: usize) {
         self.store_proxies[index].blackhole_open();
     }
 
-    /// Takes note of a time in which a node was disturbed, or all were.
+    /// Records that a node, or all nodes, were disrupted from `from` until now.
     pub(crate) fn record_node_disruption(&self, node: Option<usize>, from: Instant) {
         self.node_disruptions.lock().push(NodeDisruption { node, from, until: Instant::now() });
     }
 
-    /// Has the store behave in this way.
+    /// Sets how the store answers.
     pub(crate) fn set_store_mode(&self, mode: StoreMode) {
         self.store.set_mode(mode);
     }
 
-    /// Treats an engine's bytes in this way.
+    /// Sets how traffic to an engine is handled.
     pub(crate) fn set_engine_link(&self, index: usize, link: LinkMode) {
         self.engines.lock()[index].proxy.set_mode(link);
     }
 
-    /// Has an engine treat requests in this way; none: as usual.
+    /// Sets how an engine answers requests; `None` restores the default.
     pub(crate) fn set_engine_behavior(&self, index: usize, behavior: Option<Behavior>) {
         self.engine(index).set_behavior(behavior.unwrap_or(default_behavior(index)));
     }
 
-    /// A plain engine says that it leaves, and another one comes.
+    /// Marks a plain engine as draining and starts another in its slot.
     pub(crate) fn replace_engine(&self, index: usize, incarnation: u64) -> Result<(), SoakError> {
         let new = self.spawn_engine(index, incarnation)?;
         let old = std::mem::replace(&mut self.engines.lock()[index], new);
-        // What its link held back comes before its word, not after.
+        // Requests delayed by the proxy have to arrive before the drain notice.
         old.proxy.set_mode(LinkMode::Pass);
         old.engine.register("draining");
         self.drained
             .lock()
             .push(DrainedEngine { engine: old.engine.id.clone(), at: Instant::now() });
         self.replaced.lock().push(old.engine);
-        // Its link goes on for as long as the engine is kept.
+        // The drained engine still has to be reachable, so its proxy must not be dropped.
         std::mem::forget(old.proxy);
         Ok(())
     }
 
-    /// Has the store come back from a copy that is `age` old by then; operator and engines write again.
+    /// Restores the store from a snapshot that is `age` old by then, after which the configuration and
+    /// engine entries are written again.
     pub(crate) async fn restore_store(&self, age: Duration, changes: u64) {
         self.store.take_snapshot();
         tokio::time::sleep(age).await;
@@ -286,11 +289,11 @@
             true => engine.deregister(),
             false => engine.register(state),
         };
-        self.engines.lock().iter().for_each(|s| register(&s.engine, "ready"));
+        self.engines.lock().iter().for_each(|e| register(&e.engine, "ready"));
         self.replaced.lock().iter().for_each(|engine| register(engine, "draining"));
     }
 
-    /// Has an engine turn everybody away and tell this Retry-After; none: as usual again.
+    /// Has an engine refuse all requests with this Retry-After; `None` restores the default.
     pub(crate) fn set_retry_after(&self, index: usize, value: Option<&str>) {
         let engine = self.engine(index);
         match value {
@@ -300,12 +303,12 @@
         engine.set_behavior(value.map_or(default_behavior(index), |_| Behavior::Refuse));
     }
 
-    /// The engine in a place.
+    /// The engine in a slot.
     pub(crate) fn engine(&self, index: usize) -> Engine {
         self.engines.lock()[index].engine.clone()
     }
 
-    /// Takes note of a time in which requests to an engine were held up, or in which it started again.
+    /// Records that requests to an engine may have been delayed, or that it restarted, from `from` until now.
     pub(crate) fn record_engine_disruption(&self, index: usize, from: Instant) {
         let engine = self.engine(index).id;
         self.engine_disruptions.lock().push(EngineDisruption {
@@ -315,14 +318,14 @@
         });
     }
 
-    /// An engine starts again under its id.
+    /// Restarts an engine under the same id.
     pub(crate) fn restart_engine(&self, index: usize) {
         let engine = self.engine(index);
         engine.restart();
         engine.register("ready");
     }
 
-    /// Has the fatal request come to a node, under another id each time.
+    /// Sends the fatal request to a node, with a new call id each time.
     pub(crate) async fn send_fatal_request(&self, node: usize, serial: u64) {
         let Some(address) = self.listen_address(node) else { return };
         let (caller, id, key) =
@@ -331,21 +334,21 @@
         self.fatal_calls.lock().push(call);
     }
 
-    /// What callers of the fatal request were told.
+    /// Takes the calls recorded with the fatal body.
     pub(crate) fn take_fatal_calls(&self) -> Vec<CallRecord> {
         std::mem::take(&mut *self.fatal_calls.lock())
     }
 
-    /// Has the links of engines that end go with them, and others start in their places.
+    /// Shuts down the proxy of every engine that exits and starts another engine in its slot.
     pub(crate) async fn replace_exited(self: Arc<Self>) {
-        let every =
+        let tasks =
             (0..PLAIN_ENGINES + LAYERED_ENGINES).map(|index| self.clone().replace_exited_at(index));
-        futures::future::join_all(every).await;
+        futures::future::join_all(tasks).await;
     }
 
     async fn replace_exited_at(self: Arc<Self>, index: usize) {
         for incarnation in 1_000_000.. {
-            // A plain engine may be replaced meanwhile; the one that took its place is waited for then.
+            // A plain engine may have been replaced in the meantime, so the slot is read again.
             let engine = self.engine(index);
             if tokio::time::timeout(EXIT_CHECK_INTERVAL, engine.wait_exit()).await.is_err() {
                 continue;
@@ -360,12 +363,12 @@
         }
     }
 
-    /// Another writer's text stands where an engine's entry would.
+    /// Writes an entry of another writer under the prefix of the engine entries.
     pub(crate) fn write_foreign_entry(&self, serial: u64, text: &str) {
         self.store.put_bytes(&format!("servers/f{serial}"), text.as_bytes());
     }
 
-    /// Changes the configuration.
+    /// Changes the configuration and stores it.
     pub(crate) fn update_config(&self, change: impl FnOnce(&mut TestConfig)) {
         let mut config = self.config.lock();
         change(&mut config);
@@ -373,20 +376,22 @@
         self.store.put_config(&config.json());
     }
 
-    /// Takes a key away and gives the account a new one, `serial` in its name.
+    /// Revokes an API key and gives the account a new one with `serial` in its name.
     pub(crate) fn revoke_key(&self, serial: u64) {
         let new_key = format!("key-{serial}");
-        let mut old = String::new();
-        self.update_config(|config| old = std::mem::replace(&mut config.tenants[0].1[1], new_key));
-        self.revoked_keys.lock().push(RevokedKey { key: old, at: Instant::now() });
+        let mut old_key = String::new();
+        self.update_config(|config| {
+            old_key = std::mem::replace(&mut config.tenants[0].1[1], new_key)
+        });
+        self.revoked_keys.lock().push(RevokedKey { key: old_key, at: Instant::now() });
     }
 
-    /// The key that is taken away next.
+    /// The API key that is revoked next.
     pub(crate) fn revocable_key(&self) -> String {
         self.config.lock().tenants[0].1[1].clone()
     }
 
-    /// Adds the route that comes and goes, or removes it.
+    /// Adds the toggled route, or removes it if it is present.
     pub(crate) fn toggle_route(&self) {
         self.update_config(|config| match config.routes.len() {
             4.. => drop(config.routes.pop()),
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What may not happen, judged by what callers and engines saw.
+//! Invariants, checked against the recorded history of calls and of requests that reached engines.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -8,59 +8,60 @@
 use crate::cluster::{FATAL_BODY, STREAM_EVENTS};
 use crate::load::{CallKind, CallRecord};
 
-/// Time beyond that of its route after which an answer is late.
+/// Time beyond the route timeout after which an answer is late.
 const DEADLINE_SLACK: Duration = Duration::from_millis(1_000);
-/// Time for which an engine that said that it leaves may be sent requests, as nodes are told, with a
-/// little more for a busy machine.
+/// Time for which a draining engine may still receive requests: the time that nodes take to learn of it,
+/// with some slack for a busy machine.
 const DRAIN_GRACE: Duration = Duration::from_millis(2_200);
-/// Time after trouble in which nothing is asked of a node as to engines that leave.
+/// Time after a disruption, a crash of engines or a new limit until all nodes have to act on what
+/// they were told.
 const PROPAGATION_GRACE: Duration = Duration::from_millis(3_000);
-/// Time after an engine has asked for rest in which requests may come that were under way.
+/// Time after a Retry-After in which requests already in flight may arrive.
 const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
-/// Requests that may come all the same until the rest is over.
+/// Further requests that may arrive until the pause is over.
 const MAX_IN_PAUSE: usize = 2;
-/// Span in which requests to an engine that names a limit are counted.
+/// Window in which requests to an engine with a rate limit are counted.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
-/// Times the limit, and requests beside it, that it may get in a span.
+/// Requests allowed in a window: a multiple of the limit, plus a fixed number.
 const LIMIT_TOLERANCE: (f64, f64) = (1.5, 5.0);
-/// Sends of the fatal request that are allowed after that.
+/// Further times that the fatal request may reach engines after it has crashed three.
 const MAX_FATAL_REPEATS: usize = 3;
-/// The account that every call belongs to.
+/// Account of all calls.
 const ACCOUNT: &str = "desk";
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which one.
+    /// The invariant.
     pub invariant: &'static str,
-    /// Call; the run itself if there is none.
+    /// Id of the call; `None` if the whole run is concerned.
     pub id: Option<String>,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
-/// A key that was taken away.
+/// A revoked API key.
 #[derive(Clone, Debug)]
 pub struct RevokedKey {
     /// The key.
     pub key: String,
-    /// When its removal was accepted.
+    /// When the store accepted its removal.
     pub at: Instant,
 }
 
-/// An engine that said that it leaves.
+/// An engine whose store entry was marked as draining.
 #[derive(Clone, Debug)]
 pub struct DrainedEngine {
-    /// Its id.
+    /// Engine id.
     pub engine: String,
-    /// When the store had its word.
+    /// When the store had the entry.
     pub at: Instant,
 }
 
-/// A time in which a node, or its path to the store, was disturbed.
+/// A time in which a node, or its link to the store, was disrupted.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeDisruption {
-    /// The node; none for all.
+    /// The node; `None` for all nodes.
     pub node: Option<usize>,
     /// When it began.
     pub from: Instant,
@@ -68,10 +69,10 @@
     pub until: Instant,
 }
 
-/// A time in which requests to an engine were held up, or in which it started again under its id.
+/// A time in which requests to an engine may have been delayed, or in which it restarted.
 #[derive(Clone, Debug)]
 pub struct EngineDisruption {
-    /// Its id.
+    /// Engine id.
     pub engine: String,
     /// When it began.
     pub from: Instant,
@@ -79,30 +80,30 @@
     pub until: Instant,
 }
 
-/// What callers and engines saw in a run.
+/// Calls, requests received by engines, and disruptions of a run.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Calls.
+    /// Calls as seen by their callers.
     pub calls: Vec<CallRecord>,
     /// Requests that reached engines.
     pub received: Vec<ReceivedRequest>,
-    /// Keys that were taken away.
+    /// Revoked API keys.
     pub revoked_keys: Vec<RevokedKey>,
-    /// Time after which such a key may not work.
+    /// Time after which a revoked key must not work.
     pub revocation_bound: Duration,
-    /// Nodes that stood still, and when they went on.
+    /// Paused nodes and when each resumed.
     pub pauses: Vec<(usize, Instant)>,
-    /// Engines that left.
+    /// Engines that were drained.
     pub drained: Vec<DrainedEngine>,
-    /// When nodes were disturbed.
+    /// Disruptions of nodes.
     pub node_disruptions: Vec<NodeDisruption>,
-    /// When requests to engines were held up.
+    /// Disruptions of engines.
     pub engine_disruptions: Vec<EngineDisruption>,
 }
 
-/// # Judgement
+/// # Checks
 impl History {
-    /// Every promise that was broken.
+    /// All violations in this history.
     pub fn check(&self) -> Vec<Violation> {
         let mut runs: HashMap<&str, Vec<&ReceivedRequest>> = HashMap::new();
         for seen in self.received.iter().filter(|s| s.ran) {
@@ -135,59 +136,59 @@
             .collect()
     }
 
-    /// The fatal request reached engines more often than agreed after it had ended three, from nodes that
-    /// nothing disturbed meanwhile; or a proper one was held back with it.
+    /// Repeats of the fatal request beyond the allowed number after it had crashed three engines, from nodes
+    /// that were not disrupted; and normal requests that were held back.
     fn fatal_repeats(&self) -> Vec<Violation> {
         let fatal = |s: &&ReceivedRequest| &s.body[..] == FATAL_BODY.as_bytes();
         let mut seen: Vec<&ReceivedRequest> = self.received.iter().filter(fatal).collect();
         seen.sort_by_key(|s| s.at);
         let third = seen.iter().filter(|s| s.ran).nth(2).map(|s| s.at);
         let node =
-            |s: &ReceivedRequest| self.calls.iter().find(|t| s.id() == Some(&t.id)).map(|t| t.node);
+            |s: &ReceivedRequest| self.calls.iter().find(|c| s.id() == Some(&c.id)).map(|c| c.node);
         let later =
             seen.into_iter().filter(|s| third.is_some_and(|at| s.at > at + PROPAGATION_GRACE));
-        let more = later
+        let repeats = later
             .filter(|s| !self.was_disrupted(node(s), s.at))
             .skip(MAX_FATAL_REPEATS)
             .map(|s| Violation {
-                invariant: "a request that ended three engines reaches three more at most",
+                invariant: "a request that crashed three engines reaches at most three more",
                 id: s.id().map(str::to_owned),
                 detail: format!("at {:?}", s.engine()),
             });
         let held =
             |t: &&CallRecord| t.body != FATAL_BODY && t.reply.as_ref().is_some_and(is_held_back);
-        let wrong = self.calls.iter().filter(held).map(|t| Violation {
-            invariant: "proper requests are not held back",
+        let wrongly_held = self.calls.iter().filter(held).map(|t| Violation {
+            invariant: "normal requests are not held back",
             id: Some(t.id.clone()),
             detail: t.body.clone(),
         });
-        more.chain(wrong).collect()
+        repeats.chain(wrongly_held).collect()
     }
 
-    /// The node that each call came to.
+    /// Node that each call was sent to, by call id.
     fn nodes_by_call(&self) -> HashMap<&str, usize> {
         self.calls.iter().map(|t| (t.id.as_str(), t.node)).collect()
     }
 
-    /// Requests that reached an engine long after its word that it leaves, from nodes that nothing
-    /// disturbed meanwhile; that the node which tells them was disturbed is no excuse.
+    /// Requests that reached a draining engine after the grace period, from nodes that were not disrupted
+    /// themselves. A disruption of the node that informs them is no excuse.
     fn sent_after_drain(&self) -> Vec<Violation> {
         let nodes = self.nodes_by_call();
         let late = |s: &&ReceivedRequest| {
-            let left = self.drained.iter().find(|l| s.engine() == Some(&l.engine));
+            let drained = self.drained.iter().find(|l| s.engine() == Some(&l.engine));
             let node = s.id().and_then(|id| nodes.get(id)).copied();
-            left.is_some_and(|l| s.at > l.at + DRAIN_GRACE) && !self.was_disrupted(node, s.at)
+            drained.is_some_and(|l| s.at > l.at + DRAIN_GRACE) && !self.was_disrupted(node, s.at)
         };
         let violation = |s: &ReceivedRequest| Violation {
-            invariant: "an engine that left gets no work",
+            invariant: "a drained engine receives no requests",
             id: s.id().map(str::to_owned),
             detail: format!("at {:?}", s.engine()),
         };
         self.received.iter().filter(late).map(violation).collect()
     }
 
-    /// Requests that reached an engine against what it had asked of the same node: more than two within a rest,
-    /// any long after it said that it leaves. What disturbed the node or held requests up meanwhile excuses it.
+    /// Requests that ignored what an engine had asked of the same node: more than two during a pause, or any
+    /// after the grace period of a drain notice. A disruption of the node or the engine in between excuses them.
     fn ignored_backpressure(&self) -> Vec<Violation> {
         let nodes = self.nodes_by_call();
         let mut by_pair: HashMap<(&str, usize), Vec<&ReceivedRequest>> = HashMap::new();
@@ -214,17 +215,18 @@
                     id: s.id().map(str::to_owned),
                     detail: format!("at {engine}, {} ms later", (s.at - asked.at).as_millis()),
                 };
-                found.extend(within.map(|s| violation("an engine that asked for rest has it", s)));
-                found.extend(
-                    after.map(|s| violation("an engine that says it leaves gets no work", s)),
-                );
+                found.extend(within.map(|s| violation("an engine's Retry-After is respected", s)));
+                found.extend(after.map(|s| {
+                    violation("an engine that announced draining receives no requests", s)
+                }));
             }
         }
         found
     }
 
-    /// Engines that got more than the limit that they named for some time allows, from all nodes together, told or
-    /// not. What was disturbed itself is not counted; that the store was, or the node that hands out rights, is no excuse.
+    /// Engines that received more requests than their rate limit allows, from all nodes together, whether or
+    /// not these had learned of it. Requests of disrupted nodes or to disrupted engines are not counted; a
+    /// disruption of the store, or of the node that issues rights, is no excuse.
     fn limit_exceeded(&self) -> Vec<Violation> {
         let nodes = self.nodes_by_call();
         let mut by_engine: HashMap<&str, Vec<&ReceivedRequest>> = HashMap::new();
@@ -249,10 +251,10 @@
                         LIMIT_TOLERANCE.0 * limit * LIMIT_WINDOW.as_secs_f64() + LIMIT_TOLERANCE.1;
                     let count = window.count();
                     (count as f64 > allowed)
-                        .then(|| format!("{count} at {engine}, {allowed:.0} allowed"))
+                        .then(|| format!("{count} requests at {engine}, {allowed:.0} allowed"))
                 };
                 found.extend(counted.iter().enumerate().find_map(excess).map(|detail| Violation {
-                    invariant: "all nodes together keep the limit that an engine names",
+                    invariant: "all nodes together respect the rate limit of an engine",
                     id: None,
                     detail,
                 }));
@@ -261,28 +263,34 @@
         found
     }
 
-    /// Whether a node was disturbed, or requests to an engine held up, between two moments.
+    /// Whether the node or the engine was disrupted, or the node was paused, between two moments.
     fn is_excused(&self, engine: &str, node: usize, from: Instant, until: Instant) -> bool {
-        let of = |t: &&NodeDisruption| t.node == Some(node);
-        let disturbed =
-            self.node_disruptions.iter().filter(of).any(|t| t.from <= until && t.until >= from);
-        let of = |h: &&EngineDisruption| h.engine == engine;
-        let held =
-            self.engine_disruptions.iter().filter(of).any(|h| h.from <= until && h.until >= from);
+        let matches = |t: &&NodeDisruption| t.node == Some(node);
+        let node_disrupted = self
+            .node_disruptions
+            .iter()
+            .filter(matches)
+            .any(|t| t.from <= until && t.until >= from);
+        let matches = |h: &&EngineDisruption| h.engine == engine;
+        let engine_disrupted = self
+            .engine_disruptions
+            .iter()
+            .filter(matches)
+            .any(|h| h.from <= until && h.until >= from);
         let paused = self.pauses.iter().any(|(n, at)| *n == node && *at >= from);
-        disturbed || held || paused
+        node_disrupted || engine_disrupted || paused
     }
 
-    /// Whether a node was disturbed at a moment, or shortly before.
+    /// Whether a node was disrupted at a moment or shortly before.
     fn was_disrupted(&self, node: Option<usize>, at: Instant) -> bool {
-        let of = |t: &&NodeDisruption| t.node.is_none() || t.node == node;
+        let matches = |t: &&NodeDisruption| t.node.is_none() || t.node == node;
         self.node_disruptions
             .iter()
-            .filter(of)
+            .filter(matches)
             .any(|t| t.from <= at && at <= t.until + PROPAGATION_GRACE)
     }
 
-    /// Requests at engines that no caller sent as they are.
+    /// Requests at engines that differ from what the caller sent.
     fn altered_requests(&self) -> Vec<Violation> {
         let bodies: HashMap<&str, &str> =
             self.calls.iter().map(|t| (t.id.as_str(), t.body.as_str())).collect();
@@ -291,52 +299,55 @@
             sent.map(|b| b.as_bytes()) != Some(&s.body[..]) || s.account() != Some(ACCOUNT)
         };
         let violation = |s: &ReceivedRequest| Violation {
-            invariant: "engines run what callers sent",
+            invariant: "engines receive requests unchanged",
             id: s.id().map(str::to_owned),
             detail: format!("{} {} for {:?}", s.method, s.target, s.account()),
         };
         self.received.iter().filter(altered).map(violation).collect()
     }
 
-    /// An answer came long after its route's time.
+    /// An answer arrived long after the route timeout.
     fn late_answer(&self, call: &CallRecord) -> Option<&'static str> {
-        let route = call.kind.timeout();
-        // A node that stood still says nothing meanwhile.
+        let timeout = call.kind.timeout();
+        // A paused node cannot answer.
         let paused =
             self.pauses.iter().any(|(node, end)| *node == call.node && *end >= call.sent_at);
-        let late = call.elapsed > route + DEADLINE_SLACK && call.reply.is_some() && !paused;
-        late.then_some("an answer within the route's time")
+        let late = call.elapsed > timeout + DEADLINE_SLACK && call.reply.is_some() && !paused;
+        late.then_some("answers arrive within the route timeout")
     }
 
-    /// A key worked after the time agreed from its removal.
+    /// A key worked beyond the revocation bound.
     fn revoked_key_used(&self, call: &CallRecord, runs: usize) -> Option<&'static str> {
         let revoked = self.revoked_keys.iter().find(|r| r.key == call.key)?;
-        let over = call.sent_at > revoked.at + self.revocation_bound && runs > 0;
-        over.then_some("a key that was taken away ends")
+        let expired = call.sent_at > revoked.at + self.revocation_bound && runs > 0;
+        expired.then_some("revoked keys stop working")
     }
 }
 
-/// Whether a call was refused because engines ended under its request.
+/// Whether a call was refused because its request had crashed engines.
 fn is_held_back(reply: &Reply) -> bool {
     reply.status == 503 && String::from_utf8_lossy(&reply.body).contains("\"held_back\"")
 }
 
-/// A call that may run once ran more often.
+/// A call that may run at most once ran more than once.
 fn duplicate_run(call: &CallRecord, runs: usize) -> Option<&'static str> {
-    (call.kind == CallKind::AtMostOnce && runs > 1).then_some("at most once")
+    (call.kind == CallKind::AtMostOnce && runs > 1)
+        .then_some("non-idempotent calls run at most once")
 }
 
-/// A call that may run once was said not to have run, but did.
+/// A call that may run at most once was reported as not run, but ran.
 fn false_not_run(call: &CallRecord, runs: usize) -> Option<&'static str> {
     let denied = matches!(call.status(), Some(408 | 421 | 429 | 503));
-    (call.kind == CallKind::AtMostOnce && denied && runs > 0).then_some("not run is true")
+    (call.kind == CallKind::AtMostOnce && denied && runs > 0)
+        .then_some("calls reported as not run did not run")
 }
 
-/// A success is not whole, not its own or not stamped; or a stream lacks an event or has one twice.
+/// A successful answer is incomplete, belongs to another call or has no digest, or a stream lacks or
+/// repeats an event.
 fn corrupt_answer(call: &CallRecord) -> Option<&'static str> {
     let reply = call.reply.as_ref().filter(|r| r.status == 200)?;
     let events = reply.events();
-    let own = match call.kind {
+    let unmodified = match call.kind {
         CallKind::Idempotent | CallKind::AtMostOnce => {
             !reply.complete || reply.body == call.body.as_bytes()
         }
@@ -344,6 +355,6 @@
     };
     let complete =
         call.kind != CallKind::Stream || !reply.complete || events.len() as u64 == STREAM_EVENTS;
-    let good = own && complete && reply.digest().is_some();
-    (!good).then_some("whole and own answers")
+    let valid = unmodified && complete && reply.digest().is_some();
+    (!valid).then_some("answers are complete and unmodified")
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,9 @@
 //! Randomised faults against nodes that run as processes.
 //!
-//! A [`Script`] is drawn from a seed: kills, stops, pauses, restarts, spoilt links, a store that
-//! misbehaves, engines that come, go and fail, configurations that change. [`run`] plays it on
-//! real processes under load and gives every [`Breach`] that callers and engines saw.
+//! A [`FaultSchedule`] is generated from a seed: nodes that are killed, stopped, paused or reloaded,
+//! faulty links, store outages, engines that are replaced or fail, configuration changes. [`run`]
+//! applies it to real processes under load and reports every [`Violation`] found in the history of
+//! calls and of requests that reached engines.
 
 mod cluster;
 mod invariants;
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers: each keeps its connection for as long as its node keeps it.
+//! Load: callers that reuse their connection as long as the node keeps it open.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -13,9 +13,8 @@
 use crate::cluster::{API_KEY, CALL_TIMEOUT, STREAM_TIMEOUT, TestCluster};
 use crate::schedule::NODES;
 
-/// Callers of each node.
 const CALLERS_PER_NODE: usize = 3;
-/// Time after which a caller leaves an answer that does not end.
+/// Time after which a caller abandons an incomplete answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Kinds of calls.
@@ -23,14 +22,14 @@
 pub enum CallKind {
     /// May run more than once.
     Idempotent,
-    /// May run once.
+    /// May run at most once.
     AtMostOnce,
-    /// A stream.
+    /// A stream of numbered events.
     Stream,
 }
 
 impl CallKind {
-    /// Time of its route.
+    /// Timeout of the route for this kind.
     pub(crate) fn timeout(self) -> Duration {
         match self {
             Self::Idempotent | Self::AtMostOnce => CALL_TIMEOUT,
@@ -39,34 +38,34 @@
     }
 }
 
-/// A call and what its caller saw.
+/// A call and its result as seen by the caller.
 #[derive(Debug)]
 pub struct CallRecord {
-    /// Its id.
+    /// Call id.
     pub id: String,
-    /// Node it was sent to.
+    /// Node that it was sent to.
     pub node: usize,
-    /// Its kind.
+    /// Kind of call.
     pub kind: CallKind,
-    /// Its body.
+    /// Request body.
     pub body: String,
-    /// Its key.
+    /// API key.
     pub key: String,
     /// When it was sent.
     pub sent_at: Instant,
-    /// Time to the end of the answer.
+    /// Time from sending to the end of the answer.
     pub elapsed: Duration,
-    /// None if no head of an answer came.
+    /// Answer; `None` if no response head arrived.
     pub reply: Option<Reply>,
 }
 
 impl CallRecord {
-    /// Status of the answer.
+    /// HTTP status of the answer.
     pub(crate) fn status(&self) -> Option<u16> {
         self.reply.as_ref().map(|r| r.status)
     }
 
-    /// What it met in place of a success: node, kind of call, status, and the node's word for it.
+    /// Summary of a failed call: node, kind of call, status and the error kind that the node reported.
     pub(crate) fn failure(&self) -> String {
         let body = self.reply.as_ref().map(|r| String::from_utf8_lossy(&r.body).into_owned());
         let error = body.and_then(|b| serde_json::from_str::<serde_json::Value>(&b).ok());
@@ -74,13 +73,13 @@
         format!("n{} {:?} {:?} {kind}", self.node, self.kind, self.status())
     }
 
-    /// Whether a success came whole.
+    /// Whether the answer is successful and complete.
     pub(crate) fn succeeded(&self) -> bool {
         self.reply.as_ref().is_some_and(|r| r.status == 200 && r.complete)
     }
 }
 
-/// Calls until `stop` turns true.
+/// Runs all callers until `stop` is set.
 pub(crate) async fn run(
     cluster: Arc<TestCluster>,
     seed: u64,
@@ -93,7 +92,7 @@
         callers.push(tokio::spawn(run_caller(cluster, index, seed, stop, calls)));
     }
     for caller in callers {
-        // A caller that panicked is seen by the missing calls.
+        // A caller that panicked shows up as missing calls.
         let _ = caller.await;
     }
 }
@@ -133,7 +132,7 @@
     }
 }
 
-/// Sends one call and gives what its caller saw.
+/// Sends a call with the default body for its kind.
 async fn send_default(
     caller: Caller,
     node: usize,
@@ -145,7 +144,7 @@
     send(caller, node, kind, id, key, body).await
 }
 
-/// The same, with a body of its own.
+/// Sends a call with the given body and records its result.
 pub(crate) async fn send(
     caller: Caller,
     node: usize,
--- a/crates/soak/src/runner.rs
+++ b/crates/soak/src/runner.rs
@@ -1,4 +1,4 @@
-//! A run: the load, the faults of a script, the end in calm, the judgement.
+//! Runs a fault schedule under load, measures recovery afterwards and checks the recorded history.
 
 use std::collections::{BTreeMap, HashSet};
 use std::path::PathBuf;
@@ -15,40 +15,43 @@
 use crate::load::{self, CallRecord};
 use crate::schedule::{Fault, FaultSchedule};
 
-/// Time in calm after the last fault, in which calls are counted.
+/// Time after recovery in which the success rate is measured.
 const MEASUREMENT_TIME: Duration = Duration::from_millis(2_500);
-/// Time from the end of the last fault to the calm: nodes have to be trusted again.
+/// Time from the end of the last fault to the measurement: suspicion of engines and nodes has to clear first.
 const RECOVERY_TIME: Duration = Duration::from_millis(6_000);
-/// Share of the calls in calm that have to be served.
+/// Smallest share of calls that have to succeed after recovery.
 const MIN_RECOVERY_RATE: f64 = 0.9;
-/// Exit codes of a node that was told to stop: all calls ended, or some were cut off.
+/// Exit codes of a node after SIGTERM: 0 if all calls had ended, 4 if some were cut off.
 const SHUTDOWN_CODES: [Option<i32>; 2] = [Some(0), Some(4)];
 
-/// What a run saw.
+/// Results of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakReport {
     /// Calls made.
     pub calls: usize,
-    /// Calls answered with success, whole.
+    /// Calls with a complete successful answer.
     pub succeeded: usize,
-    /// Share of the calls in calm that were served.
+    /// Share of calls that succeeded after recovery.
     pub recovery_rate: f64,
-    /// Promises broken.
+    /// Invariants that were violated.
     pub violations: Vec<Violation>,
-    /// Lines of the nodes' logs that name calls of these.
+    /// Log lines of the nodes that mention the calls of these violations.
     pub request_logs: Vec<String>,
 }
 
-/// Plays a script against nodes of this binary.
+/// Runs a fault schedule against nodes started from `binary`.
 ///
 /// # Errors
 ///
-/// [`SoakError`] if a process cannot be started.
+/// [`SoakError`] if a process cannot be started or signalled.
 pub async fn run(binary: PathBuf, schedule: &FaultSchedule) -> Result<SoakReport, SoakError> {
     let cluster = Arc::new(TestCluster::start(binary).await?);
     let mut violations = Vec::new();
     if !cluster.wait_ready().await {
-        violations.push(run_violation("a fleet starts", "a node was not ready in time".to_owned()));
+        violations.push(run_violation(
+            "all nodes become ready",
+            "a node was not ready in time after start".to_owned(),
+        ));
     }
     let stop = Arc::new(AtomicBool::new(false));
     let calls: Arc<Mutex<Vec<CallRecord>>> = Arc::default();
@@ -57,35 +60,37 @@
         tokio::spawn(load::run(cluster.clone(), schedule.seed, stop.clone(), calls.clone()));
     violations.extend(inject_faults(&cluster, schedule).await?);
     if !cluster.wait_ready().await {
-        violations
-            .push(run_violation("a fleet recovers", "a node is not ready in calm".to_owned()));
+        violations.push(run_violation(
+            "the fleet recovers",
+            "a node was not ready in time after the last fault".to_owned(),
+        ));
     }
     tokio::time::sleep(RECOVERY_TIME).await;
     let from = Instant::now();
     tokio::time::sleep(MEASUREMENT_TIME).await;
     stop.store(true, Relaxed);
-    // A caller that panicked is seen by the missing calls.
+    // A caller that panicked shows up as missing calls.
     let _ = callers.await;
     replacing.abort();
-    // It keeps the world, and with it the nodes, until it has ended: nodes that outlive a run ask for their
-    // store at an address that a later run's engine may have.
+    // The task keeps the cluster, and so its nodes, alive until it has ended. Nodes that outlive their run
+    // keep connecting to their store's address, which may belong to an engine of a later run.
     let _ = replacing.await;
     let calls = std::mem::take(&mut *calls.lock());
-    let recovered: Vec<&CallRecord> = calls.iter().filter(|t| t.sent_at >= from).collect();
-    let good = recovered.iter().filter(|t| t.succeeded()).count();
+    let recovered: Vec<&CallRecord> = calls.iter().filter(|c| c.sent_at >= from).collect();
+    let good = recovered.iter().filter(|c| c.succeeded()).count();
     let recovery_rate = good as f64 / recovered.len().max(1) as f64;
     if recovery_rate < MIN_RECOVERY_RATE {
-        let failed = calls.iter().filter(|t| t.sent_at >= from && !t.succeeded());
+        let failed = calls.iter().filter(|c| c.sent_at >= from && !c.succeeded());
         let mut failures: BTreeMap<String, usize> = BTreeMap::new();
-        failed.for_each(|t| *failures.entry(t.failure()).or_default() += 1);
+        failed.for_each(|c| *failures.entry(c.failure()).or_default() += 1);
         let detail = format!("{recovery_rate:.2} of calls succeeded after recovery: {failures:?}");
-        violations.push(run_violation("a fleet recovers", detail));
+        violations.push(run_violation("the fleet recovers", detail));
     }
     let calls: Vec<CallRecord> = calls.into_iter().chain(cluster.take_fatal_calls()).collect();
-    let (total, succeeded) = (calls.len(), calls.iter().filter(|t| t.succeeded()).count());
+    let (total, succeeded) = (calls.len(), calls.iter().filter(|c| c.succeeded()).count());
     violations.extend(cluster.history(calls).check());
     let request_logs =
-        violations.iter().filter_map(|b| b.id.as_deref()).flat_map(|id| cluster.request_log(id));
+        violations.iter().filter_map(|v| v.id.as_deref()).flat_map(|id| cluster.request_log(id));
     let request_logs = request_logs.collect();
     Ok(SoakReport { calls: total, succeeded, recovery_rate, violations, request_logs })
 }
@@ -94,14 +99,14 @@
     Violation { invariant, id: None, detail }
 }
 
-/// Faults that run; a node that is being restarted is left alone.
+/// Injects faults; a node that is already restarting is not restarted again.
 struct Injector {
     cluster: Arc<TestCluster>,
     restarting: Mutex<HashSet<usize>>,
     serial: AtomicU64,
 }
 
-/// Begins every fault at its time and waits until all have ended.
+/// Starts every fault at its scheduled time and waits until all have ended.
 async fn inject_faults(
     cluster: &Arc<TestCluster>,
     schedule: &FaultSchedule,
@@ -120,17 +125,17 @@
         running.spawn(async move { injector.inject(fault).await });
     }
     let mut violations = Vec::new();
-    while let Some(ended) = running.join_next().await {
-        match ended {
+    while let Some(joined) = running.join_next().await {
+        match joined {
             Ok(result) => violations.extend(result?),
-            Err(e) => violations.push(run_violation("a fault ends", e.to_string())),
+            Err(e) => violations.push(run_violation("fault injection completes", e.to_string())),
         }
     }
     Ok(violations)
 }
 
 impl Injector {
-    /// Plays a fault and takes note of whom it disturbed.
+    /// Injects a fault and records which node or engine it disrupted.
     async fn inject(&self, fault: Fault) -> Result<Option<Violation>, SoakError> {
         let from = Instant::now();
         let violation = self.apply(fault).await;
@@ -210,7 +215,7 @@
         Ok(None)
     }
 
-    /// Ends a node and starts it anew.
+    /// Stops a node with a signal and starts it again.
     async fn restart_node(
         &self,
         node: usize,
@@ -222,9 +227,9 @@
         let code = self.cluster.stop_node(node, signal).await?;
         self.cluster.start_node(node)?;
         self.restarting.lock().remove(&node);
-        let bad = signal == "TERM" && !SHUTDOWN_CODES.contains(&code);
-        Ok(bad.then(|| {
-            run_violation("a node stops when told", format!("node {node} ended with {code:?}"))
+        let unclean = signal == "TERM" && !SHUTDOWN_CODES.contains(&code);
+        Ok(unclean.then(|| {
+            run_violation("a node shuts down cleanly", format!("node {node} exited with {code:?}"))
         }))
     }
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong when, drawn from a seed.
+//! Schedules of faults, generated from a seed.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -7,67 +7,68 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Nodes of a run.
+/// Nodes in a run.
 pub(crate) const NODES: usize = 3;
-/// Plain engines of a run.
+/// Engines without layers in a run.
 pub(crate) const PLAIN_ENGINES: usize = 3;
-/// Engines of a run that hold layers: two copies of both halves of the model.
+/// Engines that hold layers in a run: two copies of each half of the model.
 pub(crate) const LAYERED_ENGINES: usize = 4;
 
-/// Something that goes wrong, or planned work.
+/// A fault or an operator action.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A node is killed and started anew.
+    /// Kills a node and starts it again.
     Kill(usize),
-    /// A node is told to stop, with calls open, and started anew.
+    /// Shuts a node down while calls are open and starts it again.
     Stop(usize),
-    /// A node stands still.
+    /// Stops a node process with SIGSTOP for a time.
     Pause(usize, Duration),
-    /// A node reads its settings again.
+    /// Has a node reload its settings.
     Reload(usize),
-    /// A node's link to the store is spoilt.
+    /// Disrupts a node's link to the store.
     StoreLink(usize, LinkMode, Duration),
-    /// A node's connections to the store fall silent for good; new ones work.
+    /// Drops all traffic on a node's open connections to the store; new connections work.
     StoreBlackhole(usize),
-    /// The store misbehaves for all.
+    /// Makes the store fail for all nodes.
     Store(StoreMode, Duration),
-    /// The store forgets its history.
+    /// Compacts the store's history.
     CompactStore,
-    /// The link to an engine is spoilt.
+    /// Disrupts the link to an engine.
     EngineLink(usize, LinkMode, Duration),
-    /// An engine treats requests in another way.
+    /// Changes how an engine answers requests.
     EngineBehavior(usize, Behavior, Duration),
-    /// A plain engine leaves and another one comes.
+    /// Drains a plain engine and starts another one.
     ReplaceEngine(usize),
-    /// A route comes or goes.
+    /// Adds or removes a route.
     ToggleRoute,
-    /// A key is taken away.
+    /// Revokes an API key.
     RevokeKey,
-    /// An engine starts again under its id and holds nothing.
+    /// Restarts an engine under the same id, without any layers.
     RestartEngine(usize),
-    /// Another writer puts this in an entry's place.
+    /// Writes this value of another writer as an engine entry.
     ForeignEntry(&'static str),
-    /// A node's VM is suspended for ten seconds, as far as its clocks show.
+    /// Makes a node's clocks show that its VM was suspended for ten seconds.
     SuspendVm(usize),
-    /// The request that ends every engine which begins to run it comes to a node.
+    /// Sends a node the request that crashes every engine which starts to run it.
     FatalRequest(usize),
-    /// The store comes back from a copy this old, and has taken so many changes of others since.
+    /// Restores the store from a snapshot of this age, with this many later changes by others.
     RestoreStore(Duration, u64),
-    /// An engine turns everybody away for a while, and tells this Retry-After.
+    /// Has an engine refuse all requests with this Retry-After value.
     RetryAfter(usize, &'static str, Duration),
-    /// A plain engine says in its answers that it leaves, for a while before its entry does, and another comes.
+    /// Has a plain engine announce draining in its answers, this long before its entry does and another
+    /// engine replaces it.
     DrainNotice(usize, Duration),
-    /// An engine names this limit of requests a second for a while.
+    /// Has an engine set this rate limit in requests per second.
     Limit(usize, &'static str, Duration),
 }
 
-/// What engines that turn requests away tell.
+/// Retry-After values of engines that refuse requests.
 const RETRY_AFTER_VALUES: [&str; 8] = ["3", "1", "0.7", "2.25", "0", "soon", "-1", "4"];
 
-/// What engines name that take so many requests a second from all nodes together.
+/// Rate limits that engines set for all nodes together, in requests per second.
 const LIMIT_VALUES: [&str; 8] = ["3", "0.7", "1.5", "0", "few", "6", "2.25", "1e9"];
 
-/// What other writers put in an entry's place.
+/// Invalid engine entries of other writers.
 const FOREIGN_ENTRIES: [&str; 5] = [
     "null",
     r#"["api","127.0.0.1:9","mem",8,"ready"]"#,
@@ -75,43 +76,43 @@
     r#"{"service":"api","address":"127.0.0.1:9","zone":"mem","slots":8,"state":"asleep"}"#,
     r#"{"service":7,"address":"127.0.0.1:9","zone":"mem","slots":8,"state":"ready"}"#,
 ];
-/// Added to a seed, so that what is added to a script is not drawn with it.
+/// Added to the seed, so that restarts and foreign entries are drawn from a random generator of their own.
 const RESTART_SALT: u64 = 0x11fe;
-/// The same for suspended VMs and fatal requests.
+/// Likewise for suspended VMs and fatal requests.
 const CRASH_SALT: u64 = 0xe2d5;
 
-/// The same for what engines ask for.
+/// Likewise for backpressure from engines.
 const BACKPRESSURE_SALT: u64 = 0x3e57;
 
-/// The same for returns of the store.
+/// Likewise for restores of the store.
 const RESTORE_SALT: u64 = 0x4e7a;
 
-/// The same for limits that engines name.
+/// Likewise for rate limits that engines set.
 const LIMIT_SALT: u64 = 0x11a7;
 
-/// A fault and when it begins.
+/// A fault and its start time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// Time from the start of the load.
+    /// Time since the start of the load.
     pub at: Duration,
-    /// What happens.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// Faults of a run, in order.
+/// Faults of a run in order of time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultSchedule {
-    /// Seed it was drawn from.
+    /// Seed that it was generated from.
     pub seed: u64,
-    /// Time for which faults begin.
+    /// Time within which faults start.
     pub duration: Duration,
-    /// The faults.
+    /// Scheduled faults.
     pub faults: Vec<ScheduledFault>,
 }
 
 /// # Construction
 impl FaultSchedule {
-    /// Draws a script; faults come in bursts, so that some overlap.
+    /// Generates a schedule; faults come in bursts, so that some overlap.
     pub fn generate(seed: u64, duration: Duration) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut faults = Vec::new();
@@ -128,9 +129,9 @@
     }
 }
 
-/// # Additions, drawn apart, so that the rest of a seed's script stays as it is
+/// # Extensions, which leave the faults already scheduled for a seed unchanged
 impl FaultSchedule {
-    /// The same with VMs that are suspended and a request that ends engines.
+    /// Adds suspended VMs and requests that crash engines.
     #[must_use]
     pub fn with_crashes(self) -> Self {
         self.with_faults(CRASH_SALT, 500..2_000, |rng| {
@@ -144,7 +145,7 @@
         })
     }
 
-    /// The same with a store that comes back older, once or twice.
+    /// Adds restores of the store from an older snapshot, usually one or two.
     #[must_use]
     pub fn with_store_restores(self) -> Self {
         self.with_faults(RESTORE_SALT, 500..5_000, |rng| {
@@ -154,7 +155,7 @@
         })
     }
 
-    /// The same with engines that ask for rest, or say that they leave before their entries do.
+    /// Adds engines that send Retry-After, or that announce draining before their entries do.
     #[must_use]
     pub fn with_backpressure(self) -> Self {
         self.with_faults(BACKPRESSURE_SALT, 300..2_000, |rng| {
@@ -174,7 +175,7 @@
         })
     }
 
-    /// The same with engines that name limits, for longer than nodes need to hear of them.
+    /// Adds engines that set rate limits, some for longer than the limits take to reach all nodes.
     #[must_use]
     pub fn with_limits(self) -> Self {
         self.with_faults(LIMIT_SALT, 100..1_000, |rng| {
@@ -186,7 +187,7 @@
         })
     }
 
-    /// The same with engines that start again under their ids and entries of other writers.
+    /// Adds engines that restart under the same id, and entries of other writers.
     #[must_use]
     pub fn with_restarts(self) -> Self {
         self.with_faults(RESTART_SALT, 500..3_000, |rng| {
@@ -200,8 +201,8 @@
         })
     }
 
-    /// The same with faults that `draw` gives, each with the time to the next; the first one comes `first`
-    /// milliseconds from the start.
+    /// Adds faults from `generate`, each with the time to the next; the first starts `first` milliseconds
+    /// after the load.
     fn with_faults(
         mut self,
         salt: u64,
@@ -245,7 +246,8 @@
     }
 }
 
-/// An engine leaves soon after a node's link to the store was spoilt: the node may not have heard of it.
+/// Replaces an engine soon after a node's link to the store was disrupted, when the node may not yet have
+/// learned of the change.
 fn follow_up(rng: &mut StdRng, scheduled: ScheduledFault) -> Option<ScheduledFault> {
     let time = match scheduled.fault {
         Fault::StoreLink(_, _, time) => time,
--- a/crates/soak/tests/invariants.rs
+++ b/crates/soak/tests/invariants.rs
@@ -1,6 +1,6 @@
-//! The judge: every broken promise is found, and a good run has none.
+//! Invariant checks: every violation is found, and a correct history has none.
 
-#![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails its test")]
 
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_good_run_breaks_nothing() {
+fn a_correct_history_has_no_violations() {
     let one = || received("body", "desk");
     assert_eq!(violated(call(CallKind::AtMostOnce, 200, "body"), vec![one()]), [""; 0]);
     assert_eq!(violated(call(CallKind::Idempotent, 200, "body"), vec![one(), one()]), [""; 0]);
@@ -46,34 +46,37 @@
 }
 
 #[test]
-fn runs_are_counted() {
+fn duplicate_and_denied_runs_are_found() {
     let one = || received("body", "desk");
     assert_eq!(
         violated(call(CallKind::AtMostOnce, 200, "body"), vec![one(), one()]),
-        ["at most once"]
+        ["non-idempotent calls run at most once"]
+    );
+    assert_eq!(
+        violated(call(CallKind::AtMostOnce, 503, ""), vec![one()]),
+        ["calls reported as not run did not run"]
     );
-    assert_eq!(violated(call(CallKind::AtMostOnce, 503, ""), vec![one()]), ["not run is true"]);
 }
 
 #[test]
-fn answers_are_compared() {
+fn incomplete_or_altered_answers_are_found() {
     let one = || vec![received("body", "desk")];
-    let corrupt = ["whole and own answers"];
+    let corrupt = ["answers are complete and unmodified"];
     assert_eq!(violated(call(CallKind::AtMostOnce, 200, "another"), one()), corrupt);
     for events in [stream(1..=19), stream((1..=20).filter(|n| *n != 7)), stream(1..=21)] {
         assert_eq!(violated(call(CallKind::Stream, 200, &events), one()), corrupt);
     }
-    let mut unstamped = call(CallKind::Idempotent, 200, "body");
-    unstamped.reply.as_mut().unwrap().headers.clear();
-    assert_eq!(violated(unstamped, one()), corrupt);
+    let mut without_digest = call(CallKind::Idempotent, 200, "body");
+    without_digest.reply.as_mut().unwrap().headers.clear();
+    assert_eq!(violated(without_digest, one()), corrupt);
     let mut short = call(CallKind::Stream, 200, &stream(1..=7));
     short.reply.as_mut().unwrap().complete = false;
-    assert_eq!(violated(short, one()), [""; 0], "what breaks off visibly is no lie");
+    assert_eq!(violated(short, one()), [""; 0], "a visibly truncated answer is allowed");
 }
 
 #[test]
-fn requests_at_engines_are_compared() {
-    let altered = ["engines run what callers sent"];
+fn altered_requests_are_found() {
+    let altered = ["engines receive requests unchanged"];
     assert_eq!(
         violated(call(CallKind::Idempotent, 200, "body"), vec![received("other", "desk")]),
         altered
@@ -85,10 +88,10 @@
 }
 
 #[test]
-fn late_answers_and_old_keys_are_found() {
+fn late_answers_and_use_of_revoked_keys_are_found() {
     let mut late = call(CallKind::Idempotent, 504, "");
     late.elapsed = Duration::from_secs(9);
-    assert_eq!(violated(late, vec![]), ["an answer within the route's time"]);
+    assert_eq!(violated(late, vec![]), ["answers arrive within the route timeout"]);
     let one = call(CallKind::Idempotent, 200, "body");
     let at = one.sent_at.checked_sub(Duration::from_secs(4)).unwrap();
     let evidence = History {
@@ -98,11 +101,11 @@
         revocation_bound: Duration::from_secs(3),
         ..History::default()
     };
-    assert_eq!(evidence.check()[0].invariant, "a key that was taken away ends");
+    assert_eq!(evidence.check()[0].invariant, "revoked keys stop working");
 }
 
 #[test]
-fn requests_at_engines_that_left_are_found() {
+fn requests_at_drained_engines_are_found() {
     let late = received("body", "desk").with_engine("e1");
     let ago = |ms| late.at.checked_sub(Duration::from_millis(ms)).unwrap();
     let violations = |left, disruptions: &[NodeDisruption]| {
@@ -118,15 +121,15 @@
     let disruption =
         |node, until| NodeDisruption { node, from: ago(until + 500), until: ago(until) };
     assert_eq!(violations(2_500, &[]), 1);
-    assert_eq!(violations(1_500, &[]), 0, "it may still be sent work");
-    assert_eq!(violations(2_500, &[disruption(Some(0), 2_000)]), 0, "its node was disturbed");
-    assert_eq!(violations(2_500, &[disruption(None, 2_000)]), 0, "all were");
-    assert_eq!(violations(4_500, &[disruption(Some(0), 3_500)]), 1, "longer ago");
-    assert_eq!(violations(2_500, &[disruption(Some(1), 2_000)]), 1, "another node was");
+    assert_eq!(violations(1_500, &[]), 0, "within the grace period");
+    assert_eq!(violations(2_500, &[disruption(Some(0), 2_000)]), 0, "its node was disrupted");
+    assert_eq!(violations(2_500, &[disruption(None, 2_000)]), 0, "all nodes were disrupted");
+    assert_eq!(violations(4_500, &[disruption(Some(0), 3_500)]), 1, "disrupted too long ago");
+    assert_eq!(violations(2_500, &[disruption(Some(1), 2_000)]), 1, "another node was disrupted");
 }
 
 #[test]
-fn requests_against_what_an_engine_asked_for_are_found() {
+fn requests_that_ignore_backpressure_are_found() {
     let now = Instant::now() + Duration::from_secs(10);
     let visit = |ms: u64| ReceivedRequest {
         at: now + Duration::from_millis(ms),
@@ -149,23 +152,23 @@
     };
     let three = [asked(0, 3_000), visit(600), visit(700), visit(800)];
     assert_eq!(violations(&three, &[], &[]), 1);
-    assert_eq!(violations(&three[..3], &[], &[]), 0, "two may come");
+    assert_eq!(violations(&three[..3], &[], &[]), 0, "two requests are allowed");
     let early = [asked(0, 3_000), visit(300), visit(400), visit(450), visit(3_100)];
-    assert_eq!(violations(&early, &[], &[]), 0, "under way, and after its end");
+    assert_eq!(violations(&early, &[], &[]), 0, "in flight, or after the pause");
     let (from, until) = (now + Duration::from_millis(100), now + Duration::from_millis(200));
     let held = EngineDisruption { engine: "e1".to_owned(), from, until };
-    assert_eq!(violations(&three, std::slice::from_ref(&held), &[]), 0, "they were held up");
+    assert_eq!(violations(&three, std::slice::from_ref(&held), &[]), 0, "the engine was disrupted");
     assert_eq!(violations(&three, &[EngineDisruption { engine: "e2".to_owned(), ..held }], &[]), 1);
     let disruption = |node| NodeDisruption { node: Some(node), from, until };
-    assert_eq!(violations(&three, &[], &[disruption(0)]), 0, "the node was disturbed");
-    assert_eq!(violations(&three, &[], &[disruption(1)]), 1, "another one was");
+    assert_eq!(violations(&three, &[], &[disruption(0)]), 0, "the node was disrupted");
+    assert_eq!(violations(&three, &[], &[disruption(1)]), 1, "another node was disrupted");
     let leaves = ReceivedRequest { draining: true, ..visit(0) };
     assert_eq!(violations(&[leaves.clone(), visit(2_100)], &[], &[]), 0);
     assert_eq!(violations(&[leaves, visit(2_300)], &[], &[]), 1);
 }
 
 #[test]
-fn more_than_a_limit_allows_of_all_nodes_together_is_found() {
+fn a_rate_limit_exceeded_by_all_nodes_together_is_found() {
     let now = Instant::now() + Duration::from_secs(20);
     let visit = |ms: u64, limit: Option<f64>| ReceivedRequest {
         at: now + Duration::from_millis(ms),
@@ -182,7 +185,7 @@
         let of_limit = |b: &heathpitch_soak::Violation| b.invariant.contains("limit");
         evidence.check().iter().filter(|b| of_limit(b)).count()
     };
-    // Eleven are allowed in four seconds: one and a half times four, and five.
+    // Eleven requests are allowed in four seconds: 1.5 times four, plus five.
     let since = |from: u64, count: u64, limit| {
         std::iter::once(visit(0, limit))
             .chain((0..count).map(move |i| visit(from + 100 * i, limit)))
@@ -190,22 +193,26 @@
     let one = Some(1.0);
     assert_eq!(violations(&since(3_000, 12, one).collect::<Vec<_>>(), &[]), 1);
     assert_eq!(violations(&since(3_000, 11, one).collect::<Vec<_>>(), &[]), 0);
-    assert_eq!(violations(&since(1_000, 12, one).collect::<Vec<_>>(), &[]), 0, "nodes hear of it");
+    assert_eq!(
+        violations(&since(1_000, 12, one).collect::<Vec<_>>(), &[]),
+        0,
+        "nodes may still learn of it"
+    );
     assert_eq!(violations(&since(3_000, 12, None).collect::<Vec<_>>(), &[]), 0);
     let higher: Vec<ReceivedRequest> =
         since(3_000, 11, one).chain([visit(4_200, Some(2.0))]).collect();
-    assert_eq!(violations(&higher, &[]), 0, "a higher one was named meanwhile");
+    assert_eq!(violations(&higher, &[]), 0, "a higher limit was set in between");
     let (from, until) = (now + Duration::from_millis(2_900), now + Duration::from_millis(3_000));
     let many: Vec<ReceivedRequest> = since(3_000, 12, one).collect();
     assert_eq!(
         violations(&many, &[NodeDisruption { node: Some(0), from, until }]),
         0,
-        "it was disturbed"
+        "the node was disrupted"
     );
     assert_eq!(violations(&many, &[NodeDisruption { node: Some(1), from, until }]), 1);
     assert_eq!(
         violations(&many, &[NodeDisruption { node: None, from, until }]),
         1,
-        "the store is no excuse"
+        "a store disruption is no excuse"
     );
 }
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Scripts: the same for the same seed, every fault drawn, none after the end.
+//! Fault schedules: equal for equal seeds, with every kind of fault and none after the end.
 
 use std::collections::HashSet;
 use std::mem::discriminant;
@@ -9,7 +9,7 @@
 const LENGTH: Duration = Duration::from_secs(20);
 
 #[test]
-fn a_seed_always_gives_the_same_script() {
+fn a_seed_always_gives_the_same_schedule() {
     assert_eq!(FaultSchedule::generate(7, LENGTH), FaultSchedule::generate(7, LENGTH));
     assert_ne!(
         FaultSchedule::generate(7, LENGTH).faults,
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn every_fault_is_drawn_in_order_and_some_overlap() {
+fn every_fault_is_generated_in_order_and_some_overlap() {
     let mut kinds = HashSet::new();
     for seed in 0..20 {
         let schedule = FaultSchedule::generate(seed, LENGTH);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn additions_leave_the_rest_of_a_script_as_it_is() {
+fn extensions_leave_scheduled_faults_unchanged() {
     let mut kinds = HashSet::new();
     for seed in 0..20 {
         let plain = FaultSchedule::generate(seed, LENGTH);
