--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -106,8 +106,8 @@
     /// All violations in this history.
     pub fn check(&self) -> Vec<Violation> {
         let mut runs: HashMap<&str, Vec<&ReceivedRequest>> = HashMap::new();
-        for seen in self.received.iter().filter(|s| s.ran) {
-            runs.entry(seen.id().unwrap_or_default()).or_default().push(seen);
+        for request in self.received.iter().filter(|s| s.ran) {
+            runs.entry(request.id().unwrap_or_default()).or_default().push(request);
         }
         let of_calls = self.calls.iter().flat_map(|call| {
             let runs = runs.get(call.id.as_str()).map_or(0, Vec::len);
@@ -140,13 +140,13 @@
     /// that were not disrupted; and normal requests that were held back.
     fn fatal_repeats(&self) -> Vec<Violation> {
         let fatal = |s: &&ReceivedRequest| &s.body[..] == FATAL_BODY.as_bytes();
-        let mut seen: Vec<&ReceivedRequest> = self.received.iter().filter(fatal).collect();
-        seen.sort_by_key(|s| s.at);
-        let third = seen.iter().filter(|s| s.ran).nth(2).map(|s| s.at);
+        let mut received: Vec<&ReceivedRequest> = self.received.iter().filter(fatal).collect();
+        received.sort_by_key(|s| s.at);
+        let third = received.iter().filter(|s| s.ran).nth(2).map(|s| s.at);
         let node =
             |s: &ReceivedRequest| self.calls.iter().find(|c| s.id() == Some(&c.id)).map(|c| c.node);
         let later =
-            seen.into_iter().filter(|s| third.is_some_and(|at| s.at > at + PROPAGATION_GRACE));
+            received.into_iter().filter(|s| third.is_some_and(|at| s.at > at + PROPAGATION_GRACE));
         let repeats = later
             .filter(|s| !self.was_disrupted(node(s), s.at))
             .skip(MAX_FATAL_REPEATS)
@@ -192,28 +192,31 @@
     fn ignored_backpressure(&self) -> Vec<Violation> {
         let nodes = self.nodes_by_call();
         let mut by_pair: HashMap<(&str, usize), Vec<&ReceivedRequest>> = HashMap::new();
-        for seen in &self.received {
-            let node = seen.id().and_then(|id| nodes.get(id)).copied();
-            if let (Some(engine), Some(node)) = (seen.engine(), node) {
-                by_pair.entry((engine, node)).or_default().push(seen);
+        for request in &self.received {
+            let node = request.id().and_then(|id| nodes.get(id)).copied();
+            if let (Some(engine), Some(node)) = (request.engine(), node) {
+                by_pair.entry((engine, node)).or_default().push(request);
             }
         }
         let mut found = Vec::new();
-        for ((engine, node), seen) in by_pair {
-            for asked in &seen {
+        for ((engine, node), received) in by_pair {
+            for asking in &received {
                 let later = |from: Duration| {
                     let excused =
-                        |s: &&&ReceivedRequest| self.is_excused(engine, node, asked.at, s.at);
-                    seen.iter().filter(move |s| s.at > asked.at + from).filter(move |s| !excused(s))
+                        |s: &&&ReceivedRequest| self.is_excused(engine, node, asking.at, s.at);
+                    received
+                        .iter()
+                        .filter(move |s| s.at > asking.at + from)
+                        .filter(move |s| !excused(s))
                 };
-                let pause = asked.retry_after.unwrap_or_default();
+                let pause = asking.retry_after.unwrap_or_default();
                 let within =
-                    later(IN_FLIGHT_GRACE).filter(|s| s.at < asked.at + pause).nth(MAX_IN_PAUSE);
-                let after = later(DRAIN_GRACE).next().filter(|_| asked.draining);
+                    later(IN_FLIGHT_GRACE).filter(|s| s.at < asking.at + pause).nth(MAX_IN_PAUSE);
+                let after = later(DRAIN_GRACE).next().filter(|_| asking.draining);
                 let violation = |invariant, s: &ReceivedRequest| Violation {
                     invariant,
                     id: s.id().map(str::to_owned),
-                    detail: format!("at {engine}, {} ms later", (s.at - asked.at).as_millis()),
+                    detail: format!("at {engine}, {} ms later", (s.at - asking.at).as_millis()),
                 };
                 found.extend(within.map(|s| violation("an engine's Retry-After is respected", s)));
                 found.extend(after.map(|s| {
@@ -230,13 +233,15 @@
     fn limit_exceeded(&self) -> Vec<Violation> {
         let nodes = self.nodes_by_call();
         let mut by_engine: HashMap<&str, Vec<&ReceivedRequest>> = HashMap::new();
-        for seen in &self.received {
-            by_engine.entry(seen.engine().unwrap_or_default()).or_default().push(seen);
+        for request in &self.received {
+            by_engine.entry(request.engine().unwrap_or_default()).or_default().push(request);
         }
         let mut found = Vec::new();
-        for (engine, mut seen) in by_engine {
-            seen.sort_by_key(|s| s.at);
-            for limited in seen.split(|s| s.limit.is_none()).filter(|limited| !limited.is_empty()) {
+        for (engine, mut received) in by_engine {
+            received.sort_by_key(|s| s.at);
+            for limited in
+                received.split(|s| s.limit.is_none()).filter(|limited| !limited.is_empty())
+            {
                 let since = limited[0].at + PROPAGATION_GRACE;
                 let counts = |s: &&&ReceivedRequest| {
                     let node = s.id().and_then(|id| nodes.get(id));
