--- a/crates/heathpitch/examples/claim_a_key.rs
+++ b/crates/heathpitch/examples/claim_a_key.rs
@@ -1,4 +1,4 @@
-//! Cookbook: two nodes claim the same key; the store decides, and only one may dispatch.
+//! Two nodes claim the same idempotency key; the store decides which one may dispatch.
 
 use heathpitch::core::{Incarnation, Revision, digest};
 use heathpitch::policy::{ClaimAction, ClaimEvent, ClaimPage, Claims, Verdict, decide_claim};
@@ -10,14 +10,14 @@
     let key = digest(&[b"memphis-desk", b"order-7"]);
     let ask = |nonce| ClaimEvent::Ask { id: 1, digest: key.clone(), body: 9, nonce };
 
-    // Both read the page while it is empty, and both want to write it.
+    // Both nodes read the empty page and try to write it.
     let [ClaimAction::Read(page)] = first.on(ask(11), 0, 0)[..] else { return Err("read".into()) };
     second.on(ask(22), 0, 0);
     let empty = |claims: &mut Claims| claims.on(ClaimEvent::Read(page, Revision(0), None), 1, 1);
     let written = content(empty(&mut first))?;
     empty(&mut second);
 
-    // The store takes the first write; the second is a conflict and reads the page again.
+    // The store accepts the first write. The second one conflicts, and its node reads the page again.
     let granted = first.on(ClaimEvent::Written(page, Revision(1)), 2, 2);
     second.on(ClaimEvent::Conflict(page), 2, 2);
     let taken = second.on(ClaimEvent::Read(page, Revision(1), Some(written)), 3, 3);
--- a/crates/heathpitch/examples/place_layers.rs
+++ b/crates/heathpitch/examples/place_layers.rs
@@ -1,4 +1,4 @@
-//! Cookbook: a plan for a model that lost a stage.
+//! Plans the placement of a model that has lost a stage.
 
 use heathpitch::core::{LayerRange, Model, NameError};
 use heathpitch::policy::{LoadedLayers, ModelDemand, PlacementEngine, plan_placement};
@@ -17,9 +17,13 @@
     Ok(())
 }
 
-fn engine(name: &str, layer: u64, held: Option<(u32, u32)>) -> Result<PlacementEngine, NameError> {
+fn engine(
+    name: &str,
+    layer: u64,
+    loaded: Option<(u32, u32)>,
+) -> Result<PlacementEngine, NameError> {
     let (model, version) = ("tickets".parse()?, "v1".parse()?);
-    let holding = held.map(|(first, end)| LoadedLayers {
+    let holding = loaded.map(|(first, end)| LoadedLayers {
         model,
         version,
         layers: LayerRange::new(first, end),
--- a/crates/heathpitch/examples/resume.rs
+++ b/crates/heathpitch/examples/resume.rs
@@ -1,4 +1,4 @@
-//! Cookbook: a request that is resumed on another path after its first one broke.
+//! Resumes a request on another path after its first path has failed.
 
 use heathpitch::core::{Epoch, LayerRange, Model, Name, NameError, Path, Stage};
 use heathpitch::policy::{Broken, EndReason, Relay, RelayAction, RelayEvent, RelayPlan, Repeat};
--- a/crates/heathpitch/examples/share_a_limit.rs
+++ b/crates/heathpitch/examples/share_a_limit.rs
@@ -1,4 +1,4 @@
-//! Cookbook: three nodes share an account's limit by their own demand, without a coordinator.
+//! Three nodes share an account's limit in proportion to their demand, without a coordinator.
 
 use heathpitch::policy::Demand;
 
--- a/crates/heathpitch/src/command/apply.rs
+++ b/crates/heathpitch/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! Storing a whole file.
+//! Storing a configuration file.
 
 use heathpitch_core::{Change, Revision, diff};
 use serde::Serialize;
@@ -9,41 +9,44 @@
 use super::store::Store;
 use super::{fleet, read};
 
-/// A change that was stored.
+/// A stored change.
 #[derive(Serialize)]
 pub(crate) struct Accepted {
     pub(crate) revision: Revision,
     pub(crate) changes: Vec<Change>,
 }
 
-/// Stores a file over the revision it was made from.
+/// Stores a file if the revision it is based on is still current.
 pub(crate) async fn apply(arguments: &Arguments, c: &ApplyArguments) -> Result<(), CommandError> {
-    let document = read::file(&c.file)?;
+    let document = read::read_document(&c.file)?;
     let store = Store::open(arguments)?;
     let base = store.read().await?;
     let expected = c.expect.map(Revision).or(document.revision);
     match expected {
         _ if c.overwrite => {}
-        None if base.revision.0 > 0 => return Err(CommandError::NoBase(base.revision)),
+        None if base.revision.0 > 0 => return Err(CommandError::MissingRevision(base.revision)),
         Some(expected) if expected != base.revision => {
             let changes = diff(&base.document, &document);
-            let stands = base.revision;
-            return Err(CommandError::Outdated { expected, stands, changes });
+            let current = base.revision;
+            return Err(CommandError::StaleRevision { expected, current, changes });
         }
         _ => {}
     }
     let changes = diff(&base.document, &document);
     let revision = store.write(&base, document).await?;
-    accepted(arguments, Accepted { revision, changes })?;
+    print_accepted(arguments, Accepted { revision, changes })?;
     match c.wait {
-        true => fleet::in_force(arguments, revision.0, c.timeout).await,
+        true => fleet::wait_in_force(arguments, revision.0, c.timeout).await,
         false => Ok(()),
     }
 }
 
-/// Prints what was stored.
-pub(crate) fn accepted(arguments: &Arguments, accepted: Accepted) -> Result<(), CommandError> {
+/// Prints a stored change.
+pub(crate) fn print_accepted(
+    arguments: &Arguments,
+    accepted: Accepted,
+) -> Result<(), CommandError> {
     print(arguments, &accepted, |a| {
-        format!("accepted as revision {}\n{}", a.revision, read::lines(&a.changes))
+        format!("accepted as revision {}\n{}", a.revision, read::format_changes(&a.changes))
     })
 }
--- a/crates/heathpitch/src/command/arguments.rs
+++ b/crates/heathpitch/src/command/arguments.rs
@@ -12,21 +12,21 @@
     /// Print the version.
     #[options(no_short)]
     pub(crate) version: bool,
-    /// Platform endpoints, ip:port with commas between; else $HEATHPITCH_PLATFORM.
+    /// Platform endpoints, comma-separated ip:port; default: $HEATHPITCH_PLATFORM.
     #[options(no_short, meta = "ADDRESSES")]
     pub(crate) platform: Option<String>,
-    /// Admin address of any node, ip:port; else $HEATHPITCH_NODE.
+    /// Admin address of any node, ip:port; default: $HEATHPITCH_NODE.
     #[options(no_short, meta = "ADDRESS")]
     pub(crate) node: Option<String>,
-    /// Output: text or json.
+    /// Output format: text or json.
     #[options(meta = "FORM")]
     pub(crate) output: Option<String>,
-    /// The command.
+    /// Command to run.
     #[options(command)]
     pub(crate) command: Option<Command>,
 }
 
-/// A command.
+/// Commands.
 #[derive(Debug, Options)]
 pub(crate) enum Command {
     /// check a configuration file without storing it
@@ -39,28 +39,28 @@
     Apply(ApplyArguments),
     /// change labels: pool|account NAME KEY=VALUE… KEY-…
     Label(LabelArguments),
-    /// change a setting of a route: NAME KEY VALUE
+    /// change a route setting: NAME KEY VALUE
     Route(RouteArguments),
     /// show nodes, their configuration and upstreams
     Status(NoArguments),
-    /// show requests that are held back: --node is a gateway's metrics address
+    /// show requests that are held back; --node takes a gateway's metrics address
     Held(NoArguments),
     /// wait until a revision is in force on every reachable node
     Wait(WaitArguments),
-    /// drain the node whose admin address is given with --node
+    /// drain the node at the --node address
     Drain(NoArguments),
     /// print the digest of an API key read from standard input
     Key(NoArguments),
 }
 
-/// No arguments.
+/// Arguments of a command that takes none.
 #[derive(Debug, Default, Options)]
 pub(crate) struct NoArguments {
     /// Print this help.
     pub(crate) help: bool,
 }
 
-/// A file.
+/// Arguments of `validate` and `diff`.
 #[derive(Debug, Default, Options)]
 pub(crate) struct FileArguments {
     /// Print this help.
@@ -70,7 +70,7 @@
     pub(crate) file: PathBuf,
 }
 
-/// A file and how to store it.
+/// Arguments of `apply`.
 #[derive(Debug, Default, Options)]
 pub(crate) struct ApplyArguments {
     /// Print this help.
@@ -78,20 +78,20 @@
     /// Configuration file, JSON.
     #[options(free, required)]
     pub(crate) file: PathBuf,
-    /// Store over this revision only; else the file's own `revision`.
+    /// Store only if this is the current revision; default: `revision` in the file.
     #[options(no_short, meta = "REVISION")]
     pub(crate) expect: Option<u64>,
-    /// Store over whatever stands.
+    /// Store whatever the current revision is.
     #[options(no_short)]
     pub(crate) overwrite: bool,
-    /// Wait until it is in force on every reachable node.
+    /// Wait until the change is in force on every reachable node.
     pub(crate) wait: bool,
-    /// Longest wait, seconds.
+    /// Longest wait, in seconds.
     #[options(default = "30", meta = "SECONDS")]
     pub(crate) timeout: u64,
 }
 
-/// What to label.
+/// Arguments of `label`.
 #[derive(Debug, Default, Options)]
 pub(crate) struct LabelArguments {
     /// Print this help.
@@ -99,15 +99,15 @@
     /// pool or account
     #[options(free, required)]
     pub(crate) kind: String,
-    /// Name of it.
+    /// Name of the pool or account.
     #[options(free, required)]
     pub(crate) name: String,
-    /// KEY=VALUE to set a label, KEY- to take it away.
+    /// KEY=VALUE to set a label, KEY- to remove it.
     #[options(free)]
     pub(crate) labels: Vec<String>,
 }
 
-/// Which setting to change.
+/// Arguments of `route`.
 #[derive(Debug, Default, Options)]
 pub(crate) struct RouteArguments {
     /// Print this help.
@@ -115,7 +115,7 @@
     /// Name of the route.
     #[options(free, required)]
     pub(crate) name: String,
-    /// Key below `settings`, such as attempts.
+    /// Key in `settings` of the route, such as attempts.
     #[options(free, required)]
     pub(crate) key: String,
     /// New value.
@@ -123,23 +123,23 @@
     pub(crate) value: String,
 }
 
-/// What to wait for.
+/// Arguments of `wait`.
 #[derive(Debug, Default, Options)]
 pub(crate) struct WaitArguments {
     /// Print this help.
     pub(crate) help: bool,
-    /// Revision.
+    /// Revision to wait for.
     #[options(free, required)]
     pub(crate) revision: u64,
-    /// Longest wait, seconds.
+    /// Longest wait, in seconds.
     #[options(default = "30", meta = "SECONDS")]
     pub(crate) timeout: u64,
 }
 
-/// What follows the options in the general help.
+/// Text after the options in the general help.
 const NOTES: &str = "
-Exit codes: 0 done, 2 wrong arguments, 3 wrong document, 4 somebody else changed it,
-5 platform or node not reached, 6 not known whether it was stored, 7 not in force in time.
+Exit codes: 0 success, 2 invalid arguments, 3 invalid document, 4 revision conflict,
+5 platform or node unreachable, 6 unknown whether stored, 7 timed out before in force.
 
 Examples:
   heathpitch --platform 10.0.0.5:7000 get > config.json
@@ -147,7 +147,7 @@
   heathpitch --platform 10.0.0.5:7000 label pool memphis-a tier=gold
   heathpitch --node 10.0.1.1:9090 --output json status";
 
-/// Help that was asked for, if any.
+/// Help text, if it was requested.
 pub(crate) fn help(arguments: &Arguments) -> Option<String> {
     match arguments.command_name() {
         Some(name) if arguments.help_requested() => {
--- a/crates/heathpitch/src/command/fleet.rs
+++ b/crates/heathpitch/src/command/fleet.rs
@@ -1,4 +1,4 @@
-//! Commands that speak to nodes.
+//! Commands that query or control nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,30 +10,30 @@
 
 use super::arguments::{Arguments, NoArguments, WaitArguments};
 use super::error::CommandError;
-use super::output::{Form, form, print};
+use super::output::{OutputFormat, output_format, print};
 
-/// Environment variable with a node's admin address.
-const NODE: &str = "HEATHPITCH_NODE";
-/// Time for a node to answer.
-const LIMIT: Duration = Duration::from_secs(2);
-/// Time between two looks at the fleet.
-const LOOK: Duration = Duration::from_millis(250);
+/// Environment variable with the admin address of a node.
+const NODE_ENV: &str = "HEATHPITCH_NODE";
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time between two queries of the fleet.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// One node, as it or a peer says.
+/// A node as reported by itself or a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct NodeLine {
+struct NodeEntry {
     node: String,
     domain: String,
     admin: String,
     config: u64,
-    #[serde(default)]
-    leaving: bool,
+    #[serde(rename = "leaving", default)]
+    draining: bool,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct UpstreamLine {
+struct UpstreamEntry {
     name: String,
-    standing: String,
+    #[serde(rename = "standing")]
+    status: String,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -42,24 +42,24 @@
     domain: String,
     config: u64,
     draining: bool,
-    members: Vec<NodeLine>,
-    upstreams: Vec<UpstreamLine>,
+    members: Vec<NodeEntry>,
+    upstreams: Vec<UpstreamEntry>,
 }
 
-/// All reachable nodes.
+/// Nodes known to the reachable nodes, and the upstreams of the first one.
 #[derive(Debug, Serialize)]
 struct FleetStatus {
-    nodes: Vec<NodeLine>,
-    upstreams: Vec<UpstreamLine>,
+    nodes: Vec<NodeEntry>,
+    upstreams: Vec<UpstreamEntry>,
 }
 
 /// Shows the fleet.
 pub(crate) async fn status(arguments: &Arguments, _: &NoArguments) -> Result<(), CommandError> {
-    let fleet = look(arguments).await?;
+    let fleet = query_fleet(arguments).await?;
     print(arguments, &fleet, |f| {
         let mut text = format!("{:<16} {:<12} {:<22} {:>8}", "NODE", "DOMAIN", "ADMIN", "CONFIG");
         for n in &f.nodes {
-            let state = if n.leaving { " leaving" } else { "" };
+            let state = if n.draining { " leaving" } else { "" };
             text += &format!(
                 "\n{:<16} {:<12} {:<22} {:>8}{state}",
                 n.node, n.domain, n.admin, n.config
@@ -67,109 +67,122 @@
         }
         text += &format!("\n\n{:<32} STANDING", "UPSTREAM");
         for u in &f.upstreams {
-            text += &format!("\n{:<32} {}", u.name, u.standing);
+            text += &format!("\n{:<32} {}", u.name, u.status);
         }
         text
     })
 }
 
-/// A request that is sent nowhere because engines ended under it.
+/// A request that is not dispatched because it crashed engines.
 #[derive(Debug, Serialize, Deserialize)]
-struct HeldLine {
-    print: String,
+struct HeldRequest {
+    #[serde(rename = "print")]
+    fingerprint: String,
     engines: Vec<String>,
-    left_ms: u64,
+    #[serde(rename = "left_ms")]
+    remaining_ms: u64,
 }
 
 /// Shows the requests that a gateway holds back.
 pub(crate) async fn held(arguments: &Arguments, _: &NoArguments) -> Result<(), CommandError> {
-    let uri = format!("http://{}/held", admin(arguments)?);
-    let call = Client::new().call::<(), Vec<HeldLine>>(Method::GET, &uri, None, LIMIT).await;
-    let held = call.map_err(|source| CommandError::Unreached { what: "the node", source })?;
+    let uri = format!("http://{}/held", admin_address(arguments)?);
+    let result =
+        Client::new().call::<(), Vec<HeldRequest>>(Method::GET, &uri, None, REQUEST_TIMEOUT).await;
+    let held = result.map_err(|source| CommandError::Unreachable { what: "the node", source })?;
     print(arguments, &held, |lines| {
         let mut text = format!("{:<16} {:>7}  ENGINES THAT ENDED", "REQUEST", "LEFT");
         for l in lines {
-            text +=
-                &format!("\n{:<16} {:>5} s  {}", l.print, l.left_ms / 1_000, l.engines.join(" "));
+            text += &format!(
+                "\n{:<16} {:>5} s  {}",
+                l.fingerprint,
+                l.remaining_ms / 1_000,
+                l.engines.join(" ")
+            );
         }
         text
     })
 }
 
-/// Waits for a revision.
+/// Waits until a revision is in force.
 pub(crate) async fn wait(arguments: &Arguments, c: &WaitArguments) -> Result<(), CommandError> {
-    in_force(arguments, c.revision, c.timeout).await
+    wait_in_force(arguments, c.revision, c.timeout).await
 }
 
-/// Waits until a revision is in force on every reachable node, and shows progress.
-pub(crate) async fn in_force(
+/// Waits until a revision is in force on every reachable node and prints progress.
+pub(crate) async fn wait_in_force(
     arguments: &Arguments,
     revision: u64,
     seconds: u64,
 ) -> Result<(), CommandError> {
     let start = Instant::now();
-    let mut shown = None;
+    let mut printed = None;
     loop {
-        let fleet = look(arguments).await?;
+        let fleet = query_fleet(arguments).await?;
         let nodes = fleet.nodes.len();
         let current = fleet.nodes.iter().filter(|n| n.config >= revision).count();
-        if shown != Some((current, nodes)) {
-            shown = Some((current, nodes));
-            progress(arguments, revision, current, nodes)?;
+        if printed != Some((current, nodes)) {
+            printed = Some((current, nodes));
+            print_progress(arguments, revision, current, nodes)?;
         }
         if current == nodes {
             return Ok(());
         }
         if start.elapsed() > Duration::from_secs(seconds) {
-            return Err(CommandError::Late { revision, current, nodes, seconds });
+            return Err(CommandError::Timeout { revision, current, nodes, seconds });
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Drains one node.
 pub(crate) async fn drain(arguments: &Arguments, _: &NoArguments) -> Result<(), CommandError> {
-    let admin = admin(arguments)?;
+    let admin = admin_address(arguments)?;
     let uri = format!("http://{admin}/drain");
-    let call = Client::new().call::<(), serde_json::Value>(Method::POST, &uri, None, LIMIT).await;
-    let said = call.map_err(|source| CommandError::Unreached { what: "the node", source })?;
-    print(arguments, &said, |_| format!("{admin} drains"))
+    let result = Client::new()
+        .call::<(), serde_json::Value>(Method::POST, &uri, None, REQUEST_TIMEOUT)
+        .await;
+    let response =
+        result.map_err(|source| CommandError::Unreachable { what: "the node", source })?;
+    print(arguments, &response, |_| format!("{admin} is draining"))
 }
 
-fn progress(
+fn print_progress(
     arguments: &Arguments,
     revision: u64,
     current: usize,
     nodes: usize,
 ) -> Result<(), CommandError> {
-    match form(arguments)? {
-        Form::Text => println!("revision {revision} is in force on {current} of {nodes} nodes"),
-        Form::Json => {
-            let line = serde_json::json!({
+    match output_format(arguments)? {
+        OutputFormat::Text => {
+            println!("revision {revision} is in force on {current} of {nodes} nodes")
+        }
+        OutputFormat::Json => {
+            let json = serde_json::json!({
                 "revision": revision, "in_force": current, "nodes": nodes });
-            println!("{line}");
+            println!("{json}");
         }
     }
     Ok(())
 }
 
-/// Asks the given node, then one node of each other failure domain it knows.
-async fn look(arguments: &Arguments) -> Result<FleetStatus, CommandError> {
-    let first = admin(arguments)?.to_string();
+/// Queries the given node, then a node of each other failure domain that it reports. A node that does not
+/// answer is skipped, except for the first.
+async fn query_fleet(arguments: &Arguments) -> Result<FleetStatus, CommandError> {
+    let first = admin_address(arguments)?.to_string();
     let client = Client::new();
-    let mut nodes: BTreeMap<String, NodeLine> = BTreeMap::new();
-    let mut asked: BTreeSet<String> = BTreeSet::new();
+    let mut nodes: BTreeMap<String, NodeEntry> = BTreeMap::new();
+    let mut queried: BTreeSet<String> = BTreeSet::new();
     let mut domains: BTreeSet<String> = BTreeSet::new();
     let mut queue = vec![first.clone()];
     let mut upstreams = Vec::new();
     while let Some(address) = queue.pop() {
-        if !asked.insert(address.clone()) {
+        if !queried.insert(address.clone()) {
             continue;
         }
-        let status = match ask(&client, &address).await {
+        let status = match query_node(&client, &address).await {
             Ok(status) => status,
             Err(source) if address == first => {
-                return Err(CommandError::Unreached { what: "the node", source });
+                return Err(CommandError::Unreachable { what: "the node", source });
             }
             Err(_) => continue,
         };
@@ -177,31 +190,33 @@
             upstreams = status.upstreams;
         }
         domains.insert(status.domain.clone());
-        let own = NodeLine {
+        let reporter = NodeEntry {
             node: status.node,
             domain: status.domain,
             admin: address,
             config: status.config,
-            leaving: status.draining,
+            draining: status.draining,
         };
-        nodes.insert(own.node.clone(), own);
-        for line in status.members {
-            if !domains.contains(&line.domain) {
-                queue.push(line.admin.clone());
+        nodes.insert(reporter.node.clone(), reporter);
+        for member in status.members {
+            if !domains.contains(&member.domain) {
+                queue.push(member.admin.clone());
             }
-            let known = nodes.entry(line.node.clone()).or_insert(line.clone());
-            known.config = known.config.max(line.config);
+            let known = nodes.entry(member.node.clone()).or_insert(member.clone());
+            known.config = known.config.max(member.config);
         }
     }
     Ok(FleetStatus { nodes: nodes.into_values().collect(), upstreams })
 }
 
-async fn ask(client: &Client, address: &str) -> Result<NodeStatus, RpcError> {
-    client.call(Method::GET, &format!("http://{address}/status"), None::<&()>, LIMIT).await
+async fn query_node(client: &Client, address: &str) -> Result<NodeStatus, RpcError> {
+    client
+        .call(Method::GET, &format!("http://{address}/status"), None::<&()>, REQUEST_TIMEOUT)
+        .await
 }
 
-fn admin(arguments: &Arguments) -> Result<SocketAddr, CommandError> {
-    let given = arguments.node.clone().or_else(|| std::env::var(NODE).ok());
-    let text = given.ok_or(CommandError::Missing { option: "--node" })?;
-    text.parse().map_err(|_| CommandError::Address { option: "--node", text })
+fn admin_address(arguments: &Arguments) -> Result<SocketAddr, CommandError> {
+    let given = arguments.node.clone().or_else(|| std::env::var(NODE_ENV).ok());
+    let text = given.ok_or(CommandError::MissingOption { option: "--node" })?;
+    text.parse().map_err(|_| CommandError::InvalidAddress { option: "--node", text })
 }
--- a/crates/heathpitch/src/command/mod.rs
+++ b/crates/heathpitch/src/command/mod.rs
@@ -19,10 +19,10 @@
 
 /// Runs the command line.
 pub(crate) fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let arguments = match Arguments::parse_args_default(&words) {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let arguments = match Arguments::parse_args_default(&args) {
         Ok(arguments) => arguments,
-        Err(e) => return end(&CommandError::usage(&e.to_string(), &words)),
+        Err(e) => return fail(&CommandError::usage(&e.to_string(), &args)),
     };
     if arguments.version {
         println!("heathpitch {}", env!("CARGO_PKG_VERSION"));
@@ -32,14 +32,14 @@
         println!("{help}");
         return ExitCode::SUCCESS;
     }
-    let done = Builder::new_current_thread()
+    let result = Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(CommandError::Runtime)
         .and_then(|runtime| runtime.block_on(run(&arguments)));
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => end(&e),
+        Err(e) => fail(&e),
     }
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-fn end(error: &CommandError) -> ExitCode {
+fn fail(error: &CommandError) -> ExitCode {
     eprintln!("heathpitch: {error}");
-    ExitCode::from(error.code())
+    ExitCode::from(error.exit_code())
 }
--- a/crates/heathpitch/src/command/output.rs
+++ b/crates/heathpitch/src/command/output.rs
@@ -1,40 +1,40 @@
-//! What commands print.
+//! Output of commands.
 
 use serde::Serialize;
 
 use super::arguments::Arguments;
 use super::error::CommandError;
 
-/// Form of the output.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Form {
-    /// For people.
+pub(crate) enum OutputFormat {
+    /// Text for people.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// Form that the arguments ask for.
-pub(crate) fn form(arguments: &Arguments) -> Result<Form, CommandError> {
+/// Output format that the arguments select.
+pub(crate) fn output_format(arguments: &Arguments) -> Result<OutputFormat, CommandError> {
     match arguments.output.as_deref() {
-        None | Some("text") => Ok(Form::Text),
-        Some("json") => Ok(Form::Json),
+        None | Some("text") => Ok(OutputFormat::Text),
+        Some("json") => Ok(OutputFormat::Json),
         Some(other) => {
-            let message = format!("--output: {other:?} is neither text nor json");
-            Err(CommandError::Usage { message, tip: String::new() })
+            let message = format!("--output: {other:?} is neither `text` nor `json`");
+            Err(CommandError::Usage { message, hint: String::new() })
         }
     }
 }
 
-/// Prints a value as JSON, or as the text that `text` makes of it.
+/// Prints a value as JSON, or as text formatted by `text`.
 pub(crate) fn print<T: Serialize>(
     arguments: &Arguments,
     value: &T,
     text: impl FnOnce(&T) -> String,
 ) -> Result<(), CommandError> {
-    match form(arguments)? {
-        Form::Text => println!("{}", text(value)),
-        Form::Json => println!("{}", serde_json::to_string(value).unwrap_or_default()),
+    match output_format(arguments)? {
+        OutputFormat::Text => println!("{}", text(value)),
+        OutputFormat::Json => println!("{}", serde_json::to_string(value).unwrap_or_default()),
     }
     Ok(())
 }
--- a/crates/heathpitch/src/command/read.rs
+++ b/crates/heathpitch/src/command/read.rs
@@ -1,4 +1,4 @@
-//! Commands that change nothing.
+//! Commands that change no configuration.
 
 use std::fs;
 use std::io::Read;
@@ -13,7 +13,7 @@
 use super::store::Store;
 
 #[derive(Serialize)]
-struct Counted {
+struct ValidationSummary {
     valid: bool,
     models: usize,
     accounts: usize,
@@ -21,63 +21,64 @@
     routes: usize,
 }
 
-/// Checks a file.
+/// Checks a configuration file.
 pub(crate) fn validate(arguments: &Arguments, c: &FileArguments) -> Result<(), CommandError> {
-    let document = file(&c.file)?;
-    let counted = Counted {
+    let document = read_document(&c.file)?;
+    let summary = ValidationSummary {
         valid: true,
         models: document.models.len(),
         accounts: document.accounts.len(),
         pools: document.pools.len(),
         routes: document.routes.len(),
     };
-    print(arguments, &counted, |n| {
-        let Counted { models, accounts, pools, routes, .. } = n;
+    print(arguments, &summary, |s| {
+        let ValidationSummary { models, accounts, pools, routes, .. } = s;
         format!("valid: {models} models, {accounts} accounts, {pools} pools, {routes} routes")
     })
 }
 
-/// Prints what is stored, in the form that `apply` takes.
+/// Prints the stored configuration in the format that `apply` reads.
 pub(crate) async fn get(arguments: &Arguments) -> Result<(), CommandError> {
-    let standing = Store::open(arguments)?.read().await?;
-    if standing.revision.0 == 0 {
+    let stored = Store::open(arguments)?.read().await?;
+    if stored.revision.0 == 0 {
         return Err(CommandError::Empty);
     }
-    let document = Document { revision: Some(standing.revision), ..standing.document };
+    let document = Document { revision: Some(stored.revision), ..stored.document };
     print(arguments, &document, |d| serde_json::to_string_pretty(d).unwrap_or_default())
 }
 
-/// Compares a file with what is stored.
+/// Compares a file with the stored configuration.
 pub(crate) async fn diff(arguments: &Arguments, c: &FileArguments) -> Result<(), CommandError> {
-    let document = file(&c.file)?;
-    let standing = Store::open(arguments)?.read().await?;
-    let changes = heathpitch_core::diff(&standing.document, &document);
-    print(arguments, &changes, |c| lines(c))
+    let document = read_document(&c.file)?;
+    let stored = Store::open(arguments)?.read().await?;
+    let changes = heathpitch_core::diff(&stored.document, &document);
+    print(arguments, &changes, |c| format_changes(c))
 }
 
-/// Prints the digest of an API key, so that the key itself never stands in an argument list.
+/// Prints the digest of an API key. The key comes from standard input, so that it never appears in an
+/// argument list.
 pub(crate) fn key(arguments: &Arguments, _: &NoArguments) -> Result<(), CommandError> {
     let mut text = String::new();
-    let read = std::io::stdin().read_to_string(&mut text);
-    read.map_err(|source| CommandError::Read { path: "standard input".into(), source })?;
+    let result = std::io::stdin().read_to_string(&mut text);
+    result.map_err(|source| CommandError::ReadFile { path: "standard input".into(), source })?;
     let digest = heathpitch_core::digest(&[text.trim_end().as_bytes()]);
     print(arguments, &digest, ToString::to_string)
 }
 
-/// Reads and checks a file.
-pub(crate) fn file(path: &Path) -> Result<Document, CommandError> {
-    let place = path.display().to_string();
-    let wrong = |source: ConfigError| CommandError::Document { place, source };
+/// Reads and checks a configuration file.
+pub(crate) fn read_document(path: &Path) -> Result<Document, CommandError> {
+    let location = path.display().to_string();
+    let invalid = |source: ConfigError| CommandError::InvalidDocument { location, source };
     match fs::read_to_string(path) {
-        Ok(text) => parse_document(&text).map_err(wrong),
-        Err(source) => Err(CommandError::Read { path: path.to_owned(), source }),
+        Ok(text) => parse_document(&text).map_err(invalid),
+        Err(source) => Err(CommandError::ReadFile { path: path.to_owned(), source }),
     }
 }
 
-/// Changes, one a line.
-pub(crate) fn lines(changes: &[Change]) -> String {
+/// Formats changes, one per line.
+pub(crate) fn format_changes(changes: &[Change]) -> String {
     match changes {
         [] => "no difference".to_owned(),
-        some => some.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"),
+        changes => changes.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"),
     }
 }
--- a/crates/heathpitch/src/lib.rs
+++ b/crates/heathpitch/src/lib.rs
@@ -1,7 +1,7 @@
-//! Coordination parts of heathpitch, for others to embed.
+//! Library facade of heathpitch, for embedding its coordination logic.
 //!
-//! [`core`] holds the words of the domain, [`policy`] the decisions as state machines. Neither does
-//! input or output, so they can be driven by any daemon, test or simulator.
+//! [`core`] defines the domain types, [`policy`] the decisions as state machines. Neither performs I/O,
+//! so both can be driven by a daemon, a test or a simulator.
 //!
 //! # Examples
 //!
