--- a/crates/heathpitch/src/command/store.rs
+++ b/crates/heathpitch/src/command/store.rs
@@ -86,9 +86,7 @@
         for _ in 0..MAX_ATTEMPTS {
             match self.0.put(CONFIG_KEY, base.revision, text.clone()).await {
                 Ok(revision) => return Ok(revision),
-                Err(PutError::Conflict(_)) => {
-                    return self.resolve_conflict(base, &id, may_be_stored).await;
-                }
+                Err(PutError::Conflict(_)) => return self.resolve(base, &id, may_be_stored).await,
                 Err(PutError::Refused(e @ RpcError::Status(400..=428 | 430..=499))) => {
                     return Err(CommandError::Unreachable { what: "the platform", source: e });
                 }
@@ -116,7 +114,7 @@
     }
 
     /// Resolves a conflict: the current revision may be this change, a later one, or another writer's.
-    async fn resolve_conflict(
+    async fn resolve(
         &self,
         base: &StoredConfig,
         id: &Name,
