--- /dev/null
+++ b/crates/soak/src/invariants.rs
@@ -0,0 +1,365 @@
+//! Invariants, checked against the recorded history of calls and of requests that reached engines.
+
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+use heathpitch_standin::{ReceivedRequest, Reply};
+
+use crate::cluster::{FATAL_BODY, STREAM_EVENTS};
+use crate::load::{CallKind, CallRecord};
+
+/// Time beyond the route timeout after which an answer is late.
+const DEADLINE_SLACK: Duration = Duration::from_millis(1_000);
+/// Time for which a draining engine may still receive requests: the time that nodes take to learn of it,
+/// with some slack for a busy machine.
+const DRAIN_GRACE: Duration = Duration::from_millis(2_200);
+/// Time after a disruption, a crash of engines or a new limit until all nodes have to act on what
+/// they were told.
+const PROPAGATION_GRACE: Duration = Duration::from_millis(3_000);
+/// Time after a Retry-After in which requests already in flight may arrive.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
+/// Further requests that may arrive until the pause is over.
+const MAX_IN_PAUSE: usize = 2;
+/// Window in which requests to an engine with a rate limit are counted.
+const LIMIT_WINDOW: Duration = Duration::from_secs(4);
+/// Requests allowed in a window: a multiple of the limit, plus a fixed number.
+const LIMIT_TOLERANCE: (f64, f64) = (1.5, 5.0);
+/// Further times that the fatal request may reach engines after it has crashed three.
+const MAX_FATAL_REPEATS: usize = 3;
+/// Account of all calls.
+const ACCOUNT: &str = "desk";
+
+/// A violated invariant.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Violation {
+    /// The invariant.
+    pub invariant: &'static str,
+    /// Id of the call; `None` if the whole run is concerned.
+    pub id: Option<String>,
+    /// What was observed.
+    pub detail: String,
+}
+
+/// A revoked API key.
+#[derive(Clone, Debug)]
+pub struct RevokedKey {
+    /// The key.
+    pub key: String,
+    /// When the store accepted its removal.
+    pub at: Instant,
+}
+
+/// An engine whose store entry was marked as draining.
+#[derive(Clone, Debug)]
+pub struct DrainedEngine {
+    /// Engine id.
+    pub engine: String,
+    /// When the store had the entry.
+    pub at: Instant,
+}
+
+/// A time in which a node, or its link to the store, was disrupted.
+#[derive(Clone, Copy, Debug)]
+pub struct NodeDisruption {
+    /// The node; `None` for all nodes.
+    pub node: Option<usize>,
+    /// When it began.
+    pub from: Instant,
+    /// When it was over.
+    pub until: Instant,
+}
+
+/// A time in which requests to an engine may have been delayed, or in which it restarted.
+#[derive(Clone, Debug)]
+pub struct EngineDisruption {
+    /// Engine id.
+    pub engine: String,
+    /// When it began.
+    pub from: Instant,
+    /// When it was over.
+    pub until: Instant,
+}
+
+/// Calls, requests received by engines, and disruptions of a run.
+#[derive(Debug, Default)]
+pub struct History {
+    /// Calls as seen by their callers.
+    pub calls: Vec<CallRecord>,
+    /// Requests that reached engines.
+    pub received: Vec<ReceivedRequest>,
+    /// Revoked API keys.
+    pub revoked_keys: Vec<RevokedKey>,
+    /// Time after which a revoked key must not work.
+    pub revocation_bound: Duration,
+    /// Paused nodes and when each resumed.
+    pub pauses: Vec<(usize, Instant)>,
+    /// Engines that were drained.
+    pub drained: Vec<DrainedEngine>,
+    /// Disruptions of nodes.
+    pub node_disruptions: Vec<NodeDisruption>,
+    /// Disruptions of engines.
+    pub engine_disruptions: Vec<EngineDisruption>,
+}
+
+/// # Checks
+impl History {
+    /// All violations in this history.
+    pub fn check(&self) -> Vec<Violation> {
+        let mut runs: HashMap<&str, Vec<&ReceivedRequest>> = HashMap::new();
+        for request in self.received.iter().filter(|s| s.ran) {
+            runs.entry(request.id().unwrap_or_default()).or_default().push(request);
+        }
+        let of_calls = self.calls.iter().flat_map(|call| {
+            let runs = runs.get(call.id.as_str()).map_or(0, Vec::len);
+            let violated = [
+                duplicate_run(call, runs),
+                false_not_run(call, runs),
+                corrupt_answer(call),
+                self.late_answer(call),
+                self.revoked_key_used(call, runs),
+            ];
+            let detail =
+                format!("{:?}, {runs} runs, {} ms", call.status(), call.elapsed.as_millis());
+            let violation = move |invariant| Violation {
+                invariant,
+                id: Some(call.id.clone()),
+                detail: detail.clone(),
+            };
+            violated.into_iter().flatten().map(violation).collect::<Vec<_>>()
+        });
+        of_calls
+            .chain(self.altered_requests())
+            .chain(self.sent_after_drain())
+            .chain(self.fatal_repeats())
+            .chain(self.ignored_backpressure())
+            .chain(self.limit_exceeded())
+            .collect()
+    }
+
+    /// Repeats of the fatal request beyond the allowed number after it had crashed three engines, from nodes
+    /// that were not disrupted; and normal requests that were held back.
+    fn fatal_repeats(&self) -> Vec<Violation> {
+        let fatal = |s: &&ReceivedRequest| &s.body[..] == FATAL_BODY.as_bytes();
+        let mut received: Vec<&ReceivedRequest> = self.received.iter().filter(fatal).collect();
+        received.sort_by_key(|s| s.at);
+        let third = received.iter().filter(|s| s.ran).nth(2).map(|s| s.at);
+        let node =
+            |s: &ReceivedRequest| self.calls.iter().find(|c| s.id() == Some(&c.id)).map(|c| c.node);
+        let later =
+            received.into_iter().filter(|s| third.is_some_and(|at| s.at > at + PROPAGATION_GRACE));
+        let repeats = later
+            .filter(|s| !self.was_disrupted(node(s), s.at))
+            .skip(MAX_FATAL_REPEATS)
+            .map(|s| Violation {
+                invariant: "a request that crashed three engines reaches at most three more",
+                id: s.id().map(str::to_owned),
+                detail: format!("at {:?}", s.engine()),
+            });
+        let held =
+            |t: &&CallRecord| t.body != FATAL_BODY && t.reply.as_ref().is_some_and(is_held_back);
+        let wrongly_held = self.calls.iter().filter(held).map(|t| Violation {
+            invariant: "normal requests are not held back",
+            id: Some(t.id.clone()),
+            detail: t.body.clone(),
+        });
+        repeats.chain(wrongly_held).collect()
+    }
+
+    /// Node that each call was sent to, by call id.
+    fn nodes_by_call(&self) -> HashMap<&str, usize> {
+        self.calls.iter().map(|t| (t.id.as_str(), t.node)).collect()
+    }
+
+    /// Requests that reached a draining engine after the grace period, from nodes that were not disrupted
+    /// themselves. A disruption of the node that informs them is no excuse.
+    fn sent_after_drain(&self) -> Vec<Violation> {
+        let nodes = self.nodes_by_call();
+        let late = |s: &&ReceivedRequest| {
+            let drained = self.drained.iter().find(|l| s.engine() == Some(&l.engine));
+            let node = s.id().and_then(|id| nodes.get(id)).copied();
+            drained.is_some_and(|l| s.at > l.at + DRAIN_GRACE) && !self.was_disrupted(node, s.at)
+        };
+        let violation = |s: &ReceivedRequest| Violation {
+            invariant: "a drained engine receives no requests",
+            id: s.id().map(str::to_owned),
+            detail: format!("at {:?}", s.engine()),
+        };
+        self.received.iter().filter(late).map(violation).collect()
+    }
+
+    /// Requests that ignored what an engine had asked of the same node: more than two during a pause, or any
+    /// after the grace period of a drain notice. A disruption of the node or the engine in between excuses them.
+    fn ignored_backpressure(&self) -> Vec<Violation> {
+        let nodes = self.nodes_by_call();
+        let mut by_pair: HashMap<(&str, usize), Vec<&ReceivedRequest>> = HashMap::new();
+        for request in &self.received {
+            let node = request.id().and_then(|id| nodes.get(id)).copied();
+            if let (Some(engine), Some(node)) = (request.engine(), node) {
+                by_pair.entry((engine, node)).or_default().push(request);
+            }
+        }
+        let mut found = Vec::new();
+        for ((engine, node), received) in by_pair {
+            for asking in &received {
+                let later = |from: Duration| {
+                    let excused =
+                        |s: &&&ReceivedRequest| self.is_excused(engine, node, asking.at, s.at);
+                    received
+                        .iter()
+                        .filter(move |s| s.at > asking.at + from)
+                        .filter(move |s| !excused(s))
+                };
+                let pause = asking.retry_after.unwrap_or_default();
+                let within =
+                    later(IN_FLIGHT_GRACE).filter(|s| s.at < asking.at + pause).nth(MAX_IN_PAUSE);
+                let after = later(DRAIN_GRACE).next().filter(|_| asking.draining);
+                let violation = |invariant, s: &ReceivedRequest| Violation {
+                    invariant,
+                    id: s.id().map(str::to_owned),
+                    detail: format!("at {engine}, {} ms later", (s.at - asking.at).as_millis()),
+                };
+                found.extend(within.map(|s| violation("an engine's Retry-After is respected", s)));
+                found.extend(after.map(|s| {
+                    violation("an engine that announced draining receives no requests", s)
+                }));
+            }
+        }
+        found
+    }
+
+    /// Engines that received more requests than their rate limit allows, from all nodes together, whether or
+    /// not these had learned of it. Requests of disrupted nodes or to disrupted engines are not counted; a
+    /// disruption of the store, or of the node that issues rights, is no excuse.
+    fn limit_exceeded(&self) -> Vec<Violation> {
+        let nodes = self.nodes_by_call();
+        let mut by_engine: HashMap<&str, Vec<&ReceivedRequest>> = HashMap::new();
+        for request in &self.received {
+            by_engine.entry(request.engine().unwrap_or_default()).or_default().push(request);
+        }
+        let mut found = Vec::new();
+        for (engine, mut received) in by_engine {
+            received.sort_by_key(|s| s.at);
+            for limited in
+                received.split(|s| s.limit.is_none()).filter(|limited| !limited.is_empty())
+            {
+                let since = limited[0].at + PROPAGATION_GRACE;
+                let counts = |s: &&&ReceivedRequest| {
+                    let node = s.id().and_then(|id| nodes.get(id));
+                    let from = s.at.checked_sub(PROPAGATION_GRACE).unwrap_or(s.at);
+                    s.at >= since && !node.is_some_and(|n| self.is_excused(engine, *n, from, s.at))
+                };
+                let counted: Vec<&&ReceivedRequest> = limited.iter().filter(counts).collect();
+                let excess = |(i, first): (usize, &&&ReceivedRequest)| {
+                    let window = counted[i..].iter().take_while(|s| s.at < first.at + LIMIT_WINDOW);
+                    let limit = window.clone().filter_map(|s| s.limit).fold(0.0, f64::max);
+                    let allowed =
+                        LIMIT_TOLERANCE.0 * limit * LIMIT_WINDOW.as_secs_f64() + LIMIT_TOLERANCE.1;
+                    let count = window.count();
+                    (count as f64 > allowed)
+                        .then(|| format!("{count} requests at {engine}, {allowed:.0} allowed"))
+                };
+                found.extend(counted.iter().enumerate().find_map(excess).map(|detail| Violation {
+                    invariant: "all nodes together respect the rate limit of an engine",
+                    id: None,
+                    detail,
+                }));
+            }
+        }
+        found
+    }
+
+    /// Whether the node or the engine was disrupted, or the node was paused, between two moments.
+    fn is_excused(&self, engine: &str, node: usize, from: Instant, until: Instant) -> bool {
+        let matches = |t: &&NodeDisruption| t.node == Some(node);
+        let node_disrupted = self
+            .node_disruptions
+            .iter()
+            .filter(matches)
+            .any(|t| t.from <= until && t.until >= from);
+        let matches = |h: &&EngineDisruption| h.engine == engine;
+        let engine_disrupted = self
+            .engine_disruptions
+            .iter()
+            .filter(matches)
+            .any(|h| h.from <= until && h.until >= from);
+        let paused = self.pauses.iter().any(|(n, at)| *n == node && *at >= from);
+        node_disrupted || engine_disrupted || paused
+    }
+
+    /// Whether a node was disrupted at a moment or shortly before.
+    fn was_disrupted(&self, node: Option<usize>, at: Instant) -> bool {
+        let matches = |t: &&NodeDisruption| t.node.is_none() || t.node == node;
+        self.node_disruptions
+            .iter()
+            .filter(matches)
+            .any(|t| t.from <= at && at <= t.until + PROPAGATION_GRACE)
+    }
+
+    /// Requests at engines that differ from what the caller sent.
+    fn altered_requests(&self) -> Vec<Violation> {
+        let bodies: HashMap<&str, &str> =
+            self.calls.iter().map(|t| (t.id.as_str(), t.body.as_str())).collect();
+        let altered = |s: &&ReceivedRequest| {
+            let sent = s.id().and_then(|id| bodies.get(id));
+            sent.map(|b| b.as_bytes()) != Some(&s.body[..]) || s.account() != Some(ACCOUNT)
+        };
+        let violation = |s: &ReceivedRequest| Violation {
+            invariant: "engines receive requests unchanged",
+            id: s.id().map(str::to_owned),
+            detail: format!("{} {} for {:?}", s.method, s.target, s.account()),
+        };
+        self.received.iter().filter(altered).map(violation).collect()
+    }
+
+    /// An answer arrived long after the route timeout.
+    fn late_answer(&self, call: &CallRecord) -> Option<&'static str> {
+        let timeout = call.kind.timeout();
+        // A paused node cannot answer.
+        let paused =
+            self.pauses.iter().any(|(node, end)| *node == call.node && *end >= call.sent_at);
+        let late = call.elapsed > timeout + DEADLINE_SLACK && call.reply.is_some() && !paused;
+        late.then_some("answers arrive within the route timeout")
+    }
+
+    /// A key worked beyond the revocation bound.
+    fn revoked_key_used(&self, call: &CallRecord, runs: usize) -> Option<&'static str> {
+        let revoked = self.revoked_keys.iter().find(|r| r.key == call.key)?;
+        let expired = call.sent_at > revoked.at + self.revocation_bound && runs > 0;
+        expired.then_some("revoked keys stop working")
+    }
+}
+
+/// Whether a call was refused because its request had crashed engines.
+fn is_held_back(reply: &Reply) -> bool {
+    reply.status == 503 && String::from_utf8_lossy(&reply.body).contains("\"held_back\"")
+}
+
+/// A call that may run at most once ran more than once.
+fn duplicate_run(call: &CallRecord, runs: usize) -> Option<&'static str> {
+    (call.kind == CallKind::AtMostOnce && runs > 1)
+        .then_some("non-idempotent calls run at most once")
+}
+
+/// A call that may run at most once was reported as not run, but ran.
+fn false_not_run(call: &CallRecord, runs: usize) -> Option<&'static str> {
+    let denied = matches!(call.status(), Some(408 | 421 | 429 | 503));
+    (call.kind == CallKind::AtMostOnce && denied && runs > 0)
+        .then_some("calls reported as not run did not run")
+}
+
+/// A successful answer is incomplete, belongs to another call or has no digest, or a stream lacks or
+/// repeats an event.
+fn corrupt_answer(call: &CallRecord) -> Option<&'static str> {
+    let reply = call.reply.as_ref().filter(|r| r.status == 200)?;
+    let events = reply.events();
+    let unmodified = match call.kind {
+        CallKind::Idempotent | CallKind::AtMostOnce => {
+            !reply.complete || reply.body == call.body.as_bytes()
+        }
+        CallKind::Stream => events.iter().copied().eq(1..=events.len() as u64),
+    };
+    let complete =
+        call.kind != CallKind::Stream || !reply.complete || events.len() as u64 == STREAM_EVENTS;
+    let valid = unmodified && complete && reply.digest().is_some();
+    (!valid).then_some("answers are complete and unmodified")
+}
