--- a/crates/fakes/examples/control.rs
+++ b/crates/fakes/examples/control.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use heathpitch_core::{LayerRange, Timing};
-use heathpitch_fakes::{Deployment, EngineSetup, NodeProcess, node_binary, sample};
+use heathpitch_fakes::{Deployment, EngineConfig, NodeProcess, node_binary, sample_document};
 use hyper::Method;
 
 /// Time measured.
@@ -26,36 +26,36 @@
 }
 
 async fn measure(nodes: usize, engines: usize) -> Result<()> {
-    let mut d = Deployment::open(&node_binary()?)?;
+    let mut d = Deployment::new(&node_binary()?)?;
     for i in 0..engines {
         let at = (i % 3) as u32 * 4;
         let layers = LayerRange::new(at, at + 4);
         let name = format!("e{i}").parse()?;
-        let setup = EngineSetup::new(name, "tickets".parse()?, "v1".parse()?, layers);
-        d.engine(setup, "memphis")?;
+        let config = EngineConfig::new(name, "tickets".parse()?, "v1".parse()?, layers);
+        d.add_engine(config, "memphis")?;
     }
     let timing = serde_json::to_value(Timing::default())?;
     for i in 0..nodes {
-        d.node(&format!("n{i}"), "memphis", |s| s["timing"] = timing.clone())?;
+        d.start_node(&format!("n{i}"), "memphis", |s| s["timing"] = timing.clone())?;
     }
-    d.list();
-    let mut document = sample(12)?;
-    let revision = d.configure(&document).await?;
-    if !d.ready(revision, engines, Duration::from_secs(60)).await {
+    d.publish_vms();
+    let mut document = sample_document(12)?;
+    let revision = d.put_config(&document).await?;
+    if !d.wait_ready(revision, engines, Duration::from_secs(60)).await {
         return Err("the nodes did not become ready".into());
     }
     let (cpu, bytes, reads) =
-        (total(&d, NodeProcess::processor)?, bytes(&d).await, d.platform.calls().reads);
+        (total(&d, NodeProcess::cpu_seconds)?, bytes(&d).await, d.platform.calls().reads);
     tokio::time::sleep(SPAN).await;
     let span = SPAN.as_secs_f64();
-    let cpu = (total(&d, NodeProcess::processor)? - cpu) / span / nodes as f64 * 100.0;
+    let cpu = (total(&d, NodeProcess::cpu_seconds)? - cpu) / span / nodes as f64 * 100.0;
     let bytes = (self::bytes(&d).await - bytes) / span / nodes as f64 / 1_000.0;
     let reads = (d.platform.calls().reads - reads) as f64 / span;
-    let memory = total(&d, |n| n.memory().map(|m| m as f64))? / nodes as f64 / 1_000.0;
+    let memory = total(&d, |n| n.resident_kb().map(|m| m as f64))? / nodes as f64 / 1_000.0;
     document.accounts[0].weight = 7;
-    let revision = d.configure(&document).await?;
+    let revision = d.put_config(&document).await?;
     let start = Instant::now();
-    d.ready(revision, engines, Duration::from_secs(30)).await;
+    d.wait_ready(revision, engines, Duration::from_secs(30)).await;
     let in_force = start.elapsed().as_millis();
     println!(
         "| {nodes} | {engines} | {cpu:.2} | {memory:.1} | {bytes:.1} | {reads:.1} | {in_force} |"
--- a/crates/fakes/examples/cost.rs
+++ b/crates/fakes/examples/cost.rs
@@ -9,7 +9,8 @@
 use futures::StreamExt;
 use heathpitch_core::{Attempt, Epoch, LayerRange, Name, Priority};
 use heathpitch_fakes::{
-    Answer, Caller, Deployment, EngineSetup, Fault, NodeProcess, node_binary, sample,
+    Caller, Deployment, EngineConfig, Fault, NodeProcess, StreamedAnswer, node_binary,
+    sample_document,
 };
 use heathpitch_net::{Client, EngineClient, Frame, GenerateCall, Hop, HttpEngine};
 use tokio::task::JoinSet;
@@ -24,26 +25,26 @@
 
 #[tokio::main]
 async fn main() -> Result<()> {
-    let mut d = Deployment::open(&node_binary()?)?;
+    let mut d = Deployment::new(&node_binary()?)?;
     let layers = LayerRange::new(0, LAYERS);
-    let mut setup = EngineSetup::new("e".parse()?, "tickets".parse()?, "v1".parse()?, layers);
-    setup.step = Duration::from_millis(5);
-    setup.slots = 4_096;
-    setup.queue = 4_096;
-    d.engine(setup, "memphis")?;
-    d.node("n1", "memphis", |_| {})?;
-    d.list();
-    let mut document = sample(LAYERS)?;
+    let mut config = EngineConfig::new("e".parse()?, "tickets".parse()?, "v1".parse()?, layers);
+    config.step_time = Duration::from_millis(5);
+    config.slots = 4_096;
+    config.queue_capacity = 4_096;
+    d.add_engine(config, "memphis")?;
+    d.start_node("n1", "memphis", |_| {})?;
+    d.publish_vms();
+    let mut document = sample_document(LAYERS)?;
     document.routes[0].settings.max_open = 100_000;
-    let revision = d.configure(&document).await?;
-    if !d.ready(revision, 1, Duration::from_secs(20)).await {
+    let revision = d.put_config(&document).await?;
+    if !d.wait_ready(revision, 1, Duration::from_secs(20)).await {
         return Err("the node did not become ready".into());
     }
     let (node, engine) = (d.nodes[0].listen, d.engines[0].0.address());
     latency(node, engine).await?;
     cpu(&d.nodes[0]).await?;
     // Slower steps, so that the stand-in can keep a thousand streams open.
-    d.engines[0].0.fault(Fault::Slow(40.0));
+    d.engines[0].0.inject(Fault::Slow(40.0));
     memory(&d.nodes[0]).await
 }
 
@@ -81,8 +82,8 @@
     Ok(())
 }
 
-fn timed(answer: &Answer, whole: Duration) -> (f64, f64) {
-    let first = answer.first.as_secs_f64() * 1_000.0;
+fn timed(answer: &StreamedAnswer, whole: Duration) -> (f64, f64) {
+    let first = answer.first_token.as_secs_f64() * 1_000.0;
     let rest = whole.as_secs_f64() * 1_000.0 - first;
     (first, rest / (answer.pieces.len().max(2) - 1) as f64)
 }
@@ -124,15 +125,15 @@
 
 /// Processor time of the node for each request and token, from two lengths of answers.
 async fn cpu(node: &NodeProcess) -> Result<()> {
-    let idle = node.processor()?;
+    let idle = node.cpu_seconds()?;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let control = (node.processor()? - idle) / 2.0;
+    let control = (node.cpu_seconds()? - idle) / 2.0;
     println!("\ncontrol: {:.2} % of a core with no traffic", control * 100.0);
     let mut figures = Vec::new();
     for tokens in [1_u32, 64] {
-        let (count, start, before) = (4_000, Instant::now(), node.processor()?);
+        let (count, start, before) = (4_000, Instant::now(), node.cpu_seconds()?);
         let done = flood(node.listen, count, tokens).await?;
-        let used = node.processor()? - before;
+        let used = node.cpu_seconds()? - before;
         let each = used / count as f64 * 1e6;
         let rate = done as f64 / start.elapsed().as_secs_f64();
         println!(
@@ -159,7 +160,7 @@
             for n in 0..count / WORKERS {
                 let prompt = format!("{worker} {n}");
                 let got = caller.stream(node, &model, &prompt, tokens).await;
-                whole += usize::from(got.is_ok_and(|a| a.whole));
+                whole += usize::from(got.is_ok_and(|a| a.complete));
             }
             whole
         });
@@ -169,7 +170,7 @@
 
 /// Memory of the node with a thousand streams held open.
 async fn memory(node: &NodeProcess) -> Result<()> {
-    let before = node.memory()?;
+    let before = node.resident_kb()?;
     let mut tasks = JoinSet::new();
     for i in 0..STREAMS {
         let caller = Caller::new("memphis-desk".parse()?);
@@ -179,7 +180,7 @@
     }
     tokio::time::sleep(Duration::from_secs(4)).await;
     let open = node.status().await["open"].as_u64().unwrap_or(0);
-    let with = node.memory()?;
+    let with = node.resident_kb()?;
     println!(
         "\nresident memory: {before} kB before, {with} kB with {open} streams open: {} kB each",
         (with.saturating_sub(before)) / open.max(1)
--- a/crates/fakes/examples/demo.rs
+++ b/crates/fakes/examples/demo.rs
@@ -9,7 +9,9 @@
 use std::time::{Duration, Instant};
 
 use gumdrop::Options;
-use heathpitch_fakes::{Answer, Caller, Deployment, answer, node_binary, piece, sample};
+use heathpitch_fakes::{
+    Caller, Deployment, StreamedAnswer, node_binary, reference_answer, sample_document, token_text,
+};
 
 /// Layers of the sample models.
 const LAYERS: u32 = 24;
@@ -38,15 +40,15 @@
         Some(path) => path.clone(),
         None => node_binary()?,
     };
-    let mut d = Deployment::open(&binary)?;
-    d.engines(&"tickets".parse()?, LAYERS, 3, 2, "memphis")?;
+    let mut d = Deployment::new(&binary)?;
+    d.add_chains(&"tickets".parse()?, LAYERS, 3, 2, "memphis")?;
     for (name, domain) in [("n1", "memphis"), ("n2", "memphis"), ("n3", "memphis")] {
-        d.node(name, domain, |_| {})?;
+        d.start_node(name, domain, |_| {})?;
     }
-    d.list();
-    let revision = d.configure(&sample(LAYERS)?).await?;
+    d.publish_vms();
+    let revision = d.put_config(&sample_document(LAYERS)?).await?;
     println!("{} engines, {} nodes, {LAYERS} layers in 3 stages", d.engines.len(), d.nodes.len());
-    if !d.ready(revision, d.engines.len(), Duration::from_secs(20)).await {
+    if !d.wait_ready(revision, d.engines.len(), Duration::from_secs(20)).await {
         return Err("the nodes did not become ready".into());
     }
     let start = Instant::now();
@@ -64,11 +66,11 @@
     while let Some(done) = tasks.join_next().await {
         for (good, got) in done? {
             if !good {
-                println!("wrong: status {} whole {} {:?}", got.status, got.whole, got.error);
+                println!("wrong: status {} whole {} {:?}", got.status, got.complete, got.error);
             }
             right += usize::from(good);
             tokens += got.pieces.len();
-            firsts.push(got.first);
+            firsts.push(got.first_token);
         }
     }
     let total = firsts.len();
@@ -91,15 +93,15 @@
     prompt: String,
     count: usize,
     tokens: u32,
-) -> Vec<(bool, Answer)> {
+) -> Vec<(bool, StreamedAnswer)> {
     let (Ok(model), Ok(version)) = ("tickets".parse(), "v1".parse()) else { return Vec::new() };
     let mut answers = Vec::new();
     for r in 0..count {
         let prompt = format!("{prompt}, order {r}");
         let got = caller.stream(node, &model, &prompt, tokens).await.unwrap_or_default();
-        let right = answer(&model, &version, LAYERS, &prompt, tokens);
-        let text: Vec<String> = right.tokens.iter().map(|t| piece(*t)).collect();
-        answers.push((got.whole && got.pieces == text, got));
+        let right = reference_answer(&model, &version, LAYERS, &prompt, tokens);
+        let text: Vec<String> = right.tokens.iter().map(|t| token_text(*t)).collect();
+        answers.push((got.complete && got.pieces == text, got));
     }
     answers
 }
--- a/crates/fakes/examples/experiment.rs
+++ b/crates/fakes/examples/experiment.rs
@@ -10,7 +10,9 @@
 
 use gumdrop::Options;
 use heathpitch_core::{LayerRange, Name, Strategy};
-use heathpitch_fakes::{Answer, Caller, Deployment, EngineSetup, Fault, node_binary, sample};
+use heathpitch_fakes::{
+    Caller, Deployment, EngineConfig, Fault, StreamedAnswer, node_binary, sample_document,
+};
 use tokio::task::JoinSet;
 
 const LAYERS: u32 = 24;
@@ -98,29 +100,29 @@
     nodes: usize,
     strategy: Strategy,
 ) -> Result<Deployment> {
-    let mut d = Deployment::open(binary)?;
+    let mut d = Deployment::new(binary)?;
     for replica in 0..4_u32 {
         for stage in 0..STAGES {
             let layers = LayerRange::new(LAYERS * stage / STAGES, LAYERS * (stage + 1) / STAGES);
             let name = format!("e{stage}{replica}").parse()?;
-            let mut setup = EngineSetup::new(name, "tickets".parse()?, "v1".parse()?, layers);
+            let mut config = EngineConfig::new(name, "tickets".parse()?, "v1".parse()?, layers);
             let slow = (replica % 2) as usize;
-            setup.step = STEPS[slow];
-            setup.prefill = PREFILL / (slow as f64 + 1.0);
-            setup.slots = SLOTS;
-            setup.cache = 1_200;
-            setup.lag = Duration::from_millis(500);
-            d.engine(setup, "memphis")?;
+            config.step_time = STEPS[slow];
+            config.prefill_rate = PREFILL / (slow as f64 + 1.0);
+            config.slots = SLOTS;
+            config.cache_blocks = 1_200;
+            config.report_lag = Duration::from_millis(500);
+            d.add_engine(config, "memphis")?;
         }
     }
     for i in 0..nodes {
-        d.node(&format!("n{i}"), "memphis", |_| {})?;
+        d.start_node(&format!("n{i}"), "memphis", |_| {})?;
     }
-    d.list();
-    let mut document = sample(LAYERS)?;
+    d.publish_vms();
+    let mut document = sample_document(LAYERS)?;
     document.routes[0].settings.strategy = strategy;
-    let revision = d.configure(&document).await?;
-    match d.ready(revision, d.engines.len(), Duration::from_secs(20)).await {
+    let revision = d.put_config(&document).await?;
+    match d.wait_ready(revision, d.engines.len(), Duration::from_secs(20)).await {
         true => Ok(d),
         false => Err("the nodes did not become ready".into()),
     }
@@ -144,12 +146,12 @@
         let node = d.nodes[worker % d.nodes.len()].listen;
         tasks.spawn(work(node, worker, load, end));
     }
-    let all: Vec<Answer> = tasks.join_all().await.into_iter().flatten().collect();
+    let all: Vec<StreamedAnswer> = tasks.join_all().await.into_iter().flatten().collect();
     let took = start.elapsed().as_secs_f64();
     let tokens: usize = all.iter().map(|a| a.pieces.len()).sum();
-    let good: Vec<&Answer> = all.iter().filter(|a| a.whole).collect();
-    let firsts = sorted(good.iter().map(|a| a.first));
-    let gaps = sorted(good.iter().map(|a| a.gap));
+    let good: Vec<&StreamedAnswer> = all.iter().filter(|a| a.complete).collect();
+    let firsts = sorted(good.iter().map(|a| a.first_token));
+    let gaps = sorted(good.iter().map(|a| a.max_gap));
     let rate = tokens as f64 / took;
     println!(
         "| {load:?} | {strategy:?} | {rate:.0} | {:.2} | {:.0} | {:.0} | {:.0} | {} |",
@@ -163,7 +165,7 @@
 }
 
 /// Asks until the time is over; the load decides lengths, pauses and prompts.
-async fn work(node: SocketAddr, worker: usize, load: Load, end: Instant) -> Vec<Answer> {
+async fn work(node: SocketAddr, worker: usize, load: Load, end: Instant) -> Vec<StreamedAnswer> {
     let accounts = ["memphis-desk", "adviser-1", "isar-night"];
     // Workers of one group share a prefix, so they are of one account.
     let account = accounts[worker % GROUPS % 3];
@@ -180,7 +182,7 @@
             tokio::time::sleep(Duration::from_millis(900)).await;
         }
         let got = caller.stream(node, &model, &prompt, tokens).await.unwrap_or_default();
-        if !got.whole {
+        if !got.complete {
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
         answers.push(got);
@@ -208,10 +210,10 @@
     println!("|---|---|---|---|---|---|");
     let cases = [
         ("none", None, 0),
-        ("killed stage", Some(Fault::Die), 1),
+        ("killed stage", Some(Fault::Exit), 1),
         ("frozen stage", Some(Fault::Freeze), 1),
         ("stage 30 times slower", Some(Fault::Slow(30.0)), 1),
-        ("two killed stages", Some(Fault::Die), 2),
+        ("two killed stages", Some(Fault::Exit), 2),
         ("two frozen stages", Some(Fault::Freeze), 2),
     ];
     for (name, fault, count) in cases {
@@ -234,8 +236,8 @@
             for got in tasks.join_all().await {
                 let got = got.unwrap_or_default();
                 total += 1;
-                whole += u32::from(got.whole);
-                gaps.push(got.gap);
+                whole += u32::from(got.complete);
+                gaps.push(got.max_gap);
             }
         }
         let gaps = sorted(gaps.into_iter());
@@ -251,7 +253,7 @@
         let of_stage =
             d.engines.iter().filter(|(e, _)| e.name().as_str().starts_with(&format!("e{stage}")));
         // All but one replica of the stage: whatever path an answer is on, it is most likely hit.
-        of_stage.take(3).for_each(|(e, _)| e.fault(fault));
+        of_stage.take(3).for_each(|(e, _)| e.inject(fault));
     }
 }
 
--- a/crates/fakes/examples/fake_engine.rs
+++ b/crates/fakes/examples/fake_engine.rs
@@ -6,7 +6,7 @@
 
 use gumdrop::Options;
 use heathpitch_core::LayerRange;
-use heathpitch_fakes::{EngineSetup, FakeEngine};
+use heathpitch_fakes::{EngineConfig, FakeEngine};
 
 #[derive(Debug, Options)]
 struct Arguments {
@@ -38,11 +38,11 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let a = Arguments::parse_args_default_or_exit();
     let layers = LayerRange::new(a.first, a.end);
-    let mut setup = EngineSetup::new(a.name.parse()?, a.model.parse()?, "v1".parse()?, layers);
-    setup.address = a.listen.parse::<SocketAddr>()?;
-    setup.step = Duration::from_millis(a.step);
-    setup.fenced = !a.unfenced;
-    let engine = FakeEngine::spawn(setup)?;
+    let mut config = EngineConfig::new(a.name.parse()?, a.model.parse()?, "v1".parse()?, layers);
+    config.address = a.listen.parse::<SocketAddr>()?;
+    config.step_time = Duration::from_millis(a.step);
+    config.fenced = !a.unfenced;
+    let engine = FakeEngine::spawn(config)?;
     println!("engine {} holds layers {layers} at {}", engine.name(), engine.address());
     loop {
         std::thread::park();
--- a/crates/fakes/examples/fake_platform.rs
+++ b/crates/fakes/examples/fake_platform.rs
@@ -6,7 +6,7 @@
 
 use gumdrop::Options;
 use heathpitch_core::Vm;
-use heathpitch_fakes::{FakePlatform, PlatformSetup};
+use heathpitch_fakes::{FakePlatform, PlatformConfig};
 
 #[derive(Debug, Options)]
 struct Arguments {
@@ -23,10 +23,10 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let a = Arguments::parse_args_default_or_exit();
     let address = a.listen.parse::<SocketAddr>()?;
-    let platform = FakePlatform::spawn(PlatformSetup { address, ..PlatformSetup::default() })?;
+    let platform = FakePlatform::spawn(PlatformConfig { address, ..PlatformConfig::default() })?;
     let vms: Vec<Vm> = serde_json::from_str(&std::fs::read_to_string(&a.vms)?)?;
     println!("platform at {}, {} VMs listed", platform.address(), vms.len());
-    platform.list(vms);
+    platform.publish_vms(vms);
     loop {
         std::thread::park();
     }
--- a/crates/fakes/src/checker.rs
+++ b/crates/fakes/src/caller.rs
@@ -22,19 +22,19 @@
 
 /// A streamed answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct StreamedAnswer {
     /// Text of each event.
     pub pieces: Vec<String>,
     /// Whether it ended with its explicit end.
-    pub whole: bool,
+    pub complete: bool,
     /// Error event or body, if any.
     pub error: Option<Value>,
     /// HTTP status.
     pub status: u16,
     /// Time to the first token.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Longest time between two tokens.
-    pub gap: Duration,
+    pub max_gap: Duration,
 }
 
 /// A whole response.
@@ -51,7 +51,7 @@
 /// Why a call gave no response.
 pub type CallError = RpcError;
 
-/// # Calls
+/// # CallCounts
 impl Caller {
     /// A caller for `account`.
     pub fn new(account: Name) -> Self {
@@ -92,12 +92,13 @@
         model: &Name,
         prompt: &str,
         wanted: u32,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<StreamedAnswer, CallError> {
         let ask = json!({ "model": model, "prompt": prompt, "max_tokens": wanted, "stream": true });
         let request = self.request(node, "/v1/completions", &[], ask.to_string().into())?;
         let start = Instant::now();
         let response = self.client.send(request, true).await?;
-        let mut answer = Answer { status: response.status().as_u16(), ..Answer::default() };
+        let mut answer =
+            StreamedAnswer { status: response.status().as_u16(), ..StreamedAnswer::default() };
         if answer.status != 200 {
             let bytes = body::read(response.into_body(), MAX_ANSWER).await.unwrap_or_default();
             answer.error = serde_json::from_slice(&bytes).ok();
@@ -115,8 +116,8 @@
                     let gap = last.elapsed();
                     last = Instant::now();
                     match answer.pieces.len() {
-                        1 => answer.first = gap,
-                        _ => answer.gap = answer.gap.max(gap),
+                        1 => answer.first_token = gap,
+                        _ => answer.max_gap = answer.max_gap.max(gap),
                     }
                 }
             }
@@ -141,14 +142,14 @@
     }
 }
 
-impl Answer {
+impl StreamedAnswer {
     /// Takes one server-sent event; true if it held a token.
     fn take(&mut self, event: &str) -> bool {
         let data = event.trim().strip_prefix("data: ").unwrap_or_default();
         let value: Value = serde_json::from_str(data).unwrap_or(Value::Null);
         match value["choices"][0]["text"].as_str() {
             _ if data == "[DONE]" => {
-                self.whole = true;
+                self.complete = true;
                 false
             }
             _ if !value["error"].is_null() => {
--- a/crates/fakes/src/deployment.rs
+++ b/crates/fakes/src/deployment.rs
@@ -15,7 +15,7 @@
 use parking_lot::Mutex;
 use serde_json::{Value, json};
 
-use crate::{EngineSetup, FakeEngine, FakePlatform, FakeService, PlatformSetup};
+use crate::{EngineConfig, FakeEngine, FakePlatform, FakeService, PlatformConfig};
 
 /// Clock ticks of a second in /proc.
 const TICKS: f64 = 100.0;
@@ -77,8 +77,8 @@
     /// # Errors
     ///
     /// [`DeploymentError`] if the platform or the folder for settings cannot be made.
-    pub fn open(binary: &Path) -> Result<Self, DeploymentError> {
-        let platform = FakePlatform::spawn(PlatformSetup::default())?;
+    pub fn new(binary: &Path) -> Result<Self, DeploymentError> {
+        let platform = FakePlatform::spawn(PlatformConfig::default())?;
         let folder = std::env::temp_dir().join(format!(
             "heathpitch-{}-{}",
             std::process::id(),
@@ -100,8 +100,12 @@
     /// # Errors
     ///
     /// [`DeploymentError`] if it cannot be started.
-    pub fn engine(&mut self, setup: EngineSetup, domain: &str) -> Result<usize, DeploymentError> {
-        let engine = FakeEngine::spawn(setup)?;
+    pub fn add_engine(
+        &mut self,
+        config: EngineConfig,
+        domain: &str,
+    ) -> Result<usize, DeploymentError> {
+        let engine = FakeEngine::spawn(config)?;
         let vm = vm(engine.name().clone(), VmRole::Engine, engine.address(), domain)?;
         self.engines.push((engine, vm));
         Ok(self.engines.len() - 1)
@@ -112,7 +116,7 @@
     /// # Errors
     ///
     /// [`DeploymentError`] if one cannot be started.
-    pub fn engines(
+    pub fn add_chains(
         &mut self,
         model: &Name,
         layers: u32,
@@ -124,8 +128,8 @@
             for stage in 0..stages {
                 let range = LayerRange::new(layers * stage / stages, layers * (stage + 1) / stages);
                 let name = format!("{domain}-{model}-{stage}{}", letter(replica)).parse()?;
-                let setup = EngineSetup::new(name, model.clone(), "v1".parse()?, range);
-                self.engine(setup, domain)?;
+                let config = EngineConfig::new(name, model.clone(), "v1".parse()?, range);
+                self.add_engine(config, domain)?;
             }
         }
         Ok(())
@@ -136,7 +140,7 @@
     /// # Errors
     ///
     /// [`DeploymentError`] if it cannot be started.
-    pub fn service(&mut self, name: &str, domain: &str) -> Result<usize, DeploymentError> {
+    pub fn add_service(&mut self, name: &str, domain: &str) -> Result<usize, DeploymentError> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let service = FakeService::spawn(name.parse()?, any, Duration::from_millis(5))?;
         let vm = vm(service.name().clone(), VmRole::Service, service.address(), domain)?;
@@ -145,11 +149,11 @@
     }
 
     /// Publishes the list of VMs.
-    pub fn list(&self) {
+    pub fn publish_vms(&self) {
         let engines = self.engines.iter().map(|(_, vm)| vm.clone());
         let services = self.services.iter().map(|(_, vm)| vm.clone());
         let nodes = self.nodes.iter().filter_map(NodeProcess::vm);
-        self.platform.list(engines.chain(services).chain(nodes).collect());
+        self.platform.publish_vms(engines.chain(services).chain(nodes).collect());
     }
 
     /// Stores a configuration document.
@@ -157,7 +161,7 @@
     /// # Errors
     ///
     /// [`DeploymentError::Put`] if the platform does not take it.
-    pub async fn configure(&self, document: &Document) -> Result<Revision, DeploymentError> {
+    pub async fn put_config(&self, document: &Document) -> Result<Revision, DeploymentError> {
         let platform = HttpPlatform::new(Client::new(), &[self.platform.address()]);
         let text = serde_json::to_string(document).map_err(io::Error::other)?;
         let stands = self.platform.stored("config").map_or(Revision(0), |s| s.revision);
@@ -172,7 +176,7 @@
     /// # Errors
     ///
     /// [`DeploymentError`] if it does not start in time.
-    pub fn node(
+    pub fn start_node(
         &mut self,
         name: &str,
         domain: &str,
@@ -198,7 +202,7 @@
 
     /// Waits until every node serves `revision` and sees `upstreams` upstreams; false if it does
     /// not come to that within `limit`.
-    pub async fn ready(&self, revision: Revision, upstreams: usize, limit: Duration) -> bool {
+    pub async fn wait_ready(&self, revision: Revision, upstreams: usize, limit: Duration) -> bool {
         let end = Instant::now() + limit;
         loop {
             let mut good = 0;
@@ -287,7 +291,7 @@
     /// # Errors
     ///
     /// What the system says, or that /proc does not have the figure.
-    pub fn processor(&self) -> io::Result<f64> {
+    pub fn cpu_seconds(&self) -> io::Result<f64> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.pid()))?;
         let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace();
         let ticks: Vec<f64> = fields.skip(11).take(2).filter_map(|f| f.parse().ok()).collect();
@@ -302,7 +306,7 @@
     /// # Errors
     ///
     /// What the system says, or that /proc does not have the figure.
-    pub fn memory(&self) -> io::Result<u64> {
+    pub fn resident_kb(&self) -> io::Result<u64> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.pid()))?;
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         let figure = line.and_then(|l| l.split_whitespace().next()).and_then(|f| f.parse().ok());
@@ -331,7 +335,7 @@
     /// # Errors
     ///
     /// What the system says.
-    pub fn wait(&mut self) -> io::Result<Option<i32>> {
+    pub fn wait_exit(&mut self) -> io::Result<Option<i32>> {
         self.child.wait().map(|s| s.code())
     }
 
@@ -349,7 +353,7 @@
     }
 
     /// Marks its VM as leaving in the next list.
-    pub fn leave(&mut self) {
+    pub fn mark_leaving(&mut self) {
         self.state = VmState::Leaving;
     }
 
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -22,7 +22,7 @@
 
 /// What a stand-in engine is and holds at first.
 #[derive(Clone, Debug)]
-pub struct EngineSetup {
+pub struct EngineConfig {
     /// Name.
     pub name: Name,
     /// `ip:port`; port 0 takes a free one.
@@ -36,26 +36,26 @@
     /// Requests batched at once.
     pub slots: u32,
     /// Requests waiting before more are refused.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Prompt tokens prefilled per second.
-    pub prefill: f64,
+    pub prefill_rate: f64,
     /// Time of a decode step.
-    pub step: Duration,
+    pub step_time: Duration,
     /// Blocks of the prefix cache.
-    pub cache: usize,
+    pub cache_blocks: usize,
     /// Age of load reports.
-    pub lag: Duration,
+    pub report_lag: Duration,
     /// Whether orders of an older epoch are refused.
     pub fenced: bool,
     /// Megabytes a second at which weights are loaded.
-    pub weights: f64,
+    pub load_rate: f64,
     /// Memory for weights, megabytes.
-    pub memory: u64,
+    pub memory_mb: u64,
     /// Time an activation takes to the next stage.
-    pub link: Duration,
+    pub link_delay: Duration,
 }
 
-impl EngineSetup {
+impl EngineConfig {
     /// An engine that holds `layers` of `model` and computes fast.
     pub fn new(name: Name, model: Name, version: Name, layers: LayerRange) -> Self {
         Self {
@@ -65,15 +65,15 @@
             version,
             layers,
             slots: 32,
-            queue: 256,
-            prefill: 50_000.0,
-            step: Duration::from_millis(2),
-            cache: 4_096,
-            lag: Duration::from_millis(100),
+            queue_capacity: 256,
+            prefill_rate: 50_000.0,
+            step_time: Duration::from_millis(2),
+            cache_blocks: 4_096,
+            report_lag: Duration::from_millis(100),
             fenced: true,
-            weights: 20_000.0,
-            memory: 6_000,
-            link: Duration::ZERO,
+            load_rate: 20_000.0,
+            memory_mb: 6_000,
+            link_delay: Duration::ZERO,
         }
     }
 }
@@ -83,7 +83,7 @@
 /// State of an engine that its requests share.
 #[derive(Debug)]
 pub(crate) struct Engine {
-    pub(crate) setup: EngineSetup,
+    pub(crate) config: EngineConfig,
     pub(crate) life: Incarnation,
     pub(crate) held: Mutex<Held>,
     pub(crate) slots: Slots,
@@ -124,10 +124,10 @@
     /// # Errors
     ///
     /// What the system says if the address cannot be bound.
-    pub fn spawn(setup: EngineSetup) -> io::Result<Self> {
-        let engine = Arc::new(Engine::new(setup));
+    pub fn spawn(config: EngineConfig) -> io::Result<Self> {
+        let engine = Arc::new(Engine::new(config));
         let shared = engine.clone();
-        let host = Host::spawn(engine.setup.address, move |request| {
+        let host = Host::spawn(engine.config.address, move |request| {
             engine_http::handle(shared.clone(), request)
         })?;
         Ok(Self { host, engine })
@@ -140,19 +140,19 @@
 
     /// Name.
     pub fn name(&self) -> &Name {
-        &self.engine.setup.name
+        &self.engine.config.name
     }
 
     /// Shows a fault.
-    pub fn fault(&self, fault: Fault) {
+    pub fn inject(&self, fault: Fault) {
         match fault {
-            Fault::Die => self.host.kill(),
-            other => self.engine.fault(other),
+            Fault::Exit => self.host.kill(),
+            other => self.engine.inject(other),
         }
     }
 
     /// Requests that ran as head: begun, and ended whole.
-    pub fn counts(&self) -> (u64, u64) {
+    pub fn request_counts(&self) -> (u64, u64) {
         (self.engine.started.load(Relaxed), self.engine.finished.load(Relaxed))
     }
 
@@ -163,22 +163,22 @@
 }
 
 impl Engine {
-    fn new(setup: EngineSetup) -> Self {
+    fn new(config: EngineConfig) -> Self {
         let life = Incarnation(now_micros());
         let held = Held {
-            model: setup.model.clone(),
-            version: setup.version.clone(),
-            layers: setup.layers,
+            model: config.model.clone(),
+            version: config.version.clone(),
+            layers: config.layers,
             epoch: Epoch(0),
             role: EngineRole::Both,
             leaving: false,
             ready: Instant::now(),
         };
-        let report = report(&setup, life, &held, 0, 0, 0);
+        let report = report(&config, life, &held, 0, 0, 0);
         Self {
-            slots: Slots::new(setup.slots, setup.queue),
-            cache: Mutex::new(PrefixCache::new(setup.cache)),
-            setup,
+            slots: Slots::new(config.slots, config.queue_capacity),
+            cache: Mutex::new(PrefixCache::new(config.cache_blocks)),
+            config,
             life,
             held: Mutex::new(held),
             open: Mutex::default(),
@@ -193,11 +193,11 @@
     }
 
     /// Puts a fault in force.
-    pub(crate) fn fault(&self, fault: Fault) {
+    pub(crate) fn inject(&self, fault: Fault) {
         match fault {
-            Fault::LoseEvents => self.cache.lock().lose_events(),
-            Fault::Leave => self.held.lock().leaving = true,
-            Fault::Die => std::process::exit(137),
+            Fault::ClearEvents => self.cache.lock().lose_events(),
+            Fault::Drain => self.held.lock().leaving = true,
+            Fault::Exit => std::process::exit(137),
             _ => {}
         }
         let mut faults = self.faults.lock();
@@ -213,12 +213,12 @@
     /// The report, as old as the engine's lag allows.
     pub(crate) fn report(&self) -> EngineReport {
         let mut last = self.report.lock();
-        let fresh = last.0.elapsed() < self.setup.lag;
+        let fresh = last.0.elapsed() < self.config.report_lag;
         let held = self.held.lock().clone();
         if !fresh || held.leaving != last.1.leaving {
             let running = self.open.lock().len() as u32;
             let serial = last.1.serial + 1;
-            let next = report(&self.setup, self.life, &held, serial, running, self.slots.queued());
+            let next = report(&self.config, self.life, &held, serial, running, self.slots.queued());
             *last = (Instant::now(), next);
         }
         last.1.clone()
@@ -227,13 +227,13 @@
     /// Takes an order, or says which epoch is newer.
     pub(crate) fn order(&self, order: Order) -> Result<(), Epoch> {
         let mut held = self.held.lock();
-        if self.setup.fenced && order.epoch < held.epoch {
+        if self.config.fenced && order.epoch < held.epoch {
             return Err(held.epoch);
         }
         held.epoch = held.epoch.max(order.epoch);
         match order.kind {
             OrderKind::Load { model, version, layers, megabytes } => {
-                let time = Duration::from_secs_f64(megabytes as f64 / self.setup.weights);
+                let time = Duration::from_secs_f64(megabytes as f64 / self.config.load_rate);
                 held.ready = Instant::now() + time;
                 held.model = Some(model);
                 held.version = version;
@@ -248,7 +248,7 @@
 }
 
 fn report(
-    setup: &EngineSetup,
+    config: &EngineConfig,
     life: Incarnation,
     held: &Held,
     serial: u64,
@@ -257,7 +257,7 @@
 ) -> EngineReport {
     let loaded = Instant::now() >= held.ready;
     EngineReport {
-        engine: setup.name.clone(),
+        engine: config.name.clone(),
         life,
         serial,
         model: held.model.clone().filter(|_| loaded),
@@ -266,15 +266,15 @@
         epoch: held.epoch,
         role: held.role,
         leaving: held.leaving,
-        slots: setup.slots,
+        slots: config.slots,
         running,
         queued,
-        prefill: setup.prefill,
-        step: setup.step.as_micros() as u64,
-        service: (setup.step * 32).as_millis() as u64,
-        memory: setup.memory,
-        layer: (setup.step.as_micros() as u64) / u64::from(setup.layers.count().max(1)),
-        link: setup.link.as_micros() as u64,
+        prefill: config.prefill_rate,
+        step: config.step_time.as_micros() as u64,
+        service: (config.step_time * 32).as_millis() as u64,
+        memory: config.memory_mb,
+        layer: (config.step_time.as_micros() as u64) / u64::from(config.layers.count().max(1)),
+        link: config.link_delay.as_micros() as u64,
     }
 }
 
--- a/crates/fakes/src/engine_http.rs
+++ b/crates/fakes/src/engine_http.rs
@@ -18,7 +18,7 @@
 
 use crate::engine::Engine;
 use crate::faults::Fault;
-use crate::model::{embed, piece, stops};
+use crate::model::{embed, stops, token_text};
 use crate::stage::{Closer, Open, Opened, Step, Stepped};
 
 /// Largest request read, bytes.
@@ -87,7 +87,7 @@
         },
         (Method::POST, "/fault") => match parse::<Fault>(&content) {
             Some(fault) => {
-                engine.fault(fault);
+                engine.inject(fault);
                 status(200, &json!({}))
             }
             None => status(400, &json!({})),
@@ -199,7 +199,7 @@
     fn frame(&self, position: u32, token: u32, layers: u32) -> Frame {
         let request = self.call.request.clone();
         let attempt = self.call.attempt;
-        Frame::Token { request, attempt, position, token, text: piece(token), layers }
+        Frame::Token { request, attempt, position, token, text: token_text(token), layers }
     }
 
     /// Sends a token, as the faults in force have it; false once there is nobody to send to.
--- a/crates/fakes/src/faults.rs
+++ b/crates/fakes/src/faults.rs
@@ -7,7 +7,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
     /// End at once, as SIGKILL would.
-    Die,
+    #[serde(rename = "die")]
+    Exit,
     /// Answer nothing more until thawed.
     Freeze,
     /// Go on after a freeze.
@@ -15,23 +16,29 @@
     /// Compute this many times slower.
     Slow(f64),
     /// End each answer after this many tokens without saying so.
-    CutShort(u32),
+    #[serde(rename = "cut_short")]
+    Truncate(u32),
     /// Swap two tokens of each answer.
     Reorder,
     /// Put a frame of another request into each answer.
-    Cross,
+    #[serde(rename = "cross")]
+    WrongRequest,
     /// Refuse every new request with a statement of no start.
     Refuse,
     /// Close new connections for requests before any answer.
     Reset,
     /// Run each request but lose its answer.
-    LoseAnswer,
+    #[serde(rename = "lose_answer")]
+    LoseResponse,
     /// Forget cache events.
-    LoseEvents,
+    #[serde(rename = "lose_events")]
+    ClearEvents,
     /// Say that the engine will stop.
-    Leave,
+    #[serde(rename = "leave")]
+    Drain,
     /// Show no fault any more.
-    Heal,
+    #[serde(rename = "heal")]
+    Clear,
 }
 
 /// Faults in force.
@@ -55,15 +62,15 @@
             Fault::Freeze => self.frozen = true,
             Fault::Thaw => self.frozen = false,
             Fault::Slow(factor) => self.slow = Some(factor),
-            Fault::CutShort(n) => self.cut = Some(n),
+            Fault::Truncate(n) => self.cut = Some(n),
             Fault::Reorder => self.reorder = true,
-            Fault::Cross => self.cross = true,
+            Fault::WrongRequest => self.cross = true,
             Fault::Refuse => self.refuse = true,
             Fault::Reset => self.reset = true,
-            Fault::LoseAnswer => self.lose = true,
-            Fault::Leave => self.leaving = true,
-            Fault::Heal => *self = Self::default(),
-            Fault::Die | Fault::LoseEvents => {}
+            Fault::LoseResponse => self.lose = true,
+            Fault::Drain => self.leaving = true,
+            Fault::Clear => *self = Self::default(),
+            Fault::Exit | Fault::ClearEvents => {}
         }
     }
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Small on purpose. Each runs on a runtime of its own, so that it can be killed like a process.
 
-mod checker;
+mod caller;
 mod deployment;
 mod engine;
 mod engine_http;
@@ -17,11 +17,11 @@
 mod slots;
 mod stage;
 
-pub use checker::{Answer, CallError, Caller, Reply};
+pub use caller::{CallError, Caller, Reply, StreamedAnswer};
 pub use deployment::{Deployment, DeploymentError, NodeProcess, node_binary};
-pub use engine::{EngineSetup, FakeEngine};
+pub use engine::{EngineConfig, FakeEngine};
 pub use faults::Fault;
-pub use model::{Answered, Kv, answer, piece};
-pub use platform::{Calls, FakePlatform, PlatformFault, PlatformSetup};
-pub use samples::sample;
+pub use model::{KvCache, ReferenceAnswer, reference_answer, token_text};
+pub use platform::{CallCounts, FakePlatform, PlatformConfig, PlatformFault};
+pub use samples::sample_document;
 pub use service::FakeService;
--- a/crates/fakes/src/model.rs
+++ b/crates/fakes/src/model.rs
@@ -14,14 +14,14 @@
 
 /// KV cache of a range of layers for one sequence.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kv {
+pub struct KvCache {
     layers: LayerRange,
     weights: Vec<u64>,
     /// Digest of each layer's inputs so far.
     pub digests: Vec<u64>,
 }
 
-impl Kv {
+impl KvCache {
     /// An empty cache of these layers.
     pub fn new(model: &Name, version: &Name, layers: LayerRange) -> Self {
         let salt = hash(model.as_str().as_bytes(), hash(version.as_str().as_bytes(), 7));
@@ -41,7 +41,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct ReferenceAnswer {
     /// Its tokens.
     pub tokens: Vec<u32>,
     /// Whether the model ended it.
@@ -49,8 +49,14 @@
 }
 
 /// The right answer, computed by one process that holds every layer.
-pub fn answer(model: &Name, version: &Name, layers: u32, prompt: &str, wanted: u32) -> Answered {
-    let mut kv = Kv::new(model, version, LayerRange::new(0, layers));
+pub fn reference_answer(
+    model: &Name,
+    version: &Name,
+    layers: u32,
+    prompt: &str,
+    wanted: u32,
+) -> ReferenceAnswer {
+    let mut kv = KvCache::new(model, version, LayerRange::new(0, layers));
     let mut tokens = prompt_tokens(prompt);
     let mut last = 0;
     for (at, token) in tokens.iter().enumerate() {
@@ -60,16 +66,16 @@
     while tokens.len() - start < wanted as usize {
         let token = token_of(last);
         if stops(token) {
-            return Answered { tokens: tokens.split_off(start), stopped: true };
+            return ReferenceAnswer { tokens: tokens.split_off(start), stopped: true };
         }
         last = kv.run(embed(token, tokens.len() as u32));
         tokens.push(token);
     }
-    Answered { tokens: tokens.split_off(start), stopped: false }
+    ReferenceAnswer { tokens: tokens.split_off(start), stopped: false }
 }
 
 /// Text of a token of an answer.
-pub fn piece(token: u32) -> String {
+pub fn token_text(token: u32) -> String {
     format!(" w{token}")
 }
 
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -17,27 +17,27 @@
 
 /// What a stand-in platform is like.
 #[derive(Clone, Debug)]
-pub struct PlatformSetup {
+pub struct PlatformConfig {
     /// `ip:port`; port 0 takes a free one.
     pub address: SocketAddr,
     /// Writes a second before calls are turned away.
-    pub writes: f64,
+    pub write_rate: f64,
     /// Reads a second before calls are turned away.
-    pub reads: f64,
+    pub read_rate: f64,
     /// Time each call takes.
-    pub delay: Duration,
+    pub call_delay: Duration,
     /// Time by which the list of VMs lags.
-    pub lag: Duration,
+    pub list_lag: Duration,
 }
 
-impl Default for PlatformSetup {
+impl Default for PlatformConfig {
     fn default() -> Self {
         Self {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
-            writes: 100.0,
-            reads: 2_000.0,
-            delay: Duration::from_millis(2),
-            lag: Duration::from_millis(200),
+            write_rate: 100.0,
+            read_rate: 2_000.0,
+            call_delay: Duration::from_millis(2),
+            list_lag: Duration::from_millis(200),
         }
     }
 }
@@ -47,25 +47,29 @@
 #[serde(rename_all = "snake_case")]
 pub enum PlatformFault {
     /// Answer every call with 503.
-    Down,
+    #[serde(rename = "down")]
+    Unavailable,
     /// Take this many milliseconds longer for each call.
     Slow(Millis),
     /// Carry out this many writes without answering.
-    LoseWrites(u32),
+    #[serde(rename = "lose_writes")]
+    LoseWriteResponses(u32),
     /// Answer reads with what stood before the newest write.
-    Stale(bool),
+    #[serde(rename = "stale")]
+    StaleReads(bool),
     /// Show no fault any more.
-    Heal,
+    #[serde(rename = "heal")]
+    Clear,
 }
 
-/// Calls counted.
+/// CallCounts counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Calls {
+pub struct CallCounts {
     /// Reads, a waiting watch as one.
     pub reads: u64,
     /// Writes and lease calls.
     pub writes: u64,
-    /// Calls turned away for their rate.
+    /// CallCounts turned away for their rate.
     pub refused: u64,
 }
 
@@ -76,7 +80,7 @@
     pub(crate) revision: u64,
     leases: BTreeMap<String, (Lease, Instant)>,
     lists: Vec<(Instant, VmList)>,
-    pub(crate) calls: Calls,
+    pub(crate) calls: CallCounts,
     pub(crate) down: bool,
     pub(crate) slow: Millis,
     pub(crate) lose: u32,
@@ -85,7 +89,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Platform {
-    pub(crate) setup: PlatformSetup,
+    pub(crate) config: PlatformConfig,
     pub(crate) state: Mutex<State>,
     pub(crate) changed: watch::Sender<u64>,
     pub(crate) rates: Mutex<(heathpitch_policy::Bucket, heathpitch_policy::Bucket)>,
@@ -105,17 +109,17 @@
     /// # Errors
     ///
     /// What the system says if the address cannot be bound.
-    pub fn spawn(setup: PlatformSetup) -> io::Result<Self> {
+    pub fn spawn(config: PlatformConfig) -> io::Result<Self> {
         let bucket = |rate: f64| heathpitch_policy::Bucket::new(rate, rate, 0);
         let platform = Arc::new(Platform {
-            rates: Mutex::new((bucket(setup.reads), bucket(setup.writes))),
-            setup,
+            rates: Mutex::new((bucket(config.read_rate), bucket(config.write_rate))),
+            config,
             state: Mutex::default(),
             changed: watch::Sender::new(0),
             start: Instant::now(),
         });
         let shared = platform.clone();
-        let host = Host::spawn(platform.setup.address, move |request| {
+        let host = Host::spawn(platform.config.address, move |request| {
             platform_http::handle(shared.clone(), request)
         })?;
         Ok(Self { host, platform })
@@ -127,17 +131,17 @@
     }
 
     /// Replaces the list of VMs.
-    pub fn list(&self, vms: Vec<Vm>) {
-        self.platform.list(vms);
+    pub fn publish_vms(&self, vms: Vec<Vm>) {
+        self.platform.publish_vms(vms);
     }
 
     /// Shows a fault.
-    pub fn fault(&self, fault: PlatformFault) {
-        self.platform.fault(fault);
+    pub fn inject(&self, fault: PlatformFault) {
+        self.platform.inject(fault);
     }
 
-    /// Calls so far.
-    pub fn calls(&self) -> Calls {
+    /// CallCounts so far.
+    pub fn calls(&self) -> CallCounts {
         self.platform.state.lock().calls
     }
 
@@ -154,7 +158,7 @@
 
 impl Platform {
     /// Replaces the list of VMs.
-    pub(crate) fn list(&self, vms: Vec<Vm>) {
+    pub(crate) fn publish_vms(&self, vms: Vec<Vm>) {
         let mut state = self.state.lock();
         state.revision += 1;
         let number = Revision(state.revision);
@@ -164,19 +168,19 @@
     /// The list as it shows after its lag.
     pub(crate) fn listed(&self) -> Option<VmList> {
         let state = self.state.lock();
-        let old = |l: &&(Instant, VmList)| l.0.elapsed() >= self.setup.lag;
+        let old = |l: &&(Instant, VmList)| l.0.elapsed() >= self.config.list_lag;
         state.lists.iter().rev().find(old).map(|l| l.1.clone())
     }
 
     /// Puts a fault in force.
-    pub(crate) fn fault(&self, fault: PlatformFault) {
+    pub(crate) fn inject(&self, fault: PlatformFault) {
         let mut state = self.state.lock();
         match fault {
-            PlatformFault::Down => state.down = true,
+            PlatformFault::Unavailable => state.down = true,
             PlatformFault::Slow(time) => state.slow = time,
-            PlatformFault::LoseWrites(n) => state.lose = n,
-            PlatformFault::Stale(on) => state.stale = on,
-            PlatformFault::Heal => {
+            PlatformFault::LoseWriteResponses(n) => state.lose = n,
+            PlatformFault::StaleReads(on) => state.stale = on,
+            PlatformFault::Clear => {
                 state.down = false;
                 state.slow = 0;
                 state.lose = 0;
--- a/crates/fakes/src/platform_http.rs
+++ b/crates/fakes/src/platform_http.rs
@@ -38,9 +38,9 @@
         return status(400, &json!({}));
     };
     match path.as_str() {
-        "/fault" => return with(parse(&content), |f| platform.fault(f)),
+        "/fault" => return with(parse(&content), |f| platform.inject(f)),
         "/vms" if method == Method::PUT => {
-            return with(parse::<Vec<Vm>>(&content), |v| platform.list(v));
+            return with(parse::<Vec<Vm>>(&content), |v| platform.publish_vms(v));
         }
         "/calls" => return status(200, &platform.state.lock().calls),
         _ => {}
@@ -49,7 +49,7 @@
         return refused;
     }
     let slow = Duration::from_millis(platform.state.lock().slow);
-    tokio::time::sleep(platform.setup.delay + slow).await;
+    tokio::time::sleep(platform.config.call_delay + slow).await;
     match (method, path.as_str()) {
         (Method::GET, "/vms") => vms(&platform, &query),
         (Method::GET, p) if p.starts_with("/kv/") => read(&platform, &p[4..], &query).await,
--- a/crates/fakes/src/samples.rs
+++ b/crates/fakes/src/samples.rs
@@ -8,7 +8,7 @@
 /// # Errors
 ///
 /// [`ConfigError`] if the document does not hold its own rules.
-pub fn sample(layers: u32) -> Result<Document, ConfigError> {
+pub fn sample_document(layers: u32) -> Result<Document, ConfigError> {
     let document = json!({
         "models": [
             { "name": "tickets", "version": "v1", "layers": layers },
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -74,22 +74,22 @@
     }
 
     /// How often each body was booked.
-    pub fn booked(&self) -> HashMap<String, u32> {
+    pub fn executions(&self) -> HashMap<String, u32> {
         self.service.booked.lock().clone()
     }
 
     /// Shows a fault.
-    pub fn fault(&self, fault: Fault) {
+    pub fn inject(&self, fault: Fault) {
         match fault {
-            Fault::Die => self.host.kill(),
-            other => self.service.fault(other),
+            Fault::Exit => self.host.kill(),
+            other => self.service.inject(other),
         }
     }
 }
 
 impl Service {
-    fn fault(&self, fault: Fault) {
-        if fault == Fault::Die {
+    fn inject(&self, fault: Fault) {
+        if fault == Fault::Exit {
             std::process::exit(137);
         }
         let mut faults = self.faults.lock();
@@ -133,7 +133,7 @@
         "/v1/report" => status(200, &service.report()),
         "/fault" => match parse(&content) {
             Some(fault) => {
-                service.fault(fault);
+                service.inject(fault);
                 status(200, &json!({}))
             }
             None => status(400, &json!({})),
--- a/crates/fakes/src/stage.rs
+++ b/crates/fakes/src/stage.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::engine::Engine;
-use crate::model::{Kv, token_of};
+use crate::model::{KvCache, token_of};
 use crate::slots::Place;
 
 /// Longest time a stage waits for the next one.
@@ -67,7 +67,7 @@
 /// A sequence open on one engine.
 #[derive(Debug)]
 pub(crate) struct Sequence {
-    kv: Kv,
+    kv: KvCache,
     layers: LayerRange,
     blocks: Vec<u64>,
     at: u32,
@@ -97,7 +97,7 @@
                 Err(_) => return Opened::Fault(next.engine.clone()),
             }
         }
-        let kv = Kv::new(&open.model, &open.version, layers);
+        let kv = KvCache::new(&open.model, &open.version, layers);
         let sequence = Sequence { kv, layers, blocks: open.blocks, at: 0, rest, _place: place };
         let sequence = Arc::new(tokio::sync::Mutex::new(sequence));
         self.open.lock().insert((open.request, open.attempt), sequence);
@@ -108,7 +108,7 @@
     pub(crate) async fn step(self: &Arc<Self>, step: Step) -> Stepped {
         self.thawed().await;
         let key = (step.request.clone(), step.attempt);
-        let me = self.setup.name.clone();
+        let me = self.config.name.clone();
         let Some(sequence) = self.open.lock().get(&key).cloned() else {
             return Stepped::Fault(me);
         };
@@ -123,7 +123,7 @@
             let last = outputs.last().copied().unwrap_or_default();
             return Stepped::Token(token_of(last), layers);
         };
-        tokio::time::sleep(self.setup.link).await;
+        tokio::time::sleep(self.config.link_delay).await;
         let uri = format!("http://{}/v1/stage/step", next.address);
         let call = Step { inputs: outputs, ..step };
         match self.client.call(Method::POST, &uri, Some(&call), NEXT).await {
@@ -166,7 +166,7 @@
 
     /// This engine's statement that it did not start.
     pub(crate) fn refusal(&self, kind: RefusalKind) -> Refusal {
-        Refusal { started: false, kind, engine: self.setup.name.clone(), back: 200 }
+        Refusal { started: false, kind, engine: self.config.name.clone(), back: 200 }
     }
 
     /// Takes the state at the end of the skipped blocks from the cache.
@@ -204,10 +204,10 @@
         let slow = self.faults.lock().slow.unwrap_or(1.0);
         match positions {
             0 => {}
-            1 => tokio::time::sleep(self.setup.step.mul_f64(slow)).await,
+            1 => tokio::time::sleep(self.config.step_time.mul_f64(slow)).await,
             n => {
                 let _turn = self.prefill.lock().await;
-                let time = n as f64 / self.setup.prefill * slow;
+                let time = n as f64 / self.config.prefill_rate * slow;
                 tokio::time::sleep(Duration::from_secs_f64(time)).await;
             }
         }
--- a/crates/heathpitch/tests/cli.rs
+++ b/crates/heathpitch/tests/cli.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use heathpitch_fakes::{FakePlatform, PlatformFault, PlatformSetup, sample};
+use heathpitch_fakes::{FakePlatform, PlatformConfig, PlatformFault, sample_document};
 use serde_json::Value;
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
@@ -20,7 +20,7 @@
 
 impl Bench {
     fn open() -> Self {
-        let platform = FakePlatform::spawn(PlatformSetup::default()).unwrap();
+        let platform = FakePlatform::spawn(PlatformConfig::default()).unwrap();
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("heathpitch-cli-{}-{n}", std::process::id()));
@@ -35,7 +35,7 @@
     }
 
     fn sample(&self) -> String {
-        self.file("sample.json", &serde_json::to_string(&sample(12).unwrap()).unwrap())
+        self.file("sample.json", &serde_json::to_string(&sample_document(12).unwrap()).unwrap())
     }
 
     fn run(&self, words: &[&str]) -> Output {
@@ -175,7 +175,7 @@
 fn a_write_whose_answer_is_lost_is_found_and_made_once() {
     let b = Bench::open();
     b.json(&["apply", &b.sample()]);
-    b.platform.fault(PlatformFault::LoseWrites(1));
+    b.platform.inject(PlatformFault::LoseWriteResponses(1));
     let accepted = b.json(&["label", "account", "adviser-1", "office=birmingham"]);
     assert_eq!(accepted["revision"], 2);
     assert_eq!(b.json(&["get"])["revision"], 2);
@@ -183,7 +183,7 @@
 
 #[test]
 fn a_platform_that_is_away_is_named() {
-    let platform = FakePlatform::spawn(PlatformSetup::default()).unwrap();
+    let platform = FakePlatform::spawn(PlatformConfig::default()).unwrap();
     let address = platform.address().to_string();
     platform.kill();
     let output = command(&["--platform", &address, "get"]).output().unwrap();
@@ -196,7 +196,7 @@
     let b = Bench::open();
     let sample = b.sample();
     b.json(&["apply", &sample]);
-    b.platform.fault(PlatformFault::LoseWrites(100));
+    b.platform.inject(PlatformFault::LoseWriteResponses(100));
     let output = b.run(&["apply", "--overwrite", &sample]);
     // The first write took effect and is found by its change id.
     assert!(output.status.success(), "{}", err(&output));
--- a/crates/heathpitchd/tests/bad_input.rs
+++ b/crates/heathpitchd/tests/bad_input.rs
@@ -80,8 +80,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn node_without_platform_is_not_ready() {
-    let mut d = Deployment::open(Path::new(env!("CARGO_BIN_EXE_heathpitchd"))).unwrap();
-    d.node("n1", "memphis", |s| s["platform"] = json!(["127.0.0.1:1"])).unwrap();
+    let mut d = Deployment::new(Path::new(env!("CARGO_BIN_EXE_heathpitchd"))).unwrap();
+    d.start_node("n1", "memphis", |s| s["platform"] = json!(["127.0.0.1:1"])).unwrap();
     let got = desk().post(d.nodes[0].listen, "/v1/completions", &[], "{}").await.unwrap();
     assert_eq!(got.json["error"]["kind"], "malformed");
     let request = json!({ "model": "tickets", "prompt": "x" }).to_string();
--- a/crates/heathpitchd/tests/common/mod.rs
+++ b/crates/heathpitchd/tests/common/mod.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, Instant};
 
 use heathpitch_core::Name;
-use heathpitch_fakes::{Answer, Caller, Deployment, answer, piece, sample};
+use heathpitch_fakes::{
+    Caller, Deployment, StreamedAnswer, reference_answer, sample_document, token_text,
+};
 use serde_json::Value;
 
 /// Layers of the sample models.
@@ -26,17 +28,17 @@
     replicas: u32,
     adjust: impl Fn(&mut Value),
 ) -> Deployment {
-    let mut d = Deployment::open(Path::new(env!("CARGO_BIN_EXE_heathpitchd"))).unwrap();
-    d.engines(&name("tickets"), LAYERS, 3, replicas, "memphis").unwrap();
-    d.service("lookup-a", "memphis").unwrap();
-    d.service("lookup-b", "memphis").unwrap();
+    let mut d = Deployment::new(Path::new(env!("CARGO_BIN_EXE_heathpitchd"))).unwrap();
+    d.add_chains(&name("tickets"), LAYERS, 3, replicas, "memphis").unwrap();
+    d.add_service("lookup-a", "memphis").unwrap();
+    d.add_service("lookup-b", "memphis").unwrap();
     for i in 1..=nodes {
-        d.node(&format!("n{i}"), "memphis", &adjust).unwrap();
+        d.start_node(&format!("n{i}"), "memphis", &adjust).unwrap();
     }
-    d.list();
-    let revision = d.configure(&sample(LAYERS).unwrap()).await.unwrap();
+    d.publish_vms();
+    let revision = d.put_config(&sample_document(LAYERS).unwrap()).await.unwrap();
     let upstreams = d.engines.len() + d.services.len();
-    assert!(d.ready(revision, upstreams, LIMIT).await, "the nodes did not become ready");
+    assert!(d.wait_ready(revision, upstreams, LIMIT).await, "the nodes did not become ready");
     wait_until("the nodes know each other", || async {
         for node in &d.nodes {
             let status = node.status().await;
@@ -61,14 +63,14 @@
 
 /// Text pieces of the expected answer.
 pub(crate) fn expected_pieces(prompt: &str, wanted: u32) -> Vec<String> {
-    let answer = answer(&name("tickets"), &name("v1"), LAYERS, prompt, wanted);
-    answer.tokens.iter().map(|t| piece(*t)).collect()
+    let answer = reference_answer(&name("tickets"), &name("v1"), LAYERS, prompt, wanted);
+    answer.tokens.iter().map(|t| token_text(*t)).collect()
 }
 
 /// Asserts that an answer is complete and as expected.
-pub(crate) fn assert_complete(got: &Answer, prompt: &str, wanted: u32) {
+pub(crate) fn assert_complete(got: &StreamedAnswer, prompt: &str, wanted: u32) {
     assert_eq!(got.error, None);
-    assert!(got.whole, "the answer is incomplete: {got:?}");
+    assert!(got.complete, "the answer is incomplete: {got:?}");
     assert_eq!(got.pieces, expected_pieces(prompt, wanted));
 }
 
@@ -79,7 +81,7 @@
     wanted: u32,
     delay: Duration,
     action: impl FnOnce(),
-) -> Answer {
+) -> StreamedAnswer {
     let node = d.nodes[0].listen;
     let sent = prompt.to_owned();
     let task =
--- a/crates/heathpitchd/tests/draining.rs
+++ b/crates/heathpitchd/tests/draining.rs
@@ -22,7 +22,7 @@
 }
 
 fn started_count(d: &Deployment, engine: usize) -> u64 {
-    d.engines[engine].0.counts().0
+    d.engines[engine].0.request_counts().0
 }
 
 /// Asserts that the engine `memphis-tickets-0a` gets no new requests once it is known to leave.
@@ -44,8 +44,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn engine_that_reports_draining_gets_no_new_requests() {
     let d = deployment(1, 2).await;
-    d.platform.fault(PlatformFault::Down);
-    d.engines[0].0.fault(Fault::Leave);
+    d.platform.inject(PlatformFault::Unavailable);
+    d.engines[0].0.inject(Fault::Drain);
     assert_no_new_requests(&d).await;
 }
 
@@ -53,7 +53,7 @@
 async fn engine_listed_as_leaving_gets_no_new_requests() {
     let mut d = deployment(1, 2).await;
     d.engines[0].1.state = VmState::Leaving;
-    d.list();
+    d.publish_vms();
     assert_no_new_requests(&d).await;
 }
 
@@ -61,7 +61,7 @@
 async fn draining_engine_finishes_open_requests() {
     let d = deployment(1, 2).await;
     let got = stream_while(&d, PROMPT, TOKENS, FAULT_DELAY, || {
-        d.engines.iter().take(3).for_each(|(e, _)| e.fault(Fault::Leave));
+        d.engines.iter().take(3).for_each(|(e, _)| e.inject(Fault::Drain));
     })
     .await;
     assert_complete(&got, PROMPT, TOKENS);
@@ -75,7 +75,7 @@
     })
     .await;
     assert_complete(&got, PROMPT, TOKENS);
-    assert_eq!(d.nodes[0].wait().unwrap(), Some(0));
+    assert_eq!(d.nodes[0].wait_exit().unwrap(), Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -97,22 +97,22 @@
     let mut d = deployment(2, 2).await;
     let got = stream_while(&d, PROMPT, TOKENS, FAULT_DELAY, || {
         d.nodes[0].signal("TERM").unwrap();
-        d.engines[1].0.fault(Fault::Leave);
+        d.engines[1].0.inject(Fault::Drain);
     })
     .await;
     assert_complete(&got, PROMPT, TOKENS);
-    assert_eq!(d.nodes[0].wait().unwrap(), Some(0));
+    assert_eq!(d.nodes[0].wait_exit().unwrap(), Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn node_stopped_during_a_resume_cuts_off_nothing() {
     let mut d = deployment(1, 2).await;
     let got = stream_while(&d, PROMPT, TOKENS, FAULT_DELAY, || {
-        d.engines[0].0.fault(Fault::Die);
-        d.engines[4].0.fault(Fault::Freeze);
+        d.engines[0].0.inject(Fault::Exit);
+        d.engines[4].0.inject(Fault::Freeze);
         d.nodes[0].signal("TERM").unwrap();
     })
     .await;
     assert_complete(&got, PROMPT, TOKENS);
-    assert_eq!(d.nodes[0].wait().unwrap(), Some(0));
+    assert_eq!(d.nodes[0].wait_exit().unwrap(), Some(0));
 }
--- a/crates/heathpitchd/tests/idempotency_keys.rs
+++ b/crates/heathpitchd/tests/idempotency_keys.rs
@@ -26,11 +26,11 @@
 }
 
 fn run_count(d: &Deployment, order: &str) -> u32 {
-    d.services.iter().filter_map(|(s, _)| s.booked().get(order).copied()).sum()
+    d.services.iter().filter_map(|(s, _)| s.executions().get(order).copied()).sum()
 }
 
 fn started_count(d: &Deployment) -> u64 {
-    d.engines.iter().map(|(e, _)| e.counts().0).sum()
+    d.engines.iter().map(|(e, _)| e.request_counts().0).sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -84,7 +84,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn key_of_a_killed_owner_is_never_run_again() {
     let mut d = deployment(2, 1).await;
-    d.services.iter().for_each(|(s, _)| s.fault(Fault::Freeze));
+    d.services.iter().for_each(|(s, _)| s.inject(Fault::Freeze));
     let node = d.nodes[0].listen;
     let lost = tokio::spawn(async move {
         let headers = [("idempotency-key", "killed")];
@@ -94,7 +94,7 @@
     tokio::time::sleep(Duration::from_millis(200)).await;
     d.nodes[0].kill();
     assert!(lost.await.unwrap().is_err());
-    d.services.iter().for_each(|(s, _)| s.fault(Fault::Thaw));
+    d.services.iter().for_each(|(s, _)| s.inject(Fault::Thaw));
     let got = book(&d, 1, "killed", "buy 5").await;
     assert_eq!(got.json["error"]["outcome"], "unknown");
     assert!(run_count(&d, "buy 5") <= 1);
@@ -103,7 +103,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_owner_that_resumes_runs_nothing_twice() {
     let d = deployment(2, 1).await;
-    d.platform.fault(PlatformFault::Slow(300));
+    d.platform.inject(PlatformFault::Slow(300));
     let node = d.nodes[0].listen;
     let paused = tokio::spawn(async move {
         let headers = [("idempotency-key", "paused")];
@@ -111,7 +111,7 @@
     });
     wait_until("the key is claimed", || async { any_key_claimed(&d) }).await;
     d.nodes[0].signal("STOP").unwrap();
-    d.platform.fault(PlatformFault::Heal);
+    d.platform.inject(PlatformFault::Clear);
     let other = tokio::spawn({
         let listen = d.nodes[1].listen;
         async move {
@@ -129,13 +129,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn new_key_during_store_outage_is_not_run_and_may_be_retried() {
     let d = deployment(1, 1).await;
-    d.platform.fault(PlatformFault::Down);
+    d.platform.inject(PlatformFault::Unavailable);
     let got = book(&d, 0, "down", "buy 7").await;
     assert_eq!((got.status, &got.json["error"]["kind"]), (503, &json!("claims_away")));
     assert_eq!(got.json["error"]["outcome"], "not_run");
     assert!(got.retry_after.is_some());
     assert_eq!(run_count(&d, "buy 7"), 0);
-    d.platform.fault(PlatformFault::Heal);
+    d.platform.inject(PlatformFault::Clear);
     assert_eq!(book(&d, 0, "down", "buy 7").await.status, 200);
     assert_eq!(run_count(&d, "buy 7"), 1);
 }
@@ -143,7 +143,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn claim_whose_response_was_lost_is_recovered() {
     let d = deployment(2, 1).await;
-    d.platform.fault(PlatformFault::LoseWrites(1));
+    d.platform.inject(PlatformFault::LoseWriteResponses(1));
     assert_eq!(book(&d, 0, "lost", "buy 8").await.status, 200);
     assert_eq!(book(&d, 1, "lost", "buy 8").await.status, 200);
     assert_eq!(run_count(&d, "buy 8"), 1);
@@ -152,7 +152,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn tickets_need_no_store_and_are_owned_by_one_node() {
     let d = deployment(2, 1).await;
-    d.platform.fault(PlatformFault::Down);
+    d.platform.inject(PlatformFault::Unavailable);
     let issued = desk().post(d.nodes[0].listen, "/v1/tickets", &[], "").await.unwrap();
     let ticket = issued.json["ticket"].as_str().unwrap().to_owned();
     let through_other = book(&d, 1, &ticket, "buy 9").await;
--- a/crates/heathpitchd/tests/outcomes.rs
+++ b/crates/heathpitchd/tests/outcomes.rs
@@ -12,11 +12,11 @@
 const NEVER_RETRY: &[(&str, &str)] = &[("x-heathpitch-repeat", "never")];
 
 fn fault_all(d: &Deployment, fault: Fault) {
-    d.engines.iter().for_each(|(e, _)| e.fault(fault));
+    d.engines.iter().for_each(|(e, _)| e.inject(fault));
 }
 
 fn started_count(d: &Deployment) -> u64 {
-    d.engines.iter().map(|(e, _)| e.counts().0).sum()
+    d.engines.iter().map(|(e, _)| e.request_counts().0).sum()
 }
 
 async fn send(d: &Deployment, headers: &[(&str, &str)]) -> Reply {
@@ -39,7 +39,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_connection_is_not_run() {
     let d = deployment(1, 1).await;
-    fault_all(&d, Fault::Die);
+    fault_all(&d, Fault::Exit);
     // The listener closes asynchronously; a connection accepted until then may run its request.
     let engine = d.engines[0].0.address();
     wait_until("the engine refuses connections", || async {
@@ -62,7 +62,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer_is_never_reported_as_not_run() {
     let d = deployment(1, 2).await;
-    fault_all(&d, Fault::LoseAnswer);
+    fault_all(&d, Fault::LoseResponse);
     let got = send(&d, NEVER_RETRY).await;
     assert_eq!(got.json["error"]["outcome"], "unknown");
     assert_eq!(started_count(&d), 1, "a request that forbids retries ran more than once");
@@ -75,9 +75,9 @@
         d.engines
             .iter()
             .filter(|(e, _)| e.name().as_str().ends_with("0a"))
-            .for_each(|(e, _)| e.fault(f));
+            .for_each(|(e, _)| e.inject(f));
     };
-    heads(&d, Fault::LoseAnswer);
+    heads(&d, Fault::LoseResponse);
     for _ in 0..6 {
         assert_eq!(send(&d, &[]).await.status, 200);
     }
@@ -93,7 +93,7 @@
     });
     wait_until("the request runs", || async { started_count(&d) == 1 }).await;
     tokio::time::sleep(LIMIT / 100).await;
-    d.engines[1].0.fault(Fault::Die);
+    d.engines[1].0.inject(Fault::Exit);
     let got = task.await.unwrap();
     assert_eq!(got.json["error"]["outcome"], "failed");
     assert_eq!(started_count(&d), 1);
@@ -102,18 +102,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_service_answer_is_unknown_and_not_retried() {
     let d = deployment(1, 1).await;
-    d.services.iter().for_each(|(s, _)| s.fault(Fault::LoseAnswer));
+    d.services.iter().for_each(|(s, _)| s.inject(Fault::LoseResponse));
     let got =
         desk().post(d.nodes[0].listen, "/services/accounts/book", &[], "order 9").await.unwrap();
     assert_eq!(got.json["error"]["outcome"], "unknown");
-    let times: u32 = d.services.iter().map(|(s, _)| s.booked().values().sum::<u32>()).sum();
+    let times: u32 = d.services.iter().map(|(s, _)| s.executions().values().sum::<u32>()).sum();
     assert_eq!(times, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn refusing_service_is_skipped() {
     let d = deployment(1, 1).await;
-    d.services[0].0.fault(Fault::Refuse);
+    d.services[0].0.inject(Fault::Refuse);
     for i in 0..6 {
         let body = format!("order {i}");
         let got =
@@ -121,5 +121,5 @@
         assert_eq!(got.status, 200);
     }
     assert_eq!(name("lookup-b"), *d.services[1].0.name());
-    assert_eq!(d.services[1].0.booked().len(), 6);
+    assert_eq!(d.services[1].0.executions().len(), 6);
 }
--- a/crates/heathpitchd/tests/placement.rs
+++ b/crates/heathpitchd/tests/placement.rs
@@ -9,24 +9,25 @@
 
 use common::{LAYERS, LIMIT, assert_complete, desk, name, wait_until};
 use heathpitch_core::{Labels, LayerRange};
-use heathpitch_fakes::{Deployment, EngineSetup, Fault, PlatformFault, sample};
+use heathpitch_fakes::{Deployment, EngineConfig, Fault, PlatformFault, sample_document};
 
 /// Engines without layers, each with memory for half of the model.
 async fn empty_deployment(engines: usize, nodes: usize) -> Deployment {
-    let mut d = Deployment::open(Path::new(env!("CARGO_BIN_EXE_heathpitchd"))).unwrap();
+    let mut d = Deployment::new(Path::new(env!("CARGO_BIN_EXE_heathpitchd"))).unwrap();
     for i in 0..engines {
         let layers = LayerRange::new(0, 0);
-        let mut setup = EngineSetup::new(name(&format!("e{i}")), name("none"), name("v0"), layers);
-        setup.model = None;
-        setup.memory = u64::from(LAYERS) / 2 * 500;
-        d.engine(setup, "memphis").unwrap();
+        let mut config =
+            EngineConfig::new(name(&format!("e{i}")), name("none"), name("v0"), layers);
+        config.model = None;
+        config.memory_mb = u64::from(LAYERS) / 2 * 500;
+        d.add_engine(config, "memphis").unwrap();
     }
     for i in 1..=nodes {
-        d.node(&format!("n{i}"), "memphis", |_| {}).unwrap();
+        d.start_node(&format!("n{i}"), "memphis", |_| {}).unwrap();
     }
-    d.list();
-    let revision = d.configure(&sample(LAYERS).unwrap()).await.unwrap();
-    assert!(d.ready(revision, engines, LIMIT).await);
+    d.publish_vms();
+    let revision = d.put_config(&sample_document(LAYERS).unwrap()).await.unwrap();
+    assert!(d.wait_ready(revision, engines, LIMIT).await);
     d
 }
 
@@ -35,7 +36,7 @@
     if got.status == 200 {
         assert_complete(&got, "placed?", 6);
     }
-    got.whole
+    got.complete
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -58,7 +59,7 @@
     })
     .await;
     let lost = sole_holder(&d);
-    d.engines[lost].0.fault(Fault::Die);
+    d.engines[lost].0.inject(Fault::Exit);
     wait_until("the model is served again", || is_served(&d, 0)).await;
 }
 
@@ -101,9 +102,9 @@
     })
     .await;
     wait_until("the model is served", || is_served(&d, 0)).await;
-    d.platform.fault(PlatformFault::Down);
+    d.platform.inject(PlatformFault::Unavailable);
     let sole_holder = sole_holder(&d);
-    d.engines[sole_holder].0.fault(Fault::Die);
+    d.engines[sole_holder].0.inject(Fault::Exit);
     wait_until("the model is served again", || is_served(&d, 0)).await;
 }
 
@@ -115,7 +116,7 @@
         vm.labels.0.insert(name("fence"), name("no"));
     }
     let listed = d.nodes[0].status().await["list"].as_u64().unwrap();
-    d.list();
+    d.publish_vms();
     // If the store failed before the labels are known, the engines would count as checking epochs.
     wait_until("the labels are known", || async {
         d.nodes[0].status().await["list"].as_u64().is_some_and(|l| l > listed)
@@ -126,28 +127,28 @@
     })
     .await;
     wait_until("the model is served", || is_served(&d, 0)).await;
-    d.platform.fault(PlatformFault::Down);
+    d.platform.inject(PlatformFault::Unavailable);
     // The lease time of the deployment is 1.5 s.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let placed =
         |d: &Deployment| d.nodes[0].log().iter().filter(|l| l.contains("\"placed\"")).count();
     let before = placed(&d);
-    d.engines[sole_holder(&d)].0.fault(Fault::Die);
+    d.engines[sole_holder(&d)].0.inject(Fault::Exit);
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(placed(&d), before);
-    d.platform.fault(PlatformFault::Heal);
+    d.platform.inject(PlatformFault::Clear);
     wait_until("the model is served again", || is_served(&d, 0)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_of_other_pools_get_no_orders() {
     let mut d = empty_deployment(2, 1).await;
-    let mut setup =
-        EngineSetup::new(name("stranger"), name("none"), name("v0"), LayerRange::new(0, 0));
-    setup.model = None;
-    let at = d.engine(setup, "memphis").unwrap();
+    let mut config =
+        EngineConfig::new(name("stranger"), name("none"), name("v0"), LayerRange::new(0, 0));
+    config.model = None;
+    let at = d.add_engine(config, "memphis").unwrap();
     d.engines[at].1.labels = Labels::try_from([("kind", "other")]).unwrap();
-    d.list();
+    d.publish_vms();
     wait_until("the model is served", || is_served(&d, 0)).await;
     tokio::time::sleep(LIMIT / 10).await;
     assert_eq!(d.engines[at].0.layers().count(), 0);
--- a/crates/heathpitchd/tests/stage_faults.rs
+++ b/crates/heathpitchd/tests/stage_faults.rs
@@ -18,7 +18,10 @@
 fn fault_replica(d: &Deployment, stage: usize, fault: Fault) {
     let suffix = format!("-{stage}a");
     let of_stage = |n: &str| n.ends_with(&suffix);
-    d.engines.iter().filter(|(e, _)| of_stage(e.name().as_str())).for_each(|(e, _)| e.fault(fault));
+    d.engines
+        .iter()
+        .filter(|(e, _)| of_stage(e.name().as_str()))
+        .for_each(|(e, _)| e.inject(fault));
 }
 
 /// Asserts that answers are complete and correct despite a fault in one of two replicas of a stage.
@@ -35,17 +38,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_head_is_replaced() {
-    assert_survives(Fault::Die, 0).await;
+    assert_survives(Fault::Exit, 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_middle_stage_is_replaced() {
-    assert_survives(Fault::Die, 1).await;
+    assert_survives(Fault::Exit, 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_last_stage_is_replaced() {
-    assert_survives(Fault::Die, 2).await;
+    assert_survives(Fault::Exit, 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -60,7 +63,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn truncated_answer_is_resumed() {
-    assert_survives(Fault::CutShort(5), 0).await;
+    assert_survives(Fault::Truncate(5), 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -70,15 +73,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn tokens_of_another_request_are_never_forwarded() {
-    assert_survives(Fault::Cross, 0).await;
+    assert_survives(Fault::WrongRequest, 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn two_stages_killed_together_are_replaced() {
     let d = deployment(1, 2).await;
     let got = stream_while(&d, PROMPT, TOKENS, FAULT_DELAY, || {
-        fault_replica(&d, 0, Fault::Die);
-        fault_replica(&d, 2, Fault::Die);
+        fault_replica(&d, 0, Fault::Exit);
+        fault_replica(&d, 2, Fault::Exit);
     })
     .await;
     assert_complete(&got, PROMPT, TOKENS);
@@ -88,8 +91,8 @@
 async fn answer_without_remaining_stage_ends_in_an_error() {
     let d = deployment(1, 1).await;
     let got =
-        stream_while(&d, PROMPT, TOKENS, FAULT_DELAY, || fault_replica(&d, 1, Fault::Die)).await;
-    assert!(!got.whole);
+        stream_while(&d, PROMPT, TOKENS, FAULT_DELAY, || fault_replica(&d, 1, Fault::Exit)).await;
+    assert!(!got.complete);
     assert_eq!(got.error.unwrap()["error"]["outcome"], "failed");
     let expected = expected_pieces(PROMPT, TOKENS);
     assert_eq!(got.pieces, expected[..got.pieces.len()]);
