--- a/crates/fakes/examples/cost.rs
+++ b/crates/fakes/examples/cost.rs
@@ -1,4 +1,4 @@
-//! The router's own cost, beside direct calls to the stand-in engine in the same run.
+//! Overhead of the router, compared with direct calls to the fake engine in the same run.
 //!
 //! `cargo build --release --bins && cargo run --release -p heathpitch-fakes --example cost`
 
@@ -18,8 +18,8 @@
 const LAYERS: u32 = 4;
 const ROUNDS: usize = 300;
 const TOKENS: u32 = 20;
-/// Streams held open for the memory figure.
-const STREAMS: usize = 1_000;
+/// Open streams in the memory measurement.
+const OPEN_STREAMS: usize = 1_000;
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
@@ -43,24 +43,24 @@
     let (node, engine) = (d.nodes[0].listen, d.engines[0].0.address());
     latency(node, engine).await?;
     cpu(&d.nodes[0]).await?;
-    // Slower steps, so that the stand-in can keep a thousand streams open.
+    // Slower steps let the fake engine keep a thousand streams open.
     d.engines[0].0.inject(Fault::Slow(40.0));
     memory(&d.nodes[0]).await
 }
 
-/// Time to the first token and between tokens, routed and direct in turn.
+/// Measures time to first token and time per token, routed and direct in alternation.
 async fn latency(node: SocketAddr, engine: SocketAddr) -> Result<()> {
     let caller = Caller::new("memphis-desk".parse()?);
-    let edge = HttpEngine::new(Client::new());
+    let client = HttpEngine::new(Client::new());
     let (mut routed, mut direct) = (Vec::new(), Vec::new());
     for round in 0..ROUNDS {
         let prompt = format!("round {round}");
         let start = Instant::now();
         let answer = caller.stream(node, &"tickets".parse()?, &prompt, TOKENS).await?;
-        routed.push(timed(&answer, start.elapsed()));
-        direct.push(straight(&edge, engine, &prompt).await?);
+        routed.push(token_times(&answer, start.elapsed()));
+        direct.push(stream_direct(&client, engine, &prompt).await?);
     }
-    let of = |v: &[(f64, f64)], f: fn(&(f64, f64)) -> f64| {
+    let percentiles = |v: &[(f64, f64)], f: fn(&(f64, f64)) -> f64| {
         let mut all: Vec<f64> = v.iter().map(f).collect();
         all.sort_by(f64::total_cmp);
         (all[all.len() / 2], all[all.len() * 95 / 100])
@@ -69,7 +69,7 @@
     println!("|---|---|---|---|---|---|");
     for (name, f) in [("first token", (|x| x.0) as fn(&(f64, f64)) -> f64), ("per token", |x| x.1)]
     {
-        let (r, d) = (of(&routed, f), of(&direct, f));
+        let (r, d) = (percentiles(&routed, f), percentiles(&direct, f));
         println!(
             "| {name} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} |",
             r.0,
@@ -82,13 +82,18 @@
     Ok(())
 }
 
-fn timed(answer: &StreamedAnswer, whole: Duration) -> (f64, f64) {
+/// Time to first token and mean time per further token, milliseconds.
+fn token_times(answer: &StreamedAnswer, total: Duration) -> (f64, f64) {
     let first = answer.first_token.as_secs_f64() * 1_000.0;
-    let rest = whole.as_secs_f64() * 1_000.0 - first;
+    let rest = total.as_secs_f64() * 1_000.0 - first;
     (first, rest / (answer.pieces.len().max(2) - 1) as f64)
 }
 
-async fn straight(edge: &HttpEngine, engine: SocketAddr, prompt: &str) -> Result<(f64, f64)> {
+async fn stream_direct(
+    client: &HttpEngine,
+    engine: SocketAddr,
+    prompt: &str,
+) -> Result<(f64, f64)> {
     let start = Instant::now();
     let address: Name = engine.into();
     let call = GenerateCall {
@@ -109,7 +114,7 @@
             epoch: Epoch(0),
         }],
     };
-    let mut frames = edge.generate(&address, call).await?;
+    let mut frames = client.generate(&address, call).await?;
     let (mut first, mut last, mut count) = (None, start, 0);
     while let Some(frame) = frames.next().await {
         if let Frame::Token { .. } = frame? {
@@ -123,56 +128,57 @@
     Ok((ms(first - start), ms(last - first) / (count.max(2) - 1) as f64))
 }
 
-/// Processor time of the node for each request and token, from two lengths of answers.
+/// Measures CPU time of the node per request and per token from answers of two lengths.
 async fn cpu(node: &NodeProcess) -> Result<()> {
     let idle = node.cpu_seconds()?;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let control = (node.cpu_seconds()? - idle) / 2.0;
     println!("\ncontrol: {:.2} % of a core with no traffic", control * 100.0);
-    let mut figures = Vec::new();
+    let mut times = Vec::new();
     for tokens in [1_u32, 64] {
         let (count, start, before) = (4_000, Instant::now(), node.cpu_seconds()?);
-        let done = flood(node.listen, count, tokens).await?;
+        let done = send_requests(node.listen, count, tokens).await?;
         let used = node.cpu_seconds()? - before;
         let each = used / count as f64 * 1e6;
         let rate = done as f64 / start.elapsed().as_secs_f64();
         println!(
-            "{tokens} tokens: {done} of {count} whole, {rate:.0} requests/s, {each:.0} us of processor each"
+            "{tokens} tokens: {done} of {count} complete, {rate:.0} requests/s, {each:.0} us of CPU each"
         );
-        figures.push(each);
+        times.push(each);
     }
     println!(
-        "processor time: {:.0} us a request, {:.1} us a token",
-        figures[0],
-        (figures[1] - figures[0]) / 63.0
+        "CPU time: {:.0} us a request, {:.1} us a token",
+        times[0],
+        (times[1] - times[0]) / 63.0
     );
     Ok(())
 }
 
-async fn flood(node: SocketAddr, count: usize, tokens: u32) -> Result<usize> {
+/// Sends `count` requests from concurrent workers and returns how many complete.
+async fn send_requests(node: SocketAddr, count: usize, tokens: u32) -> Result<usize> {
     let mut tasks = JoinSet::new();
     const WORKERS: usize = 64;
     for worker in 0..WORKERS {
         let caller = Caller::new("memphis-desk".parse()?);
         let model: Name = "tickets".parse()?;
         tasks.spawn(async move {
-            let mut whole = 0;
+            let mut complete = 0;
             for n in 0..count / WORKERS {
                 let prompt = format!("{worker} {n}");
                 let got = caller.stream(node, &model, &prompt, tokens).await;
-                whole += usize::from(got.is_ok_and(|a| a.complete));
+                complete += usize::from(got.is_ok_and(|a| a.complete));
             }
-            whole
+            complete
         });
     }
     Ok(tasks.join_all().await.into_iter().sum())
 }
 
-/// Memory of the node with a thousand streams held open.
+/// Measures the memory of the node with a thousand open streams.
 async fn memory(node: &NodeProcess) -> Result<()> {
     let before = node.resident_kb()?;
     let mut tasks = JoinSet::new();
-    for i in 0..STREAMS {
+    for i in 0..OPEN_STREAMS {
         let caller = Caller::new("memphis-desk".parse()?);
         let (listen, model) = (node.listen, "tickets".parse::<Name>()?);
         tasks
--- a/crates/fakes/examples/demo.rs
+++ b/crates/fakes/examples/demo.rs
@@ -1,7 +1,7 @@
-//! The main job on stand-ins: three nodes, a model split over three engines, several client
-//! accounts, streamed answers checked against independently computed ones.
+//! Demo on fakes: three nodes, a model split over three stages, several client accounts and
+//! streamed answers checked against independently computed ones.
 //!
-//! Needs the node's binary beside it: `./demo` builds both and runs this.
+//! Needs the node binary next to it: `./demo` builds both and runs this example.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -15,20 +15,20 @@
 
 /// Layers of the sample models.
 const LAYERS: u32 = 24;
-/// Requests of an account at once.
-const AT_ONCE: usize = 4;
+/// Concurrent requests of each account.
+const CONCURRENCY: usize = 4;
 
 #[derive(Debug, Options)]
 struct Arguments {
     /// Prints this help.
     help: bool,
-    /// Requests of each account, 30 if not given.
+    /// Requests of each account, 30 by default.
     #[options(default = "30", meta = "N")]
     requests: usize,
-    /// Tokens of each answer, 48 if not given.
+    /// Maximum tokens of each answer, 48 by default.
     #[options(default = "48", meta = "N")]
     tokens: u32,
-    /// The node's binary; by default the one built beside this example.
+    /// Node binary; by default the one built next to this example.
     #[options(meta = "FILE")]
     binary: Option<PathBuf>,
 }
@@ -54,21 +54,24 @@
     let start = Instant::now();
     let mut tasks = tokio::task::JoinSet::new();
     for (i, account) in ["memphis-desk", "adviser-1", "isar-night"].into_iter().enumerate() {
-        for worker in 0..AT_ONCE {
+        for worker in 0..CONCURRENCY {
             let node = d.nodes[(i + worker) % d.nodes.len()].listen;
             let caller = Caller::new(account.parse()?);
-            let (count, tokens) = (arguments.requests / AT_ONCE, arguments.tokens);
+            let (count, tokens) = (arguments.requests / CONCURRENCY, arguments.tokens);
             let prompt = format!("{account} {worker}: summarise the ticket for the desk");
-            tasks.spawn(work(caller, node, prompt, count, tokens));
+            tasks.spawn(run_worker(caller, node, prompt, count, tokens));
         }
     }
-    let (mut right, mut tokens, mut firsts) = (0, 0, Vec::new());
+    let (mut correct, mut tokens, mut firsts) = (0, 0, Vec::new());
     while let Some(done) = tasks.join_next().await {
-        for (good, got) in done? {
-            if !good {
-                println!("wrong: status {} whole {} {:?}", got.status, got.complete, got.error);
+        for (is_correct, got) in done? {
+            if !is_correct {
+                println!(
+                    "wrong answer: status {}, complete {}, error {:?}",
+                    got.status, got.complete, got.error
+                );
             }
-            right += usize::from(good);
+            correct += usize::from(is_correct);
             tokens += got.pieces.len();
             firsts.push(got.first_token);
         }
@@ -76,18 +79,18 @@
     let total = firsts.len();
     firsts.sort();
     let took = start.elapsed();
-    println!("answers right and whole: {right} of {total}");
-    println!("tokens: {tokens}, {:.0} a second", tokens as f64 / took.as_secs_f64());
+    println!("correct and complete answers: {correct} of {total}");
+    println!("tokens: {tokens}, {:.0} per second", tokens as f64 / took.as_secs_f64());
     println!(
-        "first token: median {:?}, 95 in 100 within {:?}",
+        "first token: median {:?}, 95th percentile {:?}",
         firsts[total / 2],
         firsts[total * 95 / 100]
     );
-    if right == total { Ok(()) } else { Err("some answers were wrong".into()) }
+    if correct == total { Ok(()) } else { Err("some answers were wrong".into()) }
 }
 
-/// Asks `count` times, one after another, and checks each answer against the right one.
-async fn work(
+/// Sends `count` requests in sequence and checks each answer against the expected one.
+async fn run_worker(
     caller: Caller,
     node: SocketAddr,
     prompt: String,
@@ -99,8 +102,8 @@
     for r in 0..count {
         let prompt = format!("{prompt}, order {r}");
         let got = caller.stream(node, &model, &prompt, tokens).await.unwrap_or_default();
-        let right = reference_answer(&model, &version, LAYERS, &prompt, tokens);
-        let text: Vec<String> = right.tokens.iter().map(|t| token_text(*t)).collect();
+        let expected = reference_answer(&model, &version, LAYERS, &prompt, tokens);
+        let text: Vec<String> = expected.tokens.iter().map(|t| token_text(*t)).collect();
         answers.push((got.complete && got.pieces == text, got));
     }
     answers
--- a/crates/fakes/examples/experiment.rs
+++ b/crates/fakes/examples/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiments on real nodes and stand-in engines: throughput beside the hardware's bound under
-//! each routing strategy, and recovery from lost stages as the caller sees it.
+//! Experiments on real nodes and fake engines: throughput of each routing strategy relative to the
+//! hardware limit, and recovery from lost stages as seen by the caller.
 //!
 //! `cargo build --release --bins && cargo run --release -p heathpitch-fakes --example experiment`
 
@@ -18,12 +18,12 @@
 const LAYERS: u32 = 24;
 const STAGES: u32 = 3;
 const SLOTS: u32 = 8;
-/// Groups of callers that share a long prefix.
-const GROUPS: usize = 10;
-/// Step of a fast and of a slow engine.
-const STEPS: [Duration; 2] = [Duration::from_millis(10), Duration::from_millis(20)];
-/// Prompt tokens a second of a fast engine; a slow one does half.
-const PREFILL: f64 = 20_000.0;
+/// Groups of callers with a common long prefix.
+const PREFIX_GROUPS: usize = 10;
+/// Decode step of a fast and of a slow engine.
+const STEP_TIMES: [Duration; 2] = [Duration::from_millis(10), Duration::from_millis(20)];
+/// Prompt tokens per second of a fast engine; a slow one has half of it.
+const PREFILL_RATE: f64 = 20_000.0;
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
@@ -31,19 +31,19 @@
 struct Arguments {
     /// Prints this help.
     help: bool,
-    /// Seconds of each run.
+    /// Duration of each run, seconds.
     #[options(default = "8", no_short, meta = "S")]
     seconds: u64,
     /// Rounds of each recovery experiment.
     #[options(default = "12", no_short, meta = "N")]
     rounds: u32,
-    /// What to run: throughput, recovery or all.
+    /// Experiment to run: throughput, recovery or all.
     #[options(default = "all", no_short, meta = "WHAT")]
     only: String,
-    /// Only this load: steady, mixed, bursts or prefixes.
+    /// Load to run: steady, mixed, bursts or prefixes; all by default.
     #[options(no_short, meta = "LOAD")]
     load: Option<String>,
-    /// The node's binary.
+    /// Node binary; by default the one built next to this example.
     #[options(no_short, meta = "FILE")]
     binary: Option<PathBuf>,
 }
@@ -75,15 +75,15 @@
 
 async fn throughput(binary: &std::path::Path, arguments: &Arguments) -> Result<()> {
     println!(
-        "| load | strategy | tokens/s | of bound | first p50 ms | first p95 ms | gap p95 ms | refused |"
+        "| load | strategy | tokens/s | of limit | first p50 ms | first p95 ms | gap p95 ms | refused |"
     );
     println!("|---|---|---|---|---|---|---|---|");
-    let wanted = |l: &Load| {
+    let selected = |l: &Load| {
         let name = format!("{l:?}").to_lowercase();
-        arguments.load.as_ref().is_none_or(|w| *w == name)
+        arguments.load.as_ref().is_none_or(|s| *s == name)
     };
     let loads = [Load::Steady, Load::Mixed, Load::Bursts, Load::Prefixes];
-    for load in loads.into_iter().filter(wanted) {
+    for load in loads.into_iter().filter(selected) {
         for strategy in
             [Strategy::Affinity, Strategy::TwoChoices, Strategy::LeastReported, Strategy::Random]
         {
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-/// Half of the replicas are fast, half slow, behind four nodes.
+/// Deployment with four replicas of each stage, half of them fast and half slow.
 async fn deployment(
     binary: &std::path::Path,
     nodes: usize,
@@ -107,8 +107,8 @@
             let name = format!("e{stage}{replica}").parse()?;
             let mut config = EngineConfig::new(name, "tickets".parse()?, "v1".parse()?, layers);
             let slow = (replica % 2) as usize;
-            config.step_time = STEPS[slow];
-            config.prefill_rate = PREFILL / (slow as f64 + 1.0);
+            config.step_time = STEP_TIMES[slow];
+            config.prefill_rate = PREFILL_RATE / (slow as f64 + 1.0);
             config.slots = SLOTS;
             config.cache_blocks = 1_200;
             config.report_lag = Duration::from_millis(500);
@@ -128,10 +128,10 @@
     }
 }
 
-/// Tokens a second of the hardware, if every path held engines of one speed and none ever waited.
-fn bound() -> f64 {
-    let row = |step: Duration| f64::from(SLOTS) / (step.as_secs_f64() * f64::from(STAGES));
-    2.0 * (row(STEPS[0]) + row(STEPS[1]))
+/// Tokens per second of the hardware if each chain has engines of one speed and none ever waits.
+fn throughput_limit() -> f64 {
+    let chain_rate = |step: Duration| f64::from(SLOTS) / (step.as_secs_f64() * f64::from(STAGES));
+    2.0 * (chain_rate(STEP_TIMES[0]) + chain_rate(STEP_TIMES[1]))
 }
 
 async fn run(d: &Deployment, load: Load, strategy: Strategy, seconds: u64) -> Result<()> {
@@ -144,31 +144,36 @@
     let mut tasks = JoinSet::new();
     for worker in 0..workers {
         let node = d.nodes[worker % d.nodes.len()].listen;
-        tasks.spawn(work(node, worker, load, end));
+        tasks.spawn(run_worker(node, worker, load, end));
     }
     let all: Vec<StreamedAnswer> = tasks.join_all().await.into_iter().flatten().collect();
     let took = start.elapsed().as_secs_f64();
     let tokens: usize = all.iter().map(|a| a.pieces.len()).sum();
-    let good: Vec<&StreamedAnswer> = all.iter().filter(|a| a.complete).collect();
-    let firsts = sorted(good.iter().map(|a| a.first_token));
-    let gaps = sorted(good.iter().map(|a| a.max_gap));
+    let complete: Vec<&StreamedAnswer> = all.iter().filter(|a| a.complete).collect();
+    let firsts = sorted(complete.iter().map(|a| a.first_token));
+    let gaps = sorted(complete.iter().map(|a| a.max_gap));
     let rate = tokens as f64 / took;
     println!(
         "| {load:?} | {strategy:?} | {rate:.0} | {:.2} | {:.0} | {:.0} | {:.0} | {} |",
-        rate / bound(),
-        at(&firsts, 0.5),
-        at(&firsts, 0.95),
-        at(&gaps, 0.95),
-        all.len() - good.len()
+        rate / throughput_limit(),
+        quantile(&firsts, 0.5),
+        quantile(&firsts, 0.95),
+        quantile(&gaps, 0.95),
+        all.len() - complete.len()
     );
     Ok(())
 }
 
-/// Asks until the time is over; the load decides lengths, pauses and prompts.
-async fn work(node: SocketAddr, worker: usize, load: Load, end: Instant) -> Vec<StreamedAnswer> {
+/// Sends requests until `end`; the load determines lengths, pauses and prompts.
+async fn run_worker(
+    node: SocketAddr,
+    worker: usize,
+    load: Load,
+    end: Instant,
+) -> Vec<StreamedAnswer> {
     let accounts = ["memphis-desk", "adviser-1", "isar-night"];
-    // Workers of one group share a prefix, so they are of one account.
-    let account = accounts[worker % GROUPS % 3];
+    // Prefixes are cached per account, so all workers of a group use the same one.
+    let account = accounts[worker % PREFIX_GROUPS % 3];
     let (Ok(account), Ok(model)) = (account.parse::<Name>(), "tickets".parse()) else {
         return Vec::new();
     };
@@ -177,7 +182,7 @@
     let mut n = 0;
     while Instant::now() < end {
         n += 1;
-        let (prompt, tokens) = ask(load, worker, n);
+        let (prompt, tokens) = make_prompt(load, worker, n);
         if matches!(load, Load::Bursts) && n % 4 == 0 {
             tokio::time::sleep(Duration::from_millis(900)).await;
         }
@@ -190,7 +195,8 @@
     answers
 }
 
-fn ask(load: Load, worker: usize, n: usize) -> (String, u32) {
+/// Prompt and maximum number of tokens of the `n`th request.
+fn make_prompt(load: Load, worker: usize, n: usize) -> (String, u32) {
     match load {
         Load::Steady | Load::Bursts => (format!("{worker}/{n} {}", "crash report ".repeat(20)), 16),
         Load::Mixed if n.is_multiple_of(3) => {
@@ -198,7 +204,7 @@
         }
         Load::Mixed => (format!("{worker}/{n} short"), 8),
         Load::Prefixes => {
-            let group = worker % GROUPS;
+            let group = worker % PREFIX_GROUPS;
             let notes = format!("account notes {group} ").repeat(200);
             (format!("{notes} order {worker}/{n}"), 8)
         }
@@ -206,7 +212,7 @@
 }
 
 async fn recovery(binary: &std::path::Path, rounds: u32) -> Result<()> {
-    println!("\n| fault | answers | whole | stall p50 ms | p95 ms | max ms |");
+    println!("\n| fault | answers | complete | stall p50 ms | p95 ms | max ms |");
     println!("|---|---|---|---|---|---|");
     let cases = [
         ("none", None, 0),
@@ -218,7 +224,7 @@
     ];
     for (name, fault, count) in cases {
         let mut gaps = Vec::new();
-        let (mut whole, mut total) = (0, 0);
+        let (mut complete, mut total) = (0, 0);
         for round in 0..rounds.div_ceil(4) {
             let d = deployment(binary, 2, Strategy::Affinity).await?;
             let mut tasks = JoinSet::new();
@@ -231,28 +237,28 @@
             }
             tokio::time::sleep(Duration::from_millis(700)).await;
             if let Some(fault) = fault {
-                hit(&d, fault, count);
+                inject(&d, fault, count);
             }
             for got in tasks.join_all().await {
                 let got = got.unwrap_or_default();
                 total += 1;
-                whole += u32::from(got.complete);
+                complete += u32::from(got.complete);
                 gaps.push(got.max_gap);
             }
         }
         let gaps = sorted(gaps.into_iter());
-        let (p50, p95, max) = (at(&gaps, 0.5), at(&gaps, 0.95), at(&gaps, 1.0));
-        println!("| {name} | {total} | {whole} | {p50:.0} | {p95:.0} | {max:.0} |");
+        let (p50, p95, max) = (quantile(&gaps, 0.5), quantile(&gaps, 0.95), quantile(&gaps, 1.0));
+        println!("| {name} | {total} | {complete} | {p50:.0} | {p95:.0} | {max:.0} |");
     }
     Ok(())
 }
 
-/// Shows the fault in the busiest engine of the middle stage, and of the last for a second.
-fn hit(d: &Deployment, fault: Fault, count: u32) {
+/// Injects the fault into three of the four replicas of `count` stages, from the second one on.
+fn inject(d: &Deployment, fault: Fault, count: u32) {
     for stage in (1..STAGES).take(count as usize) {
         let of_stage =
             d.engines.iter().filter(|(e, _)| e.name().as_str().starts_with(&format!("e{stage}")));
-        // All but one replica of the stage: whatever path an answer is on, it is most likely hit.
+        // With only one healthy replica left, most answers are on an affected path.
         of_stage.take(3).for_each(|(e, _)| e.inject(fault));
     }
 }
@@ -263,7 +269,7 @@
     times
 }
 
-fn at(sorted: &[f64], part: f64) -> f64 {
+fn quantile(sorted: &[f64], fraction: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    sorted.get((last as f64 * part).round() as usize).copied().unwrap_or(f64::NAN)
+    sorted.get((last as f64 * fraction).round() as usize).copied().unwrap_or(f64::NAN)
 }
--- a/crates/fakes/examples/fake_engine.rs
+++ b/crates/fakes/examples/fake_engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine as a process of its own.
+//! Runs a fake engine as a process.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -12,25 +12,25 @@
 struct Arguments {
     /// Prints this help.
     help: bool,
-    /// Name.
+    /// Name of the engine.
     #[options(required, meta = "NAME")]
     name: String,
-    /// Address, ip:port.
+    /// Listen address, ip:port.
     #[options(required, meta = "ADDRESS")]
     listen: String,
-    /// Model held.
+    /// Model loaded.
     #[options(default = "tickets", meta = "MODEL")]
     model: String,
-    /// First layer held.
+    /// First layer loaded.
     #[options(required, meta = "LAYER")]
     first: u32,
-    /// One past the last layer held.
+    /// One past the last layer loaded.
     #[options(required, meta = "LAYER")]
     end: u32,
-    /// Time of a decode step, milliseconds.
+    /// Duration of a decode step, milliseconds.
     #[options(default = "10", no_short, meta = "MS")]
     step: u64,
-    /// Takes orders of any epoch.
+    /// Accepts orders of any epoch.
     #[options(no_short)]
     unfenced: bool,
 }
@@ -43,7 +43,7 @@
     config.step_time = Duration::from_millis(a.step);
     config.fenced = !a.unfenced;
     let engine = FakeEngine::spawn(config)?;
-    println!("engine {} holds layers {layers} at {}", engine.name(), engine.address());
+    println!("engine {} has layers {layers} at {}", engine.name(), engine.address());
     loop {
         std::thread::park();
     }
--- a/crates/fakes/examples/fake_platform.rs
+++ b/crates/fakes/examples/fake_platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in platform as a process of its own, its list of VMs read from a file.
+//! Runs a fake platform as a process, with a list of VMs read from a file.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 struct Arguments {
     /// Prints this help.
     help: bool,
-    /// Address, ip:port.
+    /// Listen address, ip:port.
     #[options(required, meta = "ADDRESS")]
     listen: String,
-    /// List of VMs, JSON.
+    /// File with the list of VMs, JSON.
     #[options(required, meta = "FILE")]
     vms: PathBuf,
 }
--- a/crates/fakes/examples/fake_service.rs
+++ b/crates/fakes/examples/fake_service.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service as a process of its own.
+//! Runs a fake plain service as a process.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 struct Arguments {
     /// Prints this help.
     help: bool,
-    /// Name.
+    /// Name of the service.
     #[options(required, meta = "NAME")]
     name: String,
-    /// Address, ip:port.
+    /// Listen address, ip:port.
     #[options(required, meta = "ADDRESS")]
     listen: String,
-    /// Time of a call, milliseconds.
+    /// Duration of a call, milliseconds.
     #[options(default = "5", meta = "MS")]
     work: u64,
 }
@@ -25,8 +25,8 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let a = Arguments::parse_args_default_or_exit();
     let address = a.listen.parse::<SocketAddr>()?;
-    let work = Duration::from_millis(a.work);
-    let service = FakeService::spawn(a.name.parse()?, address, work)?;
+    let call_time = Duration::from_millis(a.work);
+    let service = FakeService::spawn(a.name.parse()?, address, call_time)?;
     println!("service {} at {}", service.name(), service.address());
     loop {
         std::thread::park();
--- a/crates/fakes/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that reads answers and checks them against the right ones.
+//! HTTP client that acts as a caller of the router.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,24 +10,23 @@
 use hyper::Request;
 use serde_json::{Value, json};
 
-/// Largest whole answer read, bytes.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// A caller of one client account.
+/// Caller of one client account.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
     account: Name,
 }
 
-/// A streamed answer.
+/// Streamed answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StreamedAnswer {
-    /// Text of each event.
+    /// Text of each token event.
     pub pieces: Vec<String>,
-    /// Whether it ended with its explicit end.
+    /// Whether the stream ended with its end marker.
     pub complete: bool,
-    /// Error event or body, if any.
+    /// Error event or error body, if any.
     pub error: Option<Value>,
     /// HTTP status.
     pub status: u16,
@@ -37,32 +36,31 @@
     pub max_gap: Duration,
 }
 
-/// A whole response.
+/// Complete response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Value of Retry-After, seconds.
+    /// Value of `Retry-After`, seconds.
     pub retry_after: Option<u64>,
     /// Body, null if it is not JSON.
     pub json: Value,
 }
 
-/// Why a call gave no response.
+/// Error of a call that got no response.
 pub type CallError = RpcError;
 
-/// # CallCounts
 impl Caller {
-    /// A caller for `account`.
+    /// Caller with requests of `account`.
     pub fn new(account: Name) -> Self {
         Self { client: Client::new(), account }
     }
 
-    /// Sends any request and reads the whole response.
+    /// Sends a POST request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// [`RpcError`] if there is none.
+    /// [`RpcError`] if no response arrives.
     pub async fn post(
         &self,
         node: SocketAddr,
@@ -75,44 +73,46 @@
         let status = response.status().as_u16();
         let after = response.headers().get("retry-after").and_then(|v| v.to_str().ok());
         let retry_after = after.and_then(|v| v.parse().ok());
-        let bytes = body::read(response.into_body(), MAX_ANSWER).await;
+        let bytes = body::read(response.into_body(), MAX_ANSWER_BYTES).await;
         let bytes = bytes.map_err(|e| RpcError::Lost(e.to_string()))?;
         let json = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
         Ok(Reply { status, retry_after, json })
     }
 
-    /// Asks for a completion and streams it.
+    /// Requests a streamed completion and reads it.
     ///
     /// # Errors
     ///
-    /// [`RpcError`] if no response comes.
+    /// [`RpcError`] if no response arrives.
     pub async fn stream(
         &self,
         node: SocketAddr,
         model: &Name,
         prompt: &str,
-        wanted: u32,
+        max_tokens: u32,
     ) -> Result<StreamedAnswer, CallError> {
-        let ask = json!({ "model": model, "prompt": prompt, "max_tokens": wanted, "stream": true });
-        let request = self.request(node, "/v1/completions", &[], ask.to_string().into())?;
+        let completion =
+            json!({ "model": model, "prompt": prompt, "max_tokens": max_tokens, "stream": true });
+        let request = self.request(node, "/v1/completions", &[], completion.to_string().into())?;
         let start = Instant::now();
         let response = self.client.send(request, true).await?;
         let mut answer =
             StreamedAnswer { status: response.status().as_u16(), ..StreamedAnswer::default() };
         if answer.status != 200 {
-            let bytes = body::read(response.into_body(), MAX_ANSWER).await.unwrap_or_default();
+            let bytes =
+                body::read(response.into_body(), MAX_ANSWER_BYTES).await.unwrap_or_default();
             answer.error = serde_json::from_slice(&bytes).ok();
             return Ok(answer);
         }
         let mut content = response.into_body();
-        let mut text = Vec::new();
+        let mut buffer = Vec::new();
         let mut last = start;
         while let Some(Ok(frame)) = content.frame().await {
-            text.extend_from_slice(frame.data_ref().map_or(&[][..], |d| d));
-            while let Some(end) = text.windows(2).position(|w| w == b"\n\n") {
-                let event: Vec<u8> = text.drain(..end + 2).collect();
+            buffer.extend_from_slice(frame.data_ref().map_or(&[][..], |d| d));
+            while let Some(end) = buffer.windows(2).position(|w| w == b"\n\n") {
+                let event: Vec<u8> = buffer.drain(..end + 2).collect();
                 let event = String::from_utf8_lossy(&event).into_owned();
-                if answer.take(&event) {
+                if answer.add_event(&event) {
                     let gap = last.elapsed();
                     last = Instant::now();
                     match answer.pieces.len() {
@@ -143,8 +143,8 @@
 }
 
 impl StreamedAnswer {
-    /// Takes one server-sent event; true if it held a token.
-    fn take(&mut self, event: &str) -> bool {
+    /// Adds one server-sent event; true if it contained a token.
+    fn add_event(&mut self, event: &str) -> bool {
         let data = event.trim().strip_prefix("data: ").unwrap_or_default();
         let value: Value = serde_json::from_str(data).unwrap_or(Value::Null);
         match value["choices"][0]["text"].as_str() {
--- a/crates/fakes/src/deployment.rs
+++ b/crates/fakes/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A small deployment: stand-ins in this process, nodes as processes of their own.
+//! Small deployment: fakes in this process, nodes as child processes.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader};
@@ -17,18 +17,17 @@
 
 use crate::{EngineConfig, FakeEngine, FakePlatform, FakeService, PlatformConfig};
 
-/// Clock ticks of a second in /proc.
-const TICKS: f64 = 100.0;
-/// Time for a node to start.
-const START: Duration = Duration::from_secs(10);
+/// Clock ticks per second in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a deployment could not be set up.
+/// Error of setting up a deployment.
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentError {
-    /// What the system says.
+    /// I/O error.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A name is not one.
+    /// Invalid name.
     #[error(transparent)]
     Name(#[from] NameError),
     /// A node did not start.
@@ -39,7 +38,7 @@
     Put(#[from] PutError),
 }
 
-/// A node as a process.
+/// Node as a child process.
 #[derive(Debug)]
 pub struct NodeProcess {
     child: Child,
@@ -55,12 +54,12 @@
     log: Arc<Mutex<Vec<String>>>,
 }
 
-/// Stand-ins and nodes.
+/// Fakes and nodes.
 #[derive(Debug)]
 pub struct Deployment {
     binary: PathBuf,
-    folder: PathBuf,
-    /// The platform.
+    settings_dir: PathBuf,
+    /// Platform.
     pub platform: FakePlatform,
     /// Engines.
     pub engines: Vec<(FakeEngine, Vm)>,
@@ -70,24 +69,25 @@
     pub nodes: Vec<NodeProcess>,
 }
 
-/// # Set-up
+/// # Setup
 impl Deployment {
-    /// A deployment with a platform and nothing else; nodes run `binary`.
+    /// Deployment with a platform only; its nodes run `binary`.
     ///
     /// # Errors
     ///
-    /// [`DeploymentError`] if the platform or the folder for settings cannot be made.
+    /// [`DeploymentError`] if the platform cannot be started or the settings directory cannot be
+    /// created.
     pub fn new(binary: &Path) -> Result<Self, DeploymentError> {
         let platform = FakePlatform::spawn(PlatformConfig::default())?;
-        let folder = std::env::temp_dir().join(format!(
+        let settings_dir = std::env::temp_dir().join(format!(
             "heathpitch-{}-{}",
             std::process::id(),
             platform.address().port()
         ));
-        fs::create_dir_all(&folder)?;
+        fs::create_dir_all(&settings_dir)?;
         Ok(Self {
             binary: binary.to_owned(),
-            folder,
+            settings_dir,
             platform,
             engines: Vec::new(),
             services: Vec::new(),
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Adds an engine in `domain`; its VM has the label `kind=engine`.
+    /// Starts an engine in `domain`, with label `kind=engine`, and returns its index.
     ///
     /// # Errors
     ///
@@ -111,11 +111,11 @@
         Ok(self.engines.len() - 1)
     }
 
-    /// Adds engines for whole paths: `replicas` of each of `stages` equal parts of the model.
+    /// Starts engines for complete chains: `replicas` of each of `stages` equal parts of the model.
     ///
     /// # Errors
     ///
-    /// [`DeploymentError`] if one cannot be started.
+    /// [`DeploymentError`] if an engine cannot be started.
     pub fn add_chains(
         &mut self,
         model: &Name,
@@ -127,7 +127,8 @@
         for replica in 0..replicas {
             for stage in 0..stages {
                 let range = LayerRange::new(layers * stage / stages, layers * (stage + 1) / stages);
-                let name = format!("{domain}-{model}-{stage}{}", letter(replica)).parse()?;
+                let name =
+                    format!("{domain}-{model}-{stage}{}", replica_letter(replica)).parse()?;
                 let config = EngineConfig::new(name, model.clone(), "v1".parse()?, range);
                 self.add_engine(config, domain)?;
             }
@@ -135,20 +136,20 @@
         Ok(())
     }
 
-    /// Adds a plain service in `domain`; its VM has the label `kind=service`.
+    /// Starts a plain service in `domain`, with label `kind=service`, and returns its index.
     ///
     /// # Errors
     ///
     /// [`DeploymentError`] if it cannot be started.
     pub fn add_service(&mut self, name: &str, domain: &str) -> Result<usize, DeploymentError> {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let service = FakeService::spawn(name.parse()?, any, Duration::from_millis(5))?;
+        let address = SocketAddr::from(([127, 0, 0, 1], 0));
+        let service = FakeService::spawn(name.parse()?, address, Duration::from_millis(5))?;
         let vm = vm(service.name().clone(), VmRole::Service, service.address(), domain)?;
         self.services.push((service, vm));
         Ok(self.services.len() - 1)
     }
 
-    /// Publishes the list of VMs.
+    /// Publishes the list of VMs on the platform.
     pub fn publish_vms(&self) {
         let engines = self.engines.iter().map(|(_, vm)| vm.clone());
         let services = self.services.iter().map(|(_, vm)| vm.clone());
@@ -160,18 +161,18 @@
     ///
     /// # Errors
     ///
-    /// [`DeploymentError::Put`] if the platform does not take it.
+    /// [`DeploymentError::Put`] if the platform rejects it.
     pub async fn put_config(&self, document: &Document) -> Result<Revision, DeploymentError> {
         let platform = HttpPlatform::new(Client::new(), &[self.platform.address()]);
         let text = serde_json::to_string(document).map_err(io::Error::other)?;
-        let stands = self.platform.stored("config").map_or(Revision(0), |s| s.revision);
-        Ok(platform.put("config", stands, text).await?)
+        let current = self.platform.stored("config").map_or(Revision(0), |s| s.revision);
+        Ok(platform.put("config", current, text).await?)
     }
 }
 
 /// # Nodes
 impl Deployment {
-    /// Starts a node with quick timing; `adjust` may change its settings.
+    /// Starts a node with short intervals and returns its index; `adjust` may change its settings.
     ///
     /// # Errors
     ///
@@ -193,31 +194,36 @@
                 "notice_ms": 300, "drain_ms": 20_000 },
         });
         adjust(&mut settings);
-        let path = self.folder.join(format!("{name}.json"));
+        let path = self.settings_dir.join(format!("{name}.json"));
         fs::write(&path, settings.to_string())?;
         let node = NodeProcess::spawn(&self.binary, &path, name, domain)?;
         self.nodes.push(node);
         Ok(self.nodes.len() - 1)
     }
 
-    /// Waits until every node serves `revision` and sees `upstreams` upstreams; false if it does
-    /// not come to that within `limit`.
-    pub async fn wait_ready(&self, revision: Revision, upstreams: usize, limit: Duration) -> bool {
-        let end = Instant::now() + limit;
+    /// Waits until every node serves `revision` and reports `upstreams` upstreams as up; false on
+    /// time-out.
+    pub async fn wait_ready(
+        &self,
+        revision: Revision,
+        upstreams: usize,
+        timeout: Duration,
+    ) -> bool {
+        let deadline = Instant::now() + timeout;
         loop {
-            let mut good = 0;
+            let mut ready = 0;
             for node in &self.nodes {
                 let status = node.status().await;
                 let up = status["upstreams"]
                     .as_array()
                     .map_or(0, |l| l.iter().filter(|u| u["standing"] == "up").count());
                 let current = status["config"].as_u64().unwrap_or(0) >= revision.0;
-                good += usize::from(current && up >= upstreams);
+                ready += usize::from(current && up >= upstreams);
             }
-            if good == self.nodes.len() {
+            if ready == self.nodes.len() {
                 return true;
             }
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return false;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -228,12 +234,11 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         self.nodes.clear();
-        // A folder that is left behind in the place for such things does no harm.
-        let _ = fs::remove_dir_all(&self.folder);
+        // A leftover directory in the temporary directory does no harm.
+        let _ = fs::remove_dir_all(&self.settings_dir);
     }
 }
 
-/// # Life
 impl NodeProcess {
     fn spawn(
         binary: &Path,
@@ -250,17 +255,17 @@
         let stdout = child.stdout.take().ok_or(DeploymentError::Start)?;
         let log = Arc::new(Mutex::new(Vec::new()));
         let lines = log.clone();
-        let (told, started) = std::sync::mpsc::channel();
+        let (sender, started) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             for line in BufReader::new(stdout).lines().map_while(Result::ok) {
                 let value: Value = serde_json::from_str(&line).unwrap_or(Value::Null);
                 if value["event"] == "started" {
-                    let _ = told.send(value);
+                    let _ = sender.send(value);
                 }
                 lines.lock().push(line);
             }
         });
-        let Ok(value) = started.recv_timeout(START) else {
+        let Ok(value) = started.recv_timeout(START_TIMEOUT) else {
             let _ = child.kill();
             let _ = child.wait();
             return Err(DeploymentError::Start);
@@ -281,41 +286,41 @@
         })
     }
 
-    /// Its process id.
+    /// Process ID.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Processor time it has used, seconds.
+    /// CPU time used so far, seconds.
     ///
     /// # Errors
     ///
-    /// What the system says, or that /proc does not have the figure.
+    /// I/O error, also if `/proc` lacks the value.
     pub fn cpu_seconds(&self) -> io::Result<f64> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.pid()))?;
         let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace();
         let ticks: Vec<f64> = fields.skip(11).take(2).filter_map(|f| f.parse().ok()).collect();
         match ticks[..] {
-            [user, system] => Ok((user + system) / TICKS),
-            _ => Err(io::Error::other("no processor time in /proc")),
+            [user, system] => Ok((user + system) / TICKS_PER_SECOND),
+            _ => Err(io::Error::other("no CPU time in /proc")),
         }
     }
 
-    /// Its resident memory, kilobytes.
+    /// Resident memory, kilobytes.
     ///
     /// # Errors
     ///
-    /// What the system says, or that /proc does not have the figure.
+    /// I/O error, also if `/proc` lacks the value.
     pub fn resident_kb(&self) -> io::Result<u64> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.pid()))?;
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-        let figure = line.and_then(|l| l.split_whitespace().next()).and_then(|f| f.parse().ok());
-        figure.ok_or_else(|| io::Error::other("no resident memory in /proc"))
+        let value = line.and_then(|l| l.split_whitespace().next()).and_then(|f| f.parse().ok());
+        value.ok_or_else(|| io::Error::other("no resident memory in /proc"))
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
-        // A process that has ended already needs no more ending.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -324,35 +329,35 @@
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// I/O error of the system call.
     pub fn signal(&self, signal: &str) -> io::Result<()> {
         let pid = self.child.id().to_string();
         Command::new("kill").arg(format!("-{signal}")).arg(pid).status().map(drop)
     }
 
-    /// Waits for its end and gives its exit code.
+    /// Waits for the process to exit and returns its exit code.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// I/O error of the system call.
     pub fn wait_exit(&mut self) -> io::Result<Option<i32>> {
         self.child.wait().map(|s| s.code())
     }
 
-    /// Lines of its log so far.
+    /// Log lines so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().clone()
     }
 
-    /// Its status, null if it does not answer.
+    /// Status from the admin interface; null if the node does not answer.
     pub async fn status(&self) -> Value {
         let uri = format!("http://{}/status", self.admin);
-        let limit = Duration::from_secs(2);
-        let answer = Client::new().call(hyper::Method::GET, &uri, None::<&()>, limit).await;
+        let timeout = Duration::from_secs(2);
+        let answer = Client::new().call(hyper::Method::GET, &uri, None::<&()>, timeout).await;
         answer.unwrap_or(Value::Null)
     }
 
-    /// Marks its VM as leaving in the next list.
+    /// Marks the VM as leaving in the next published list.
     pub fn mark_leaving(&mut self) {
         self.state = VmState::Leaving;
     }
@@ -370,15 +375,15 @@
     }
 }
 
-/// The node's binary, where it was built beside the example that runs.
+/// Path of the node binary built next to the running example.
 ///
 /// # Errors
 ///
-/// What the system says of the path of the running program.
+/// I/O error if the path of the running program is unknown.
 pub fn node_binary() -> io::Result<PathBuf> {
-    let me = std::env::current_exe()?;
-    let folder = me.parent().and_then(Path::parent);
-    folder.map(|f| f.join("heathpitchd")).ok_or_else(|| io::Error::other("no folder above"))
+    let program = std::env::current_exe()?;
+    let dir = program.parent().and_then(Path::parent);
+    dir.map(|d| d.join("heathpitchd")).ok_or_else(|| io::Error::other("no parent directory"))
 }
 
 fn vm(name: Name, role: VmRole, address: SocketAddr, domain: &str) -> Result<Vm, NameError> {
@@ -398,6 +403,6 @@
     })
 }
 
-fn letter(i: u32) -> char {
+fn replica_letter(i: u32) -> char {
     char::from_u32('a' as u32 + i).unwrap_or('z')
 }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in model engine.
+//! Fake model engine.
 
 use std::collections::HashMap;
 use std::io;
@@ -16,47 +16,47 @@
 use crate::engine_http;
 use crate::faults::{Fault, Faults};
 use crate::host::Host;
-use crate::prefix::PrefixCache;
+use crate::prefix_cache::PrefixCache;
 use crate::slots::Slots;
 use crate::stage::Sequence;
 
-/// What a stand-in engine is and holds at first.
+/// Properties and initial state of a fake engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// Name.
+    /// Name of the engine.
     pub name: Name,
-    /// `ip:port`; port 0 takes a free one.
+    /// Listen address; port 0 picks a free port.
     pub address: SocketAddr,
-    /// Model held at first.
+    /// Model loaded initially.
     pub model: Option<Name>,
     /// Version of the weights.
     pub version: Name,
-    /// Layers held at first.
+    /// Layers loaded initially.
     pub layers: LayerRange,
-    /// Requests batched at once.
+    /// Number of batch slots.
     pub slots: u32,
-    /// Requests waiting before more are refused.
+    /// Length of the queue; beyond it requests are refused.
     pub queue_capacity: usize,
-    /// Prompt tokens prefilled per second.
+    /// Prefill rate, prompt tokens per second.
     pub prefill_rate: f64,
-    /// Time of a decode step.
+    /// Duration of a decode step.
     pub step_time: Duration,
-    /// Blocks of the prefix cache.
+    /// Capacity of the prefix cache, blocks.
     pub cache_blocks: usize,
-    /// Age of load reports.
+    /// Maximum age of load reports.
     pub report_lag: Duration,
-    /// Whether orders of an older epoch are refused.
+    /// Whether orders of an older epoch are rejected.
     pub fenced: bool,
-    /// Megabytes a second at which weights are loaded.
+    /// Rate at which weights are loaded, megabytes per second.
     pub load_rate: f64,
     /// Memory for weights, megabytes.
     pub memory_mb: u64,
-    /// Time an activation takes to the next stage.
+    /// Transfer time of activations to the next stage.
     pub link_delay: Duration,
 }
 
 impl EngineConfig {
-    /// An engine that holds `layers` of `model` and computes fast.
+    /// Fast engine with `layers` of `model` loaded.
     pub fn new(name: Name, model: Name, version: Name, layers: LayerRange) -> Self {
         Self {
             name,
@@ -80,16 +80,16 @@
 
 type SharedSequence = Arc<tokio::sync::Mutex<Sequence>>;
 
-/// State of an engine that its requests share.
+/// State shared by the requests of an engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) config: EngineConfig,
-    pub(crate) life: Incarnation,
-    pub(crate) held: Mutex<Held>,
+    pub(crate) incarnation: Incarnation,
+    pub(crate) state: Mutex<EngineState>,
     pub(crate) slots: Slots,
     pub(crate) cache: Mutex<PrefixCache>,
-    pub(crate) open: Mutex<HashMap<(String, Attempt), SharedSequence>>,
-    pub(crate) prefill: tokio::sync::Mutex<()>,
+    pub(crate) sequences: Mutex<HashMap<(String, Attempt), SharedSequence>>,
+    pub(crate) prefill_lock: tokio::sync::Mutex<()>,
     pub(crate) faults: Mutex<Faults>,
     pub(crate) frozen: watch::Sender<bool>,
     pub(crate) client: Client,
@@ -98,32 +98,31 @@
     report: Mutex<(Instant, EngineReport)>,
 }
 
-/// What an engine holds now.
+/// Current state of an engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct EngineState {
     pub(crate) model: Option<Name>,
     pub(crate) version: Name,
     pub(crate) layers: LayerRange,
     pub(crate) epoch: Epoch,
     pub(crate) role: EngineRole,
-    pub(crate) leaving: bool,
-    pub(crate) ready: Instant,
+    pub(crate) draining: bool,
+    pub(crate) ready_at: Instant,
 }
 
-/// A running stand-in engine.
+/// Running fake engine.
 #[derive(Debug)]
 pub struct FakeEngine {
     host: Host,
     engine: Arc<Engine>,
 }
 
-/// # Life
 impl FakeEngine {
     /// Starts an engine.
     ///
     /// # Errors
     ///
-    /// What the system says if the address cannot be bound.
+    /// I/O error if the address cannot be bound.
     pub fn spawn(config: EngineConfig) -> io::Result<Self> {
         let engine = Arc::new(Engine::new(config));
         let shared = engine.clone();
@@ -133,17 +132,17 @@
         Ok(Self { host, engine })
     }
 
-    /// Address bound.
+    /// Bound address.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// Name.
+    /// Name of the engine.
     pub fn name(&self) -> &Name {
         &self.engine.config.name
     }
 
-    /// Shows a fault.
+    /// Injects a fault.
     pub fn inject(&self, fault: Fault) {
         match fault {
             Fault::Exit => self.host.kill(),
@@ -151,38 +150,38 @@
         }
     }
 
-    /// Requests that ran as head: begun, and ended whole.
+    /// Number of requests started and completed with this engine as the head.
     pub fn request_counts(&self) -> (u64, u64) {
         (self.engine.started.load(Relaxed), self.engine.finished.load(Relaxed))
     }
 
-    /// Layers held now.
+    /// Layers loaded now.
     pub fn layers(&self) -> LayerRange {
-        self.engine.held.lock().layers
+        self.engine.state.lock().layers
     }
 }
 
 impl Engine {
     fn new(config: EngineConfig) -> Self {
-        let life = Incarnation(now_micros());
-        let held = Held {
+        let incarnation = Incarnation(now_micros());
+        let state = EngineState {
             model: config.model.clone(),
             version: config.version.clone(),
             layers: config.layers,
             epoch: Epoch(0),
             role: EngineRole::Both,
-            leaving: false,
-            ready: Instant::now(),
+            draining: false,
+            ready_at: Instant::now(),
         };
-        let report = report(&config, life, &held, 0, 0, 0);
+        let report = report(&config, incarnation, &state, 0, 0, 0);
         Self {
             slots: Slots::new(config.slots, config.queue_capacity),
             cache: Mutex::new(PrefixCache::new(config.cache_blocks)),
             config,
-            life,
-            held: Mutex::new(held),
-            open: Mutex::default(),
-            prefill: tokio::sync::Mutex::new(()),
+            incarnation,
+            state: Mutex::new(state),
+            sequences: Mutex::default(),
+            prefill_lock: tokio::sync::Mutex::new(()),
             faults: Mutex::default(),
             frozen: watch::Sender::new(false),
             client: Client::new(),
@@ -192,11 +191,11 @@
         }
     }
 
-    /// Puts a fault in force.
+    /// Activates a fault.
     pub(crate) fn inject(&self, fault: Fault) {
         match fault {
-            Fault::ClearEvents => self.cache.lock().lose_events(),
-            Fault::Drain => self.held.lock().leaving = true,
+            Fault::ClearEvents => self.cache.lock().clear_events(),
+            Fault::Drain => self.state.lock().draining = true,
             Fault::Exit => std::process::exit(137),
             _ => {}
         }
@@ -206,42 +205,49 @@
     }
 
     /// Waits while the engine is frozen.
-    pub(crate) async fn thawed(&self) {
+    pub(crate) async fn until_thawed(&self) {
         let _ = self.frozen.subscribe().wait_for(|f| !*f).await;
     }
 
-    /// The report, as old as the engine's lag allows.
+    /// Load report, renewed once older than `report_lag` or when the drain state changes.
     pub(crate) fn report(&self) -> EngineReport {
         let mut last = self.report.lock();
         let fresh = last.0.elapsed() < self.config.report_lag;
-        let held = self.held.lock().clone();
-        if !fresh || held.leaving != last.1.leaving {
-            let running = self.open.lock().len() as u32;
+        let state = self.state.lock().clone();
+        if !fresh || state.draining != last.1.leaving {
+            let running = self.sequences.lock().len() as u32;
             let serial = last.1.serial + 1;
-            let next = report(&self.config, self.life, &held, serial, running, self.slots.queued());
+            let next = report(
+                &self.config,
+                self.incarnation,
+                &state,
+                serial,
+                running,
+                self.slots.queued(),
+            );
             *last = (Instant::now(), next);
         }
         last.1.clone()
     }
 
-    /// Takes an order, or says which epoch is newer.
+    /// Executes an order, or returns the newer epoch that fences it.
     pub(crate) fn order(&self, order: Order) -> Result<(), Epoch> {
-        let mut held = self.held.lock();
-        if self.config.fenced && order.epoch < held.epoch {
-            return Err(held.epoch);
+        let mut state = self.state.lock();
+        if self.config.fenced && order.epoch < state.epoch {
+            return Err(state.epoch);
         }
-        held.epoch = held.epoch.max(order.epoch);
+        state.epoch = state.epoch.max(order.epoch);
         match order.kind {
             OrderKind::Load { model, version, layers, megabytes } => {
                 let time = Duration::from_secs_f64(megabytes as f64 / self.config.load_rate);
-                held.ready = Instant::now() + time;
-                held.model = Some(model);
-                held.version = version;
-                held.layers = layers;
-                held.epoch = order.epoch;
+                state.ready_at = Instant::now() + time;
+                state.model = Some(model);
+                state.version = version;
+                state.layers = layers;
+                state.epoch = order.epoch;
             }
-            OrderKind::Role(role) => held.role = role,
-            OrderKind::Leave => held.leaving = true,
+            OrderKind::Role(role) => state.role = role,
+            OrderKind::Leave => state.draining = true,
         }
         Ok(())
     }
@@ -249,23 +255,23 @@
 
 fn report(
     config: &EngineConfig,
-    life: Incarnation,
-    held: &Held,
+    incarnation: Incarnation,
+    state: &EngineState,
     serial: u64,
     running: u32,
     queued: u32,
 ) -> EngineReport {
-    let loaded = Instant::now() >= held.ready;
+    let loaded = Instant::now() >= state.ready_at;
     EngineReport {
         engine: config.name.clone(),
-        life,
+        life: incarnation,
         serial,
-        model: held.model.clone().filter(|_| loaded),
-        version: held.version.clone(),
-        layers: held.layers,
-        epoch: held.epoch,
-        role: held.role,
-        leaving: held.leaving,
+        model: state.model.clone().filter(|_| loaded),
+        version: state.version.clone(),
+        layers: state.layers,
+        epoch: state.epoch,
+        role: state.role,
+        leaving: state.draining,
         slots: config.slots,
         running,
         queued,
@@ -278,7 +284,7 @@
     }
 }
 
-/// Microseconds of the wall clock, so that a later life has a higher number.
+/// Microseconds of the wall clock, so that a later incarnation has a higher number.
 pub(crate) fn now_micros() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |d| d.as_micros() as u64)
--- a/crates/fakes/src/engine_http.rs
+++ b/crates/fakes/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! HTTP face of a stand-in engine.
+//! HTTP interface of a fake engine.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -18,104 +18,103 @@
 
 use crate::engine::Engine;
 use crate::faults::Fault;
-use crate::model::{embed, stops, token_text};
-use crate::stage::{Closer, Open, Opened, Step, Stepped};
+use crate::model::{embed, is_stop_token, token_text};
+use crate::stage::{CloseOnDrop, OpenRequest, OpenResponse, StepRequest, StepResponse};
 
-/// Largest request read, bytes.
-const MAX_BODY: usize = 32 << 20;
+const MAX_BODY_BYTES: usize = 32 << 20;
 
-/// Answers one HTTP request.
+/// Handles one HTTP request.
 pub(crate) async fn handle(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
-    let Ok(content) = body::read(request.into_body(), MAX_BODY).await else {
-        return status(400, &json!({}));
+    let Ok(content) = body::read(request.into_body(), MAX_BODY_BYTES).await else {
+        return json_response(400, &json!({}));
     };
     if path != "/fault" {
-        engine.thawed().await;
+        engine.until_thawed().await;
     }
     match (method, path.as_str()) {
         (Method::POST, "/v1/generate") => match parse(&content) {
             Some(call) => generate(engine, call).await,
-            None => status(400, &engine.refusal(RefusalKind::Malformed)),
+            None => json_response(400, &engine.refusal(RefusalKind::Malformed)),
         },
         (Method::POST, "/v1/cancel") => match parse::<serde_json::Value>(&content) {
             Some(call) => {
                 let request = call["request"].as_str().unwrap_or_default().to_owned();
                 let attempt = Attempt(call["attempt"].as_u64().unwrap_or_default() as u32);
                 engine.close(request, attempt).await;
-                status(200, &json!({}))
+                json_response(200, &json!({}))
             }
-            None => status(400, &json!({})),
+            None => json_response(400, &json!({})),
         },
         (Method::POST, "/v1/stage/open") => match parse(&content) {
-            Some(open) => status(200, &engine.open(open).await),
-            None => status(400, &json!({})),
+            Some(open) => json_response(200, &engine.open(open).await),
+            None => json_response(400, &json!({})),
         },
         (Method::POST, "/v1/stage/step") => match parse(&content) {
-            Some(step) => status(200, &engine.step(step).await),
-            None => status(400, &json!({})),
+            Some(step) => json_response(200, &engine.step(step).await),
+            None => json_response(400, &json!({})),
         },
         (Method::POST, "/v1/stage/close") => match parse::<(String, Attempt)>(&content) {
             Some((request, attempt)) => {
                 engine.close(request, attempt).await;
-                status(200, &())
+                json_response(200, &())
             }
-            None => status(400, &json!({})),
+            None => json_response(400, &json!({})),
         },
-        (Method::GET, "/v1/report") => status(200, &engine.report()),
+        (Method::GET, "/v1/report") => json_response(200, &engine.report()),
         (Method::GET, "/v1/events") => {
             let after = query.strip_prefix("after=").and_then(|a| a.parse().ok()).unwrap_or(0);
-            let layers = engine.held.lock().layers;
-            status(200, &engine.cache.lock().events(after, layers))
+            let layers = engine.state.lock().layers;
+            json_response(200, &engine.cache.lock().events(after, layers))
         }
-        (Method::GET, "/v1/kv") => export(&engine, &query),
+        (Method::GET, "/v1/kv") => export_block(&engine, &query),
         (Method::POST, "/v1/kv") => match parse::<(u64, LayerRange, Vec<u64>)>(&content) {
             Some((block, layers, digests)) if digests.len() == layers.count() as usize => {
                 engine.cache.lock().put(block, layers, digests);
-                status(200, &json!({}))
+                json_response(200, &json!({}))
             }
-            _ => status(400, &json!({})),
+            _ => json_response(400, &json!({})),
         },
         (Method::POST, "/v1/orders") => match parse::<Order>(&content) {
             Some(order) => match engine.order(order) {
-                Ok(()) => status(200, &json!({})),
-                Err(epoch) => status(409, &json!({ "epoch": epoch })),
+                Ok(()) => json_response(200, &json!({})),
+                Err(epoch) => json_response(409, &json!({ "epoch": epoch })),
             },
-            None => status(400, &json!({})),
+            None => json_response(400, &json!({})),
         },
         (Method::POST, "/fault") => match parse::<Fault>(&content) {
             Some(fault) => {
                 engine.inject(fault);
-                status(200, &json!({}))
+                json_response(200, &json!({}))
             }
-            None => status(400, &json!({})),
+            None => json_response(400, &json!({})),
         },
-        _ => status(404, &json!({})),
+        _ => json_response(404, &json!({})),
     }
 }
 
-fn export(engine: &Engine, query: &str) -> Response<Body> {
+fn export_block(engine: &Engine, query: &str) -> Response<Body> {
     let block = query.strip_prefix("block=").and_then(|b| b.parse().ok());
-    let layers = engine.held.lock().layers;
+    let layers = engine.state.lock().layers;
     let digests = block.and_then(|b| engine.cache.lock().get(b, layers));
     match digests {
-        Some(digests) => status(200, &(block, layers, digests)),
-        None => status(404, &json!({})),
+        Some(digests) => json_response(200, &(block, layers, digests)),
+        None => json_response(404, &json!({})),
     }
 }
 
-/// Opens the path, then answers with a line for each token.
+/// Opens the sequence on every stage, then streams one line per token.
 async fn generate(engine: Arc<Engine>, call: GenerateCall) -> Response<Body> {
     let faults = engine.faults.lock().clone();
     if faults.reset {
-        return broken();
+        return broken_response();
     }
     let mut tokens = prompt_tokens(&call.prompt);
     tokens.extend(&call.resumed);
     let chain = blocks(&call.account, &call.model, &tokens[..tokens.len() - 1]);
-    let open = Open {
+    let open = OpenRequest {
         request: call.request.clone(),
         attempt: call.attempt,
         model: call.model.clone(),
@@ -125,46 +124,47 @@
         hops: call.hops.clone(),
     };
     let key = (call.request.clone(), call.attempt);
-    let closer = Closer { engine: engine.clone(), key: Mutex::new(Some(key)) };
-    let hit = match engine.open(open).await {
-        Opened::Hit(hit) => hit,
-        Opened::Refused(refusal) => return status(503, &refusal),
-        Opened::Fault(name) => {
-            // No stage has run anything, but a later one cannot be heard to say so.
-            return status(502, &json!({ "engine": name }));
+    let closer = CloseOnDrop { engine: engine.clone(), key: Mutex::new(Some(key)) };
+    let cached_blocks = match engine.open(open).await {
+        OpenResponse::Hit(cached_blocks) => cached_blocks,
+        OpenResponse::Refused(refusal) => return json_response(503, &refusal),
+        OpenResponse::Fault(name) => {
+            // No stage has run anything, but an unreachable stage cannot confirm that.
+            return json_response(502, &json!({ "engine": name }));
         }
     };
     engine.started.fetch_add(1, Relaxed);
     let (lines, content) = body::channel(64);
-    let run = Run { engine, call, tokens, lines };
+    let decoding = DecodeLoop { engine, call, tokens, lines };
     tokio::spawn(async move {
-        run.drive(hit, faults.lose).await;
+        decoding.run(cached_blocks, faults.lose_response).await;
         drop(closer);
     });
     Response::new(content)
 }
 
-struct Run {
+/// Decode loop of one request.
+struct DecodeLoop {
     engine: Arc<Engine>,
     call: GenerateCall,
     tokens: Vec<u32>,
     lines: mpsc::Sender<Result<Bytes, BodyError>>,
 }
 
-impl Run {
-    /// Decodes until the answer is whole, a stage fails or the router has gone.
-    async fn drive(mut self, hit: usize, lose: bool) {
+impl DecodeLoop {
+    /// Decodes until the answer is complete, a stage fails or the client disconnects.
+    async fn run(mut self, cached_blocks: usize, lose_response: bool) {
         let start = prompt_tokens(&self.call.prompt).len();
-        let mut from = (hit * BLOCK).min(self.tokens.len() - 1);
-        let mut skip = hit;
-        let mut held = None;
+        let mut from = (cached_blocks * BLOCK).min(self.tokens.len() - 1);
+        let mut skip = cached_blocks;
+        let mut delayed = None;
         loop {
             let position = self.tokens.len() - start;
             if position >= self.call.wanted as usize {
-                return self.end(false, lose).await;
+                return self.finish(false, lose_response).await;
             }
             let inputs = (from..self.tokens.len()).map(|i| embed(self.tokens[i], i as u32));
-            let step = Step {
+            let step = StepRequest {
                 request: self.call.request.clone(),
                 attempt: self.call.attempt,
                 position: from as u32,
@@ -176,20 +176,22 @@
                 () = self.lines.closed() => return,
             };
             match stepped {
-                Stepped::Token(token, _) if stops(token) => return self.end(true, lose).await,
-                Stepped::Token(token, layers) => {
+                StepResponse::Token(token, _) if is_stop_token(token) => {
+                    return self.finish(true, lose_response).await;
+                }
+                StepResponse::Token(token, layers) => {
                     from = self.tokens.len();
                     self.tokens.push(token);
                     let frame = self.frame(position as u32, token, layers);
-                    if !self.emit(frame, &mut held, lose).await {
+                    if !self.emit(frame, &mut delayed, lose_response).await {
                         return;
                     }
                 }
-                Stepped::Fault(engine) => {
+                StepResponse::Fault(engine) => {
                     let request = self.call.request.clone();
                     let attempt = self.call.attempt;
                     let message = "stage failed".to_owned();
-                    self.write(&Frame::Fault { request, attempt, engine, message }).await;
+                    self.write_frame(&Frame::Fault { request, attempt, engine, message }).await;
                     return;
                 }
             }
@@ -202,51 +204,52 @@
         Frame::Token { request, attempt, position, token, text: token_text(token), layers }
     }
 
-    /// Sends a token, as the faults in force have it; false once there is nobody to send to.
-    async fn emit(&self, frame: Frame, held: &mut Option<Frame>, lose: bool) -> bool {
+    /// Sends a token, subject to the active faults; false ends the response.
+    async fn emit(&self, frame: Frame, delayed: &mut Option<Frame>, lose_response: bool) -> bool {
         let faults = self.engine.faults.lock().clone();
         let sent = self.tokens.len() - prompt_tokens(&self.call.prompt).len();
         match frame {
-            _ if lose => true,
-            _ if faults.cut.is_some_and(|n| sent > n as usize) => false,
-            Frame::Token { attempt, position, token, text, layers, .. } if faults.cross => {
+            _ if lose_response => true,
+            _ if faults.truncate.is_some_and(|n| sent > n as usize) => false,
+            Frame::Token { attempt, position, token, text, layers, .. } if faults.wrong_request => {
                 let request = "another-request".to_owned();
-                let crossed = Frame::Token { request, attempt, position, token, text, layers };
-                self.write(&crossed).await
+                let wrong = Frame::Token { request, attempt, position, token, text, layers };
+                self.write_frame(&wrong).await
             }
-            frame if faults.reorder && held.is_none() => {
-                *held = Some(frame);
+            frame if faults.reorder && delayed.is_none() => {
+                *delayed = Some(frame);
                 true
             }
             frame => {
-                let first = self.write(&frame).await;
-                match held.take() {
-                    Some(late) => first && self.write(&late).await,
+                let first = self.write_frame(&frame).await;
+                match delayed.take() {
+                    Some(late) => first && self.write_frame(&late).await,
                     None => first,
                 }
             }
         }
     }
 
-    async fn end(&self, stopped: bool, lose: bool) {
+    async fn finish(&self, stopped: bool, lose_response: bool) {
         self.engine.finished.fetch_add(1, Relaxed);
         let count = (self.tokens.len() - prompt_tokens(&self.call.prompt).len()) as u32;
         let request = self.call.request.clone();
-        if !lose {
-            self.write(&Frame::End { request, attempt: self.call.attempt, count, stopped }).await;
+        if !lose_response {
+            self.write_frame(&Frame::End { request, attempt: self.call.attempt, count, stopped })
+                .await;
         }
     }
 
-    async fn write(&self, frame: &Frame) -> bool {
-        self.engine.thawed().await;
+    async fn write_frame(&self, frame: &Frame) -> bool {
+        self.engine.until_thawed().await;
         let mut line = serde_json::to_vec(frame).unwrap_or_default();
         line.push(b'\n');
         self.lines.send(Ok(line.into())).await.is_ok()
     }
 }
 
-/// A response that breaks off before its first byte of content.
-pub(crate) fn broken() -> Response<Body> {
+/// Response whose body fails before its first byte.
+pub(crate) fn broken_response() -> Response<Body> {
     let (lines, content) = body::channel(1);
     tokio::spawn(async move {
         let _ = lines.send(Err(BodyError::Truncated)).await;
@@ -254,14 +257,14 @@
     Response::new(content)
 }
 
-/// A JSON response.
-pub(crate) fn status(code: u16, value: &impl Serialize) -> Response<Body> {
+/// JSON response.
+pub(crate) fn json_response(code: u16, value: &impl Serialize) -> Response<Body> {
     let mut response = Response::new(body::json(value));
     *response.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
     response
 }
 
-/// JSON of a request, if it is what is expected.
+/// Parsed JSON body; `None` if it is invalid.
 pub(crate) fn parse<T: DeserializeOwned>(content: &[u8]) -> Option<T> {
     serde_json::from_slice(content).ok()
 }
--- a/crates/fakes/src/faults.rs
+++ b/crates/fakes/src/faults.rs
@@ -1,21 +1,21 @@
-//! Faults that a stand-in engine or service shows on request.
+//! Faults that can be injected into a fake engine or service.
 
 use serde::{Deserialize, Serialize};
 
-/// A fault of an engine or service.
+/// Fault of an engine or service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// End at once, as SIGKILL would.
+    /// Exit at once, as on SIGKILL.
     #[serde(rename = "die")]
     Exit,
-    /// Answer nothing more until thawed.
+    /// Stop answering until [`Fault::Thaw`].
     Freeze,
-    /// Go on after a freeze.
+    /// Resume after [`Fault::Freeze`].
     Thaw,
-    /// Compute this many times slower.
+    /// Multiply the compute time by this factor.
     Slow(f64),
-    /// End each answer after this many tokens without saying so.
+    /// Truncate each answer after this many tokens, without an error.
     #[serde(rename = "cut_short")]
     Truncate(u32),
     /// Swap two tokens of each answer.
@@ -23,52 +23,52 @@
     /// Put a frame of another request into each answer.
     #[serde(rename = "cross")]
     WrongRequest,
-    /// Refuse every new request with a statement of no start.
+    /// Refuse each new request, stating that it was not started.
     Refuse,
-    /// Close new connections for requests before any answer.
+    /// Close the connection of each new request before any response.
     Reset,
-    /// Run each request but lose its answer.
+    /// Run each request but drop its response.
     #[serde(rename = "lose_answer")]
     LoseResponse,
-    /// Forget cache events.
+    /// Clear the log of cache events.
     #[serde(rename = "lose_events")]
     ClearEvents,
-    /// Say that the engine will stop.
+    /// Report that the engine is draining.
     #[serde(rename = "leave")]
     Drain,
-    /// Show no fault any more.
+    /// Clear all faults.
     #[serde(rename = "heal")]
     Clear,
 }
 
-/// Faults in force.
+/// Active faults.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Faults {
     pub(crate) frozen: bool,
     pub(crate) slow: Option<f64>,
-    pub(crate) cut: Option<u32>,
+    pub(crate) truncate: Option<u32>,
     pub(crate) reorder: bool,
-    pub(crate) cross: bool,
+    pub(crate) wrong_request: bool,
     pub(crate) refuse: bool,
     pub(crate) reset: bool,
-    pub(crate) lose: bool,
-    pub(crate) leaving: bool,
+    pub(crate) lose_response: bool,
+    pub(crate) draining: bool,
 }
 
 impl Faults {
-    /// Puts a fault in force.
+    /// Activates a fault.
     pub(crate) fn set(&mut self, fault: Fault) {
         match fault {
             Fault::Freeze => self.frozen = true,
             Fault::Thaw => self.frozen = false,
             Fault::Slow(factor) => self.slow = Some(factor),
-            Fault::Truncate(n) => self.cut = Some(n),
+            Fault::Truncate(n) => self.truncate = Some(n),
             Fault::Reorder => self.reorder = true,
-            Fault::WrongRequest => self.cross = true,
+            Fault::WrongRequest => self.wrong_request = true,
             Fault::Refuse => self.refuse = true,
             Fault::Reset => self.reset = true,
-            Fault::LoseResponse => self.lose = true,
-            Fault::Drain => self.leaving = true,
+            Fault::LoseResponse => self.lose_response = true,
+            Fault::Drain => self.draining = true,
             Fault::Clear => *self = Self::default(),
             Fault::Exit | Fault::ClearEvents => {}
         }
--- a/crates/fakes/src/host.rs
+++ b/crates/fakes/src/host.rs
@@ -1,4 +1,4 @@
-//! A runtime that can be killed, with an HTTP listener on it.
+//! HTTP server on a runtime of its own that can be killed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::watch;
 
-/// Something that runs until it is killed or dropped.
+/// Server that runs until it is killed or dropped.
 #[derive(Debug)]
 pub(crate) struct Host {
     runtime: Mutex<Option<Runtime>>,
@@ -19,7 +19,7 @@
 }
 
 impl Host {
-    /// Starts a listener on `address` whose requests `make` handles.
+    /// Listens on `address` and passes requests to `handler`.
     pub(crate) fn spawn<H, F>(address: SocketAddr, handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -27,7 +27,7 @@
     {
         let runtime = Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
         let bound = {
-            let _inside = runtime.enter();
+            let _guard = runtime.enter();
             Listener::bind(address)
         };
         let listener = match bound {
@@ -43,12 +43,12 @@
         Ok(Self { runtime: Mutex::new(Some(runtime)), address, _stop: stop })
     }
 
-    /// Address bound.
+    /// Bound address.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ends everything at once, as SIGKILL would.
+    /// Stops the server at once, as on SIGKILL.
     pub(crate) fn kill(&self) {
         if let Some(runtime) = self.runtime.lock().take() {
             runtime.shutdown_background();
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what heathpitch speaks to: engines, plain services and the platform.
+//! Fakes of the systems that heathpitch talks to: engines, plain services and the platform.
 //!
-//! Small on purpose. Each runs on a runtime of its own, so that it can be killed like a process.
+//! Each fake runs on its own runtime, so that it can be killed like a process.
 
 mod caller;
 mod deployment;
@@ -11,7 +11,7 @@
 mod model;
 mod platform;
 mod platform_http;
-mod prefix;
+mod prefix_cache;
 mod samples;
 mod service;
 mod slots;
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: key-value service, leases, list of VMs.
+//! Fake platform: key-value store, leases and the list of VMs.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,18 +15,18 @@
 use crate::host::Host;
 use crate::platform_http;
 
-/// What a stand-in platform is like.
+/// Properties of a fake platform.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// `ip:port`; port 0 takes a free one.
+    /// Listen address; port 0 picks a free port.
     pub address: SocketAddr,
-    /// Writes a second before calls are turned away.
+    /// Allowed writes per second.
     pub write_rate: f64,
-    /// Reads a second before calls are turned away.
+    /// Allowed reads per second.
     pub read_rate: f64,
-    /// Time each call takes.
+    /// Duration of each call.
     pub call_delay: Duration,
-    /// Time by which the list of VMs lags.
+    /// Delay until a published list of VMs becomes visible.
     pub list_lag: Duration,
 }
 
@@ -42,49 +42,50 @@
     }
 }
 
-/// A fault of the platform.
+/// Fault of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformFault {
-    /// Answer every call with 503.
+    /// Answer each call with 503.
     #[serde(rename = "down")]
     Unavailable,
-    /// Take this many milliseconds longer for each call.
+    /// Delay each call by this many milliseconds more.
     Slow(Millis),
-    /// Carry out this many writes without answering.
+    /// Execute this many writes but drop their responses.
     #[serde(rename = "lose_writes")]
     LoseWriteResponses(u32),
-    /// Answer reads with what stood before the newest write.
+    /// Answer reads with the value before the latest write.
     #[serde(rename = "stale")]
     StaleReads(bool),
-    /// Show no fault any more.
+    /// Clear all faults.
     #[serde(rename = "heal")]
     Clear,
 }
 
-/// CallCounts counted.
+/// Number of calls received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
-    /// Reads, a waiting watch as one.
+    /// Reads; a long poll counts as one.
     pub reads: u64,
-    /// Writes and lease calls.
+    /// Writes, including lease calls.
     pub writes: u64,
-    /// CallCounts turned away for their rate.
+    /// Calls refused because of their rate.
     pub refused: u64,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub(crate) values: BTreeMap<String, Stored>,
-    pub(crate) before: BTreeMap<String, Option<Stored>>,
+    pub(crate) previous: BTreeMap<String, Option<Stored>>,
     pub(crate) revision: u64,
     leases: BTreeMap<String, (Lease, Instant)>,
-    lists: Vec<(Instant, VmList)>,
+    vm_lists: Vec<(Instant, VmList)>,
     pub(crate) calls: CallCounts,
-    pub(crate) down: bool,
-    pub(crate) slow: Millis,
-    pub(crate) lose: u32,
-    pub(crate) stale: bool,
+    pub(crate) unavailable: bool,
+    pub(crate) extra_delay: Millis,
+    /// Number of write responses still to drop.
+    pub(crate) lost_responses: u32,
+    pub(crate) stale_reads: bool,
 }
 
 #[derive(Debug)]
@@ -92,11 +93,12 @@
     pub(crate) config: PlatformConfig,
     pub(crate) state: Mutex<State>,
     pub(crate) changed: watch::Sender<u64>,
+    /// Rate limits of reads and of writes.
     pub(crate) rates: Mutex<(heathpitch_policy::Bucket, heathpitch_policy::Bucket)>,
     pub(crate) start: Instant,
 }
 
-/// A running stand-in platform.
+/// Running fake platform.
 #[derive(Debug)]
 pub struct FakePlatform {
     host: Host,
@@ -104,11 +106,11 @@
 }
 
 impl FakePlatform {
-    /// Starts a platform with nothing stored.
+    /// Starts a platform with an empty store.
     ///
     /// # Errors
     ///
-    /// What the system says if the address cannot be bound.
+    /// I/O error if the address cannot be bound.
     pub fn spawn(config: PlatformConfig) -> io::Result<Self> {
         let bucket = |rate: f64| heathpitch_policy::Bucket::new(rate, rate, 0);
         let platform = Arc::new(Platform {
@@ -125,7 +127,7 @@
         Ok(Self { host, platform })
     }
 
-    /// Address bound.
+    /// Bound address.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
@@ -135,22 +137,22 @@
         self.platform.publish_vms(vms);
     }
 
-    /// Shows a fault.
+    /// Injects a fault.
     pub fn inject(&self, fault: PlatformFault) {
         self.platform.inject(fault);
     }
 
-    /// CallCounts so far.
+    /// Number of calls so far.
     pub fn calls(&self) -> CallCounts {
         self.platform.state.lock().calls
     }
 
-    /// A stored value.
+    /// Stored value of a key.
     pub fn stored(&self, key: &str) -> Option<Stored> {
         self.platform.state.lock().values.get(key).cloned()
     }
 
-    /// Ends everything at once.
+    /// Stops the platform at once, as on SIGKILL.
     pub fn kill(&self) {
         self.host.kill();
     }
@@ -162,34 +164,34 @@
         let mut state = self.state.lock();
         state.revision += 1;
         let number = Revision(state.revision);
-        state.lists.push((Instant::now(), VmList { number, vms }));
+        state.vm_lists.push((Instant::now(), VmList { number, vms }));
     }
 
-    /// The list as it shows after its lag.
-    pub(crate) fn listed(&self) -> Option<VmList> {
+    /// Latest list that is visible after `list_lag`.
+    pub(crate) fn visible_vms(&self) -> Option<VmList> {
         let state = self.state.lock();
-        let old = |l: &&(Instant, VmList)| l.0.elapsed() >= self.config.list_lag;
-        state.lists.iter().rev().find(old).map(|l| l.1.clone())
+        let visible = |l: &&(Instant, VmList)| l.0.elapsed() >= self.config.list_lag;
+        state.vm_lists.iter().rev().find(visible).map(|l| l.1.clone())
     }
 
-    /// Puts a fault in force.
+    /// Activates a fault.
     pub(crate) fn inject(&self, fault: PlatformFault) {
         let mut state = self.state.lock();
         match fault {
-            PlatformFault::Unavailable => state.down = true,
-            PlatformFault::Slow(time) => state.slow = time,
-            PlatformFault::LoseWriteResponses(n) => state.lose = n,
-            PlatformFault::StaleReads(on) => state.stale = on,
+            PlatformFault::Unavailable => state.unavailable = true,
+            PlatformFault::Slow(time) => state.extra_delay = time,
+            PlatformFault::LoseWriteResponses(n) => state.lost_responses = n,
+            PlatformFault::StaleReads(on) => state.stale_reads = on,
             PlatformFault::Clear => {
-                state.down = false;
-                state.slow = 0;
-                state.lose = 0;
-                state.stale = false;
+                state.unavailable = false;
+                state.extra_delay = 0;
+                state.lost_responses = 0;
+                state.stale_reads = false;
             }
         }
     }
 
-    /// Compare-and-swap; the revision that stands if it did not match.
+    /// Compare-and-swap by revision; returns the current revision on a mismatch.
     pub(crate) fn put(
         &self,
         key: &str,
@@ -197,35 +199,36 @@
         value: String,
     ) -> Result<Revision, Revision> {
         let mut state = self.state.lock();
-        let stands = state.values.get(key).map_or(Revision(0), |s| s.revision);
-        if stands != expect {
-            return Err(stands);
+        let current = state.values.get(key).map_or(Revision(0), |s| s.revision);
+        if current != expect {
+            return Err(current);
         }
         state.revision += 1;
         let revision = Revision(state.revision);
-        let before = state.values.insert(key.to_owned(), Stored { revision, value });
-        state.before.insert(key.to_owned(), before);
+        let previous = state.values.insert(key.to_owned(), Stored { revision, value });
+        state.previous.insert(key.to_owned(), previous);
         self.changed.send_replace(revision.0);
         Ok(revision)
     }
 
-    /// Takes or renews a lease; true if the caller holds it now.
-    pub(crate) fn lease(&self, name: &str, holder: Name, ttl: Millis) -> (bool, Lease) {
+    /// Acquires or renews a lease; true if the caller now holds it.
+    pub(crate) fn acquire_lease(&self, name: &str, holder: Name, ttl: Millis) -> (bool, Lease) {
         let mut state = self.state.lock();
-        let until = Instant::now() + Duration::from_millis(ttl);
-        let left = |at: Instant| at.saturating_duration_since(Instant::now()).as_millis() as Millis;
+        let expiry = Instant::now() + Duration::from_millis(ttl);
+        let remaining =
+            |at: Instant| at.saturating_duration_since(Instant::now()).as_millis() as Millis;
         match state.leases.get(name).cloned() {
             Some((lease, end)) if lease.holder != holder && end > Instant::now() => {
-                (false, Lease { left: left(end), ..lease })
+                (false, Lease { left: remaining(end), ..lease })
             }
-            old => {
-                let epoch = match old {
+            existing => {
+                let epoch = match existing {
                     Some((lease, _)) if lease.holder == holder => lease.epoch,
                     Some((lease, _)) => Epoch(lease.epoch.0 + 1),
                     None => Epoch(1),
                 };
                 let lease = Lease { holder, epoch, left: ttl };
-                state.leases.insert(name.to_owned(), (lease.clone(), until));
+                state.leases.insert(name.to_owned(), (lease.clone(), expiry));
                 (true, lease)
             }
         }
--- a/crates/fakes/src/platform_http.rs
+++ b/crates/fakes/src/platform_http.rs
@@ -1,4 +1,4 @@
-//! HTTP face of the stand-in platform.
+//! HTTP interface of the fake platform.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,148 +11,147 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::engine_http::{broken, parse, status};
+use crate::engine_http::{broken_response, json_response, parse};
 use crate::platform::Platform;
 
-/// Largest value stored, bytes.
-const MAX_VALUE: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 #[derive(Deserialize)]
-struct Put {
+struct PutRequest {
     expect: Revision,
     value: String,
 }
 
 #[derive(Deserialize)]
-struct Take {
+struct LeaseRequest {
     holder: Name,
     ttl: Millis,
 }
 
-/// Answers one HTTP request.
+/// Handles one HTTP request.
 pub(crate) async fn handle(platform: Arc<Platform>, request: Request<Incoming>) -> Response<Body> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
-    let query = pairs(request.uri().query().unwrap_or_default());
-    let Ok(content) = body::read(request.into_body(), 4 * MAX_VALUE).await else {
-        return status(400, &json!({}));
+    let query = parse_query(request.uri().query().unwrap_or_default());
+    let Ok(content) = body::read(request.into_body(), 4 * MAX_VALUE_BYTES).await else {
+        return json_response(400, &json!({}));
     };
     match path.as_str() {
-        "/fault" => return with(parse(&content), |f| platform.inject(f)),
+        "/fault" => return apply(parse(&content), |f| platform.inject(f)),
         "/vms" if method == Method::PUT => {
-            return with(parse::<Vec<Vm>>(&content), |v| platform.publish_vms(v));
+            return apply(parse::<Vec<Vm>>(&content), |v| platform.publish_vms(v));
         }
-        "/calls" => return status(200, &platform.state.lock().calls),
+        "/calls" => return json_response(200, &platform.state.lock().calls),
         _ => {}
     }
-    if let Some(refused) = turned_away(&platform, method == Method::GET) {
-        return refused;
+    if let Some(refusal) = refuse(&platform, method == Method::GET) {
+        return refusal;
     }
-    let slow = Duration::from_millis(platform.state.lock().slow);
+    let slow = Duration::from_millis(platform.state.lock().extra_delay);
     tokio::time::sleep(platform.config.call_delay + slow).await;
     match (method, path.as_str()) {
         (Method::GET, "/vms") => vms(&platform, &query),
         (Method::GET, p) if p.starts_with("/kv/") => read(&platform, &p[4..], &query).await,
         (Method::PUT, p) if p.starts_with("/kv/") => match parse(&content) {
             Some(put) => write(&platform, &p[4..], put),
-            None => status(400, &json!({})),
+            None => json_response(400, &json!({})),
         },
-        (Method::POST, p) if p.starts_with("/leases/") => match parse::<Take>(&content) {
-            Some(take) => match platform.lease(&p[8..], take.holder, take.ttl) {
-                (true, lease) => status(200, &lease),
-                (false, lease) => status(409, &lease),
+        (Method::POST, p) if p.starts_with("/leases/") => match parse::<LeaseRequest>(&content) {
+            Some(lease) => match platform.acquire_lease(&p[8..], lease.holder, lease.ttl) {
+                (true, lease) => json_response(200, &lease),
+                (false, lease) => json_response(409, &lease),
             },
-            None => status(400, &json!({})),
+            None => json_response(400, &json!({})),
         },
-        _ => status(404, &json!({})),
+        _ => json_response(404, &json!({})),
     }
 }
 
-/// Counts the call; a response if the platform is down or the rate is used up.
-fn turned_away(platform: &Platform, reads: bool) -> Option<Response<Body>> {
+/// Counts the call; returns a response if the platform is unavailable or the rate exceeded.
+fn refuse(platform: &Platform, is_read: bool) -> Option<Response<Body>> {
     let now = platform.start.elapsed().as_millis() as Millis;
     let mut state = platform.state.lock();
     let mut rates = platform.rates.lock();
-    let (count, bucket) = match reads {
+    let (count, bucket) = match is_read {
         true => (&mut state.calls.reads, &mut rates.0),
         false => (&mut state.calls.writes, &mut rates.1),
     };
     *count += 1;
     match bucket.take(now) {
-        _ if state.down => Some(status(503, &json!({}))),
+        _ if state.unavailable => Some(json_response(503, &json!({}))),
         Err(_) => {
             state.calls.refused += 1;
-            Some(status(429, &json!({})))
+            Some(json_response(429, &json!({})))
         }
         Ok(()) => None,
     }
 }
 
 fn vms(platform: &Platform, query: &HashMap<String, String>) -> Response<Body> {
-    let after = number(query, "after");
-    match platform.listed() {
-        Some(list) if list.number.0 > after => status(200, &list),
-        _ => status(304, &json!({})),
+    let after = query_number(query, "after");
+    match platform.visible_vms() {
+        Some(list) if list.number.0 > after => json_response(200, &list),
+        _ => json_response(304, &json!({})),
     }
 }
 
 async fn read(platform: &Platform, key: &str, query: &HashMap<String, String>) -> Response<Body> {
-    let after = Revision(number(query, "after"));
-    let wait = Duration::from_millis(number(query, "wait").min(60_000));
+    let after = Revision(query_number(query, "after"));
+    let wait = Duration::from_millis(query_number(query, "wait").min(60_000));
     let mut changed = platform.changed.subscribe();
     let deadline = tokio::time::Instant::now() + wait;
     loop {
         changed.mark_unchanged();
-        match look(platform, key) {
-            Some(stored) if stored.revision > after => return status(200, &stored),
-            None if wait.is_zero() => return status(404, &json!({})),
+        match lookup(platform, key) {
+            Some(stored) if stored.revision > after => return json_response(200, &stored),
+            None if wait.is_zero() => return json_response(404, &json!({})),
             _ => {}
         }
         if tokio::time::timeout_at(deadline, changed.changed()).await.is_err() {
-            return status(304, &json!({}));
+            return json_response(304, &json!({}));
         }
     }
 }
 
-fn look(platform: &Platform, key: &str) -> Option<Stored> {
+fn lookup(platform: &Platform, key: &str) -> Option<Stored> {
     let state = platform.state.lock();
-    match state.before.get(key) {
-        Some(before) if state.stale => before.clone(),
+    match state.previous.get(key) {
+        Some(previous) if state.stale_reads => previous.clone(),
         _ => state.values.get(key).cloned(),
     }
 }
 
-fn write(platform: &Platform, key: &str, put: Put) -> Response<Body> {
-    if put.value.len() > MAX_VALUE {
-        return status(413, &json!({}));
+fn write(platform: &Platform, key: &str, put: PutRequest) -> Response<Body> {
+    if put.value.len() > MAX_VALUE_BYTES {
+        return json_response(413, &json!({}));
     }
     let written = platform.put(key, put.expect, put.value);
     let mut state = platform.state.lock();
-    if state.lose > 0 {
-        state.lose -= 1;
-        return broken();
+    if state.lost_responses > 0 {
+        state.lost_responses -= 1;
+        return broken_response();
     }
     match written {
-        Ok(revision) => status(200, &json!({ "revision": revision })),
-        Err(revision) => status(409, &json!({ "revision": revision })),
+        Ok(revision) => json_response(200, &json!({ "revision": revision })),
+        Err(revision) => json_response(409, &json!({ "revision": revision })),
     }
 }
 
-fn with<T>(value: Option<T>, then: impl FnOnce(T)) -> Response<Body> {
+fn apply<T>(value: Option<T>, action: impl FnOnce(T)) -> Response<Body> {
     match value {
         Some(value) => {
-            then(value);
-            status(200, &json!({}))
+            action(value);
+            json_response(200, &json!({}))
         }
-        None => status(400, &json!({})),
+        None => json_response(400, &json!({})),
     }
 }
 
-fn pairs(query: &str) -> HashMap<String, String> {
+fn parse_query(query: &str) -> HashMap<String, String> {
     let pair = |p: &str| p.split_once('=').map(|(k, v)| (k.to_owned(), v.to_owned()));
     query.split('&').filter_map(pair).collect()
 }
 
-fn number(query: &HashMap<String, String>, name: &str) -> u64 {
+fn query_number(query: &HashMap<String, String>, name: &str) -> u64 {
     query.get(name).and_then(|v| v.parse().ok()).unwrap_or(0)
 }
--- a/crates/fakes/src/samples.rs
+++ b/crates/fakes/src/samples.rs
@@ -3,11 +3,11 @@
 use heathpitch_core::{ConfigError, Document, parse_document};
 use serde_json::json;
 
-/// A document for two models, two accounts, a pool each of engines and services.
+/// Document with two models, three accounts, a pool of engines and a pool of services.
 ///
 /// # Errors
 ///
-/// [`ConfigError`] if the document does not hold its own rules.
+/// [`ConfigError`] if the document is invalid.
 pub fn sample_document(layers: u32) -> Result<Document, ConfigError> {
     let document = json!({
         "models": [
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service, whose calls may not all be repeated.
+//! Fake plain service, which counts how often each request is executed.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,14 +17,13 @@
 use tokio::sync::watch;
 
 use crate::engine::now_micros;
-use crate::engine_http::{broken, parse, status};
+use crate::engine_http::{broken_response, json_response, parse};
 use crate::faults::{Fault, Faults};
 use crate::host::Host;
 
-/// Largest request read, bytes.
-const MAX_BODY: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// A running stand-in service; it books what it is sent and counts each booking.
+/// Running fake service; counts its executions by request body.
 #[derive(Debug)]
 pub struct FakeService {
     host: Host,
@@ -34,27 +33,27 @@
 #[derive(Debug)]
 struct Service {
     name: Name,
-    life: Incarnation,
+    incarnation: Incarnation,
     serial: AtomicU64,
-    work: Duration,
-    booked: Mutex<HashMap<String, u32>>,
+    call_time: Duration,
+    executions: Mutex<HashMap<String, u32>>,
     faults: Mutex<Faults>,
     frozen: watch::Sender<bool>,
 }
 
 impl FakeService {
-    /// Starts a service whose calls take `work`.
+    /// Starts a service whose calls take `call_time`.
     ///
     /// # Errors
     ///
-    /// What the system says if the address cannot be bound.
-    pub fn spawn(name: Name, address: SocketAddr, work: Duration) -> io::Result<Self> {
+    /// I/O error if the address cannot be bound.
+    pub fn spawn(name: Name, address: SocketAddr, call_time: Duration) -> io::Result<Self> {
         let service = Arc::new(Service {
             name,
-            life: Incarnation(now_micros()),
+            incarnation: Incarnation(now_micros()),
             serial: AtomicU64::new(0),
-            work,
-            booked: Mutex::default(),
+            call_time,
+            executions: Mutex::default(),
             faults: Mutex::default(),
             frozen: watch::Sender::new(false),
         });
@@ -63,22 +62,22 @@
         Ok(Self { host, service })
     }
 
-    /// Address bound.
+    /// Bound address.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// Name.
+    /// Name of the service.
     pub fn name(&self) -> &Name {
         &self.service.name
     }
 
-    /// How often each body was booked.
+    /// Number of executions by request body.
     pub fn executions(&self) -> HashMap<String, u32> {
-        self.service.booked.lock().clone()
+        self.service.executions.lock().clone()
     }
 
-    /// Shows a fault.
+    /// Injects a fault.
     pub fn inject(&self, fault: Fault) {
         match fault {
             Fault::Exit => self.host.kill(),
@@ -100,20 +99,20 @@
     fn report(&self) -> EngineReport {
         EngineReport {
             engine: self.name.clone(),
-            life: self.life,
+            life: self.incarnation,
             serial: self.serial.fetch_add(1, Relaxed) + 1,
             model: None,
             version: self.name.clone(),
             layers: LayerRange::new(0, 0),
             epoch: Epoch(0),
             role: EngineRole::Both,
-            leaving: self.faults.lock().leaving,
+            leaving: self.faults.lock().draining,
             slots: 64,
             running: 0,
             queued: 0,
             prefill: 0.0,
             step: 0,
-            service: self.work.as_millis() as u64,
+            service: self.call_time.as_millis() as u64,
             memory: 0,
             layer: 0,
             link: 0,
@@ -123,44 +122,47 @@
 
 async fn handle(service: Arc<Service>, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
-    let Ok(content) = body::read(request.into_body(), MAX_BODY).await else {
-        return status(400, &json!({}));
+    let Ok(content) = body::read(request.into_body(), MAX_BODY_BYTES).await else {
+        return json_response(400, &json!({}));
     };
     if path != "/fault" {
         let _ = service.frozen.subscribe().wait_for(|f| !*f).await;
     }
     match path.as_str() {
-        "/v1/report" => status(200, &service.report()),
+        "/v1/report" => json_response(200, &service.report()),
         "/fault" => match parse(&content) {
             Some(fault) => {
                 service.inject(fault);
-                status(200, &json!({}))
+                json_response(200, &json!({}))
             }
-            None => status(400, &json!({})),
+            None => json_response(400, &json!({})),
         },
-        _ => book(&service, path, &content).await,
+        _ => execute(&service, path, &content).await,
     }
 }
 
-async fn book(service: &Service, path: String, content: &[u8]) -> Response<Body> {
+async fn execute(service: &Service, path: String, content: &[u8]) -> Response<Body> {
     let faults = service.faults.lock().clone();
     if faults.reset {
-        return broken();
+        return broken_response();
     }
-    if faults.refuse || faults.leaving {
-        let said = json!({ "started": false, "kind": "busy", "engine": service.name, "back": 200 });
-        return status(503, &said);
+    if faults.refuse || faults.draining {
+        let refusal =
+            json!({ "started": false, "kind": "busy", "engine": service.name, "back": 200 });
+        return json_response(503, &refusal);
     }
-    tokio::time::sleep(service.work).await;
+    tokio::time::sleep(service.call_time).await;
     let text = String::from_utf8_lossy(content).into_owned();
     let times = {
-        let mut booked = service.booked.lock();
-        let times = booked.entry(text).or_default();
+        let mut executions = service.executions.lock();
+        let times = executions.entry(text).or_default();
         *times += 1;
         *times
     };
-    match faults.lose {
-        true => broken(),
-        false => status(200, &json!({ "service": service.name, "path": path, "times": times })),
+    match faults.lose_response {
+        true => broken_response(),
+        false => {
+            json_response(200, &json!({ "service": service.name, "path": path, "times": times }))
+        }
     }
 }
