--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in model engine.
+//! Fake model engine.
 
 use std::collections::HashMap;
 use std::io;
@@ -16,47 +16,47 @@
 use crate::engine_http;
 use crate::faults::{Fault, Faults};
 use crate::host::Host;
-use crate::prefix::PrefixCache;
+use crate::prefix_cache::PrefixCache;
 use crate::slots::Slots;
 use crate::stage::Sequence;
 
-/// What a stand-in engine is and holds at first.
+/// Properties and initial state of a fake engine.
 #[derive(Clone, Debug)]
-pub struct EngineSetup {
-    /// Name.
+pub struct EngineConfig {
+    /// Name of the engine.
     pub name: Name,
-    /// `ip:port`; port 0 takes a free one.
+    /// Listen address; port 0 picks a free port.
     pub address: SocketAddr,
-    /// Model held at first.
+    /// Model loaded initially.
     pub model: Option<Name>,
     /// Version of the weights.
     pub version: Name,
-    /// Layers held at first.
+    /// Layers loaded initially.
     pub layers: LayerRange,
-    /// Requests batched at once.
+    /// Number of batch slots.
     pub slots: u32,
-    /// Requests waiting before more are refused.
-    pub queue: usize,
-    /// Prompt tokens prefilled per second.
-    pub prefill: f64,
-    /// Time of a decode step.
-    pub step: Duration,
-    /// Blocks of the prefix cache.
-    pub cache: usize,
-    /// Age of load reports.
-    pub lag: Duration,
-    /// Whether orders of an older epoch are refused.
+    /// Length of the queue; beyond it requests are refused.
+    pub queue_capacity: usize,
+    /// Prefill rate, prompt tokens per second.
+    pub prefill_rate: f64,
+    /// Duration of a decode step.
+    pub step_time: Duration,
+    /// Capacity of the prefix cache, blocks.
+    pub cache_blocks: usize,
+    /// Maximum age of load reports.
+    pub report_lag: Duration,
+    /// Whether orders of an older epoch are rejected.
     pub fenced: bool,
-    /// Megabytes a second at which weights are loaded.
-    pub weights: f64,
+    /// Rate at which weights are loaded, megabytes per second.
+    pub load_rate: f64,
     /// Memory for weights, megabytes.
-    pub memory: u64,
-    /// Time an activation takes to the next stage.
-    pub link: Duration,
+    pub memory_mb: u64,
+    /// Transfer time of activations to the next stage.
+    pub link_delay: Duration,
 }
 
-impl EngineSetup {
-    /// An engine that holds `layers` of `model` and computes fast.
+impl EngineConfig {
+    /// Fast engine with `layers` of `model` loaded.
     pub fn new(name: Name, model: Name, version: Name, layers: LayerRange) -> Self {
         Self {
             name,
@@ -65,31 +65,31 @@
             version,
             layers,
             slots: 32,
-            queue: 256,
-            prefill: 50_000.0,
-            step: Duration::from_millis(2),
-            cache: 4_096,
-            lag: Duration::from_millis(100),
+            queue_capacity: 256,
+            prefill_rate: 50_000.0,
+            step_time: Duration::from_millis(2),
+            cache_blocks: 4_096,
+            report_lag: Duration::from_millis(100),
             fenced: true,
-            weights: 20_000.0,
-            memory: 6_000,
-            link: Duration::ZERO,
+            load_rate: 20_000.0,
+            memory_mb: 6_000,
+            link_delay: Duration::ZERO,
         }
     }
 }
 
 type SharedSequence = Arc<tokio::sync::Mutex<Sequence>>;
 
-/// State of an engine that its requests share.
+/// State shared by the requests of an engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
-    pub(crate) setup: EngineSetup,
-    pub(crate) life: Incarnation,
-    pub(crate) held: Mutex<Held>,
+    pub(crate) config: EngineConfig,
+    pub(crate) incarnation: Incarnation,
+    pub(crate) state: Mutex<EngineState>,
     pub(crate) slots: Slots,
     pub(crate) cache: Mutex<PrefixCache>,
-    pub(crate) open: Mutex<HashMap<(String, Attempt), SharedSequence>>,
-    pub(crate) prefill: tokio::sync::Mutex<()>,
+    pub(crate) sequences: Mutex<HashMap<(String, Attempt), SharedSequence>>,
+    pub(crate) prefill_lock: tokio::sync::Mutex<()>,
     pub(crate) faults: Mutex<Faults>,
     pub(crate) frozen: watch::Sender<bool>,
     pub(crate) client: Client,
@@ -98,91 +98,90 @@
     report: Mutex<(Instant, EngineReport)>,
 }
 
-/// What an engine holds now.
+/// Current state of an engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct EngineState {
     pub(crate) model: Option<Name>,
     pub(crate) version: Name,
     pub(crate) layers: LayerRange,
     pub(crate) epoch: Epoch,
     pub(crate) role: EngineRole,
-    pub(crate) leaving: bool,
-    pub(crate) ready: Instant,
+    pub(crate) draining: bool,
+    pub(crate) ready_at: Instant,
 }
 
-/// A running stand-in engine.
+/// Running fake engine.
 #[derive(Debug)]
 pub struct FakeEngine {
     host: Host,
     engine: Arc<Engine>,
 }
 
-/// # Life
 impl FakeEngine {
     /// Starts an engine.
     ///
     /// # Errors
     ///
-    /// What the system says if the address cannot be bound.
-    pub fn spawn(setup: EngineSetup) -> io::Result<Self> {
-        let engine = Arc::new(Engine::new(setup));
+    /// I/O error if the address cannot be bound.
+    pub fn spawn(config: EngineConfig) -> io::Result<Self> {
+        let engine = Arc::new(Engine::new(config));
         let shared = engine.clone();
-        let host = Host::spawn(engine.setup.address, move |request| {
+        let host = Host::spawn(engine.config.address, move |request| {
             engine_http::handle(shared.clone(), request)
         })?;
         Ok(Self { host, engine })
     }
 
-    /// Address bound.
+    /// Bound address.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// Name.
+    /// Name of the engine.
     pub fn name(&self) -> &Name {
-        &self.engine.setup.name
+        &self.engine.config.name
     }
 
-    /// Shows a fault.
-    pub fn fault(&self, fault: Fault) {
+    /// Injects a fault.
+    pub fn inject(&self, fault: Fault) {
         match fault {
-            Fault::Die => self.host.kill(),
-            other => self.engine.fault(other),
+            Fault::Exit => self.host.kill(),
+            other => self.engine.inject(other),
         }
     }
 
-    /// Requests that ran as head: begun, and ended whole.
-    pub fn counts(&self) -> (u64, u64) {
+    /// Number of requests started and completed with this engine as the head.
+    pub fn request_counts(&self) -> (u64, u64) {
         (self.engine.started.load(Relaxed), self.engine.finished.load(Relaxed))
     }
 
-    /// Layers held now.
+    /// Layers loaded now.
     pub fn layers(&self) -> LayerRange {
-        self.engine.held.lock().layers
+        self.engine.state.lock().layers
     }
 }
 
 impl Engine {
-    fn new(setup: EngineSetup) -> Self {
-        let life = Incarnation(now_micros());
-        let held = Held {
-            model: setup.model.clone(),
-            version: setup.version.clone(),
-            layers: setup.layers,
+    fn new(config: EngineConfig) -> Self {
+        let incarnation = Incarnation(now_micros());
+        let state = EngineState {
+            model: config.model.clone(),
+            version: config.version.clone(),
+            layers: config.layers,
             epoch: Epoch(0),
             role: EngineRole::Both,
-            leaving: false,
-            ready: Instant::now(),
+            draining: false,
+            ready_at: Instant::now(),
         };
-        let report = report(&setup, life, &held, 0, 0, 0);
+        let report = report(&config, incarnation, &state, 0, 0, 0);
         Self {
-            slots: Slots::new(setup.slots, setup.queue),
-            cache: Mutex::new(PrefixCache::new(setup.cache)),
-            setup,
-            life,
-            held: Mutex::new(held),
-            open: Mutex::default(),
-            prefill: tokio::sync::Mutex::new(()),
+            slots: Slots::new(config.slots, config.queue_capacity),
+            cache: Mutex::new(PrefixCache::new(config.cache_blocks)),
+            config,
+            incarnation,
+            state: Mutex::new(state),
+            sequences: Mutex::default(),
+            prefill_lock: tokio::sync::Mutex::new(()),
             faults: Mutex::default(),
             frozen: watch::Sender::new(false),
             client: Client::new(),
@@ -192,12 +191,12 @@
         }
     }
 
-    /// Puts a fault in force.
-    pub(crate) fn fault(&self, fault: Fault) {
+    /// Activates a fault.
+    pub(crate) fn inject(&self, fault: Fault) {
         match fault {
-            Fault::LoseEvents => self.cache.lock().lose_events(),
-            Fault::Leave => self.held.lock().leaving = true,
-            Fault::Die => std::process::exit(137),
+            Fault::ClearEvents => self.cache.lock().clear_events(),
+            Fault::Drain => self.state.lock().draining = true,
+            Fault::Exit => std::process::exit(137),
             _ => {}
         }
         let mut faults = self.faults.lock();
@@ -206,79 +205,86 @@
     }
 
     /// Waits while the engine is frozen.
-    pub(crate) async fn thawed(&self) {
+    pub(crate) async fn until_thawed(&self) {
         let _ = self.frozen.subscribe().wait_for(|f| !*f).await;
     }
 
-    /// The report, as old as the engine's lag allows.
+    /// Load report, renewed once older than `report_lag` or when the drain state changes.
     pub(crate) fn report(&self) -> EngineReport {
         let mut last = self.report.lock();
-        let fresh = last.0.elapsed() < self.setup.lag;
-        let held = self.held.lock().clone();
-        if !fresh || held.leaving != last.1.leaving {
-            let running = self.open.lock().len() as u32;
+        let fresh = last.0.elapsed() < self.config.report_lag;
+        let state = self.state.lock().clone();
+        if !fresh || state.draining != last.1.leaving {
+            let running = self.sequences.lock().len() as u32;
             let serial = last.1.serial + 1;
-            let next = report(&self.setup, self.life, &held, serial, running, self.slots.queued());
+            let next = report(
+                &self.config,
+                self.incarnation,
+                &state,
+                serial,
+                running,
+                self.slots.queued(),
+            );
             *last = (Instant::now(), next);
         }
         last.1.clone()
     }
 
-    /// Takes an order, or says which epoch is newer.
+    /// Executes an order, or returns the newer epoch that fences it.
     pub(crate) fn order(&self, order: Order) -> Result<(), Epoch> {
-        let mut held = self.held.lock();
-        if self.setup.fenced && order.epoch < held.epoch {
-            return Err(held.epoch);
+        let mut state = self.state.lock();
+        if self.config.fenced && order.epoch < state.epoch {
+            return Err(state.epoch);
         }
-        held.epoch = held.epoch.max(order.epoch);
+        state.epoch = state.epoch.max(order.epoch);
         match order.kind {
             OrderKind::Load { model, version, layers, megabytes } => {
-                let time = Duration::from_secs_f64(megabytes as f64 / self.setup.weights);
-                held.ready = Instant::now() + time;
-                held.model = Some(model);
-                held.version = version;
-                held.layers = layers;
-                held.epoch = order.epoch;
+                let time = Duration::from_secs_f64(megabytes as f64 / self.config.load_rate);
+                state.ready_at = Instant::now() + time;
+                state.model = Some(model);
+                state.version = version;
+                state.layers = layers;
+                state.epoch = order.epoch;
             }
-            OrderKind::Role(role) => held.role = role,
-            OrderKind::Leave => held.leaving = true,
+            OrderKind::Role(role) => state.role = role,
+            OrderKind::Leave => state.draining = true,
         }
         Ok(())
     }
 }
 
 fn report(
-    setup: &EngineSetup,
-    life: Incarnation,
-    held: &Held,
+    config: &EngineConfig,
+    incarnation: Incarnation,
+    state: &EngineState,
     serial: u64,
     running: u32,
     queued: u32,
 ) -> EngineReport {
-    let loaded = Instant::now() >= held.ready;
+    let loaded = Instant::now() >= state.ready_at;
     EngineReport {
-        engine: setup.name.clone(),
-        life,
+        engine: config.name.clone(),
+        life: incarnation,
         serial,
-        model: held.model.clone().filter(|_| loaded),
-        version: held.version.clone(),
-        layers: held.layers,
-        epoch: held.epoch,
-        role: held.role,
-        leaving: held.leaving,
-        slots: setup.slots,
+        model: state.model.clone().filter(|_| loaded),
+        version: state.version.clone(),
+        layers: state.layers,
+        epoch: state.epoch,
+        role: state.role,
+        leaving: state.draining,
+        slots: config.slots,
         running,
         queued,
-        prefill: setup.prefill,
-        step: setup.step.as_micros() as u64,
-        service: (setup.step * 32).as_millis() as u64,
-        memory: setup.memory,
-        layer: (setup.step.as_micros() as u64) / u64::from(setup.layers.count().max(1)),
-        link: setup.link.as_micros() as u64,
+        prefill: config.prefill_rate,
+        step: config.step_time.as_micros() as u64,
+        service: (config.step_time * 32).as_millis() as u64,
+        memory: config.memory_mb,
+        layer: (config.step_time.as_micros() as u64) / u64::from(config.layers.count().max(1)),
+        link: config.link_delay.as_micros() as u64,
     }
 }
 
-/// Microseconds of the wall clock, so that a later life has a higher number.
+/// Microseconds of the wall clock, so that a later incarnation has a higher number.
 pub(crate) fn now_micros() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |d| d.as_micros() as u64)
--- a/crates/fakes/src/faults.rs
+++ b/crates/fakes/src/faults.rs
@@ -1,69 +1,76 @@
-//! Faults that a stand-in engine or service shows on request.
+//! Faults that can be injected into a fake engine or service.
 
 use serde::{Deserialize, Serialize};
 
-/// A fault of an engine or service.
+/// Fault of an engine or service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// End at once, as SIGKILL would.
-    Die,
-    /// Answer nothing more until thawed.
+    /// Exit at once, as on SIGKILL.
+    #[serde(rename = "die")]
+    Exit,
+    /// Stop answering until [`Fault::Thaw`].
     Freeze,
-    /// Go on after a freeze.
+    /// Resume after [`Fault::Freeze`].
     Thaw,
-    /// Compute this many times slower.
+    /// Multiply the compute time by this factor.
     Slow(f64),
-    /// End each answer after this many tokens without saying so.
-    CutShort(u32),
+    /// Truncate each answer after this many tokens, without an error.
+    #[serde(rename = "cut_short")]
+    Truncate(u32),
     /// Swap two tokens of each answer.
     Reorder,
     /// Put a frame of another request into each answer.
-    Cross,
-    /// Refuse every new request with a statement of no start.
+    #[serde(rename = "cross")]
+    WrongRequest,
+    /// Refuse each new request, stating that it was not started.
     Refuse,
-    /// Close new connections for requests before any answer.
+    /// Close the connection of each new request before any response.
     Reset,
-    /// Run each request but lose its answer.
-    LoseAnswer,
-    /// Forget cache events.
-    LoseEvents,
-    /// Say that the engine will stop.
-    Leave,
-    /// Show no fault any more.
-    Heal,
+    /// Run each request but drop its response.
+    #[serde(rename = "lose_answer")]
+    LoseResponse,
+    /// Clear the log of cache events.
+    #[serde(rename = "lose_events")]
+    ClearEvents,
+    /// Report that the engine is draining.
+    #[serde(rename = "leave")]
+    Drain,
+    /// Clear all faults.
+    #[serde(rename = "heal")]
+    Clear,
 }
 
-/// Faults in force.
+/// Active faults.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Faults {
     pub(crate) frozen: bool,
     pub(crate) slow: Option<f64>,
-    pub(crate) cut: Option<u32>,
+    pub(crate) truncate: Option<u32>,
     pub(crate) reorder: bool,
-    pub(crate) cross: bool,
+    pub(crate) wrong_request: bool,
     pub(crate) refuse: bool,
     pub(crate) reset: bool,
-    pub(crate) lose: bool,
-    pub(crate) leaving: bool,
+    pub(crate) lose_response: bool,
+    pub(crate) draining: bool,
 }
 
 impl Faults {
-    /// Puts a fault in force.
+    /// Activates a fault.
     pub(crate) fn set(&mut self, fault: Fault) {
         match fault {
             Fault::Freeze => self.frozen = true,
             Fault::Thaw => self.frozen = false,
             Fault::Slow(factor) => self.slow = Some(factor),
-            Fault::CutShort(n) => self.cut = Some(n),
+            Fault::Truncate(n) => self.truncate = Some(n),
             Fault::Reorder => self.reorder = true,
-            Fault::Cross => self.cross = true,
+            Fault::WrongRequest => self.wrong_request = true,
             Fault::Refuse => self.refuse = true,
             Fault::Reset => self.reset = true,
-            Fault::LoseAnswer => self.lose = true,
-            Fault::Leave => self.leaving = true,
-            Fault::Heal => *self = Self::default(),
-            Fault::Die | Fault::LoseEvents => {}
+            Fault::LoseResponse => self.lose_response = true,
+            Fault::Drain => self.draining = true,
+            Fault::Clear => *self = Self::default(),
+            Fault::Exit | Fault::ClearEvents => {}
         }
     }
 }
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: key-value service, leases, list of VMs.
+//! Fake platform: key-value store, leases and the list of VMs.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,84 +15,90 @@
 use crate::host::Host;
 use crate::platform_http;
 
-/// What a stand-in platform is like.
+/// Properties of a fake platform.
 #[derive(Clone, Debug)]
-pub struct PlatformSetup {
-    /// `ip:port`; port 0 takes a free one.
+pub struct PlatformConfig {
+    /// Listen address; port 0 picks a free port.
     pub address: SocketAddr,
-    /// Writes a second before calls are turned away.
-    pub writes: f64,
-    /// Reads a second before calls are turned away.
-    pub reads: f64,
-    /// Time each call takes.
-    pub delay: Duration,
-    /// Time by which the list of VMs lags.
-    pub lag: Duration,
+    /// Allowed writes per second.
+    pub write_rate: f64,
+    /// Allowed reads per second.
+    pub read_rate: f64,
+    /// Duration of each call.
+    pub call_delay: Duration,
+    /// Delay until a published list of VMs becomes visible.
+    pub list_lag: Duration,
 }
 
-impl Default for PlatformSetup {
+impl Default for PlatformConfig {
     fn default() -> Self {
         Self {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
-            writes: 100.0,
-            reads: 2_000.0,
-            delay: Duration::from_millis(2),
-            lag: Duration::from_millis(200),
+            write_rate: 100.0,
+            read_rate: 2_000.0,
+            call_delay: Duration::from_millis(2),
+            list_lag: Duration::from_millis(200),
         }
     }
 }
 
-/// A fault of the platform.
+/// Fault of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformFault {
-    /// Answer every call with 503.
-    Down,
-    /// Take this many milliseconds longer for each call.
+    /// Answer each call with 503.
+    #[serde(rename = "down")]
+    Unavailable,
+    /// Delay each call by this many milliseconds more.
     Slow(Millis),
-    /// Carry out this many writes without answering.
-    LoseWrites(u32),
-    /// Answer reads with what stood before the newest write.
-    Stale(bool),
-    /// Show no fault any more.
-    Heal,
+    /// Execute this many writes but drop their responses.
+    #[serde(rename = "lose_writes")]
+    LoseWriteResponses(u32),
+    /// Answer reads with the value before the latest write.
+    #[serde(rename = "stale")]
+    StaleReads(bool),
+    /// Clear all faults.
+    #[serde(rename = "heal")]
+    Clear,
 }
 
-/// Calls counted.
+/// Number of calls received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Calls {
-    /// Reads, a waiting watch as one.
+pub struct CallCounts {
+    /// Reads; a long poll counts as one.
     pub reads: u64,
-    /// Writes and lease calls.
+    /// Writes, including lease calls.
     pub writes: u64,
-    /// Calls turned away for their rate.
+    /// Calls refused because of their rate.
     pub refused: u64,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub(crate) values: BTreeMap<String, Stored>,
-    pub(crate) before: BTreeMap<String, Option<Stored>>,
+    pub(crate) previous: BTreeMap<String, Option<Stored>>,
     pub(crate) revision: u64,
     leases: BTreeMap<String, (Lease, Instant)>,
-    lists: Vec<(Instant, VmList)>,
-    pub(crate) calls: Calls,
-    pub(crate) down: bool,
-    pub(crate) slow: Millis,
-    pub(crate) lose: u32,
-    pub(crate) stale: bool,
+    vm_lists: Vec<(Instant, VmList)>,
+    pub(crate) calls: CallCounts,
+    pub(crate) unavailable: bool,
+    pub(crate) extra_delay: Millis,
+    /// Number of write responses still to drop.
+    pub(crate) lost_responses: u32,
+    pub(crate) stale_reads: bool,
 }
 
 #[derive(Debug)]
 pub(crate) struct Platform {
-    pub(crate) setup: PlatformSetup,
+    pub(crate) config: PlatformConfig,
     pub(crate) state: Mutex<State>,
     pub(crate) changed: watch::Sender<u64>,
+    /// Rate limits of reads and of writes.
     pub(crate) rates: Mutex<(heathpitch_policy::Bucket, heathpitch_policy::Bucket)>,
     pub(crate) start: Instant,
 }
 
-/// A running stand-in platform.
+/// Running fake platform.
 #[derive(Debug)]
 pub struct FakePlatform {
     host: Host,
@@ -100,53 +106,53 @@
 }
 
 impl FakePlatform {
-    /// Starts a platform with nothing stored.
+    /// Starts a platform with an empty store.
     ///
     /// # Errors
     ///
-    /// What the system says if the address cannot be bound.
-    pub fn spawn(setup: PlatformSetup) -> io::Result<Self> {
+    /// I/O error if the address cannot be bound.
+    pub fn spawn(config: PlatformConfig) -> io::Result<Self> {
         let bucket = |rate: f64| heathpitch_policy::Bucket::new(rate, rate, 0);
         let platform = Arc::new(Platform {
-            rates: Mutex::new((bucket(setup.reads), bucket(setup.writes))),
-            setup,
+            rates: Mutex::new((bucket(config.read_rate), bucket(config.write_rate))),
+            config,
             state: Mutex::default(),
             changed: watch::Sender::new(0),
             start: Instant::now(),
         });
         let shared = platform.clone();
-        let host = Host::spawn(platform.setup.address, move |request| {
+        let host = Host::spawn(platform.config.address, move |request| {
             platform_http::handle(shared.clone(), request)
         })?;
         Ok(Self { host, platform })
     }
 
-    /// Address bound.
+    /// Bound address.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
     /// Replaces the list of VMs.
-    pub fn list(&self, vms: Vec<Vm>) {
-        self.platform.list(vms);
+    pub fn publish_vms(&self, vms: Vec<Vm>) {
+        self.platform.publish_vms(vms);
     }
 
-    /// Shows a fault.
-    pub fn fault(&self, fault: PlatformFault) {
-        self.platform.fault(fault);
+    /// Injects a fault.
+    pub fn inject(&self, fault: PlatformFault) {
+        self.platform.inject(fault);
     }
 
-    /// Calls so far.
-    pub fn calls(&self) -> Calls {
+    /// Number of calls so far.
+    pub fn calls(&self) -> CallCounts {
         self.platform.state.lock().calls
     }
 
-    /// A stored value.
+    /// Stored value of a key.
     pub fn stored(&self, key: &str) -> Option<Stored> {
         self.platform.state.lock().values.get(key).cloned()
     }
 
-    /// Ends everything at once.
+    /// Stops the platform at once, as on SIGKILL.
     pub fn kill(&self) {
         self.host.kill();
     }
@@ -154,38 +160,38 @@
 
 impl Platform {
     /// Replaces the list of VMs.
-    pub(crate) fn list(&self, vms: Vec<Vm>) {
+    pub(crate) fn publish_vms(&self, vms: Vec<Vm>) {
         let mut state = self.state.lock();
         state.revision += 1;
         let number = Revision(state.revision);
-        state.lists.push((Instant::now(), VmList { number, vms }));
+        state.vm_lists.push((Instant::now(), VmList { number, vms }));
     }
 
-    /// The list as it shows after its lag.
-    pub(crate) fn listed(&self) -> Option<VmList> {
+    /// Latest list that is visible after `list_lag`.
+    pub(crate) fn visible_vms(&self) -> Option<VmList> {
         let state = self.state.lock();
-        let old = |l: &&(Instant, VmList)| l.0.elapsed() >= self.setup.lag;
-        state.lists.iter().rev().find(old).map(|l| l.1.clone())
+        let visible = |l: &&(Instant, VmList)| l.0.elapsed() >= self.config.list_lag;
+        state.vm_lists.iter().rev().find(visible).map(|l| l.1.clone())
     }
 
-    /// Puts a fault in force.
-    pub(crate) fn fault(&self, fault: PlatformFault) {
+    /// Activates a fault.
+    pub(crate) fn inject(&self, fault: PlatformFault) {
         let mut state = self.state.lock();
         match fault {
-            PlatformFault::Down => state.down = true,
-            PlatformFault::Slow(time) => state.slow = time,
-            PlatformFault::LoseWrites(n) => state.lose = n,
-            PlatformFault::Stale(on) => state.stale = on,
-            PlatformFault::Heal => {
-                state.down = false;
-                state.slow = 0;
-                state.lose = 0;
-                state.stale = false;
+            PlatformFault::Unavailable => state.unavailable = true,
+            PlatformFault::Slow(time) => state.extra_delay = time,
+            PlatformFault::LoseWriteResponses(n) => state.lost_responses = n,
+            PlatformFault::StaleReads(on) => state.stale_reads = on,
+            PlatformFault::Clear => {
+                state.unavailable = false;
+                state.extra_delay = 0;
+                state.lost_responses = 0;
+                state.stale_reads = false;
             }
         }
     }
 
-    /// Compare-and-swap; the revision that stands if it did not match.
+    /// Compare-and-swap by revision; returns the current revision on a mismatch.
     pub(crate) fn put(
         &self,
         key: &str,
@@ -193,35 +199,36 @@
         value: String,
     ) -> Result<Revision, Revision> {
         let mut state = self.state.lock();
-        let stands = state.values.get(key).map_or(Revision(0), |s| s.revision);
-        if stands != expect {
-            return Err(stands);
+        let current = state.values.get(key).map_or(Revision(0), |s| s.revision);
+        if current != expect {
+            return Err(current);
         }
         state.revision += 1;
         let revision = Revision(state.revision);
-        let before = state.values.insert(key.to_owned(), Stored { revision, value });
-        state.before.insert(key.to_owned(), before);
+        let previous = state.values.insert(key.to_owned(), Stored { revision, value });
+        state.previous.insert(key.to_owned(), previous);
         self.changed.send_replace(revision.0);
         Ok(revision)
     }
 
-    /// Takes or renews a lease; true if the caller holds it now.
-    pub(crate) fn lease(&self, name: &str, holder: Name, ttl: Millis) -> (bool, Lease) {
+    /// Acquires or renews a lease; true if the caller now holds it.
+    pub(crate) fn acquire_lease(&self, name: &str, holder: Name, ttl: Millis) -> (bool, Lease) {
         let mut state = self.state.lock();
-        let until = Instant::now() + Duration::from_millis(ttl);
-        let left = |at: Instant| at.saturating_duration_since(Instant::now()).as_millis() as Millis;
+        let expiry = Instant::now() + Duration::from_millis(ttl);
+        let remaining =
+            |at: Instant| at.saturating_duration_since(Instant::now()).as_millis() as Millis;
         match state.leases.get(name).cloned() {
             Some((lease, end)) if lease.holder != holder && end > Instant::now() => {
-                (false, Lease { left: left(end), ..lease })
+                (false, Lease { left: remaining(end), ..lease })
             }
-            old => {
-                let epoch = match old {
+            existing => {
+                let epoch = match existing {
                     Some((lease, _)) if lease.holder == holder => lease.epoch,
                     Some((lease, _)) => Epoch(lease.epoch.0 + 1),
                     None => Epoch(1),
                 };
                 let lease = Lease { holder, epoch, left: ttl };
-                state.leases.insert(name.to_owned(), (lease.clone(), until));
+                state.leases.insert(name.to_owned(), (lease.clone(), expiry));
                 (true, lease)
             }
         }
--- a/crates/heathpitch/tests/cli.rs
+++ b/crates/heathpitch/tests/cli.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use heathpitch_fakes::{FakePlatform, PlatformFault, PlatformSetup, sample};
+use heathpitch_fakes::{FakePlatform, PlatformConfig, PlatformFault, sample_document};
 use serde_json::Value;
 
 static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
@@ -20,7 +20,7 @@
 
 impl Setup {
     fn start() -> Self {
-        let platform = FakePlatform::spawn(PlatformSetup::default()).unwrap();
+        let platform = FakePlatform::spawn(PlatformConfig::default()).unwrap();
         let n = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("heathpitch-cli-{}-{n}", std::process::id()));
@@ -35,7 +35,7 @@
     }
 
     fn sample(&self) -> String {
-        self.file("sample.json", &serde_json::to_string(&sample(12).unwrap()).unwrap())
+        self.file("sample.json", &serde_json::to_string(&sample_document(12).unwrap()).unwrap())
     }
 
     fn run(&self, args: &[&str]) -> Output {
@@ -174,7 +174,7 @@
 fn a_write_whose_answer_is_lost_takes_effect_once() {
     let setup = Setup::start();
     setup.json(&["apply", &setup.sample()]);
-    setup.platform.fault(PlatformFault::LoseWrites(1));
+    setup.platform.inject(PlatformFault::LoseWriteResponses(1));
     let accepted = setup.json(&["label", "account", "adviser-1", "office=birmingham"]);
     assert_eq!(accepted["revision"], 2);
     assert_eq!(setup.json(&["get"])["revision"], 2);
@@ -182,7 +182,7 @@
 
 #[test]
 fn an_unreachable_platform_is_reported() {
-    let platform = FakePlatform::spawn(PlatformSetup::default()).unwrap();
+    let platform = FakePlatform::spawn(PlatformConfig::default()).unwrap();
     let address = platform.address().to_string();
     platform.kill();
     let output = command(&["--platform", &address, "get"]).output().unwrap();
@@ -195,7 +195,7 @@
     let setup = Setup::start();
     let sample = setup.sample();
     setup.json(&["apply", &sample]);
-    setup.platform.fault(PlatformFault::LoseWrites(100));
+    setup.platform.inject(PlatformFault::LoseWriteResponses(100));
     let output = setup.run(&["apply", "--overwrite", &sample]);
     // The first write took effect and is found by its change id.
     assert!(output.status.success(), "{}", stderr(&output));
