--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -258,7 +258,7 @@
     let loaded = Instant::now() >= held.ready;
     EngineReport {
         engine: setup.name.clone(),
-        life,
+        incarnation: life,
         serial,
         model: held.model.clone().filter(|_| loaded),
         version: held.version.clone(),
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -100,7 +100,7 @@
     fn report(&self) -> EngineReport {
         EngineReport {
             engine: self.name.clone(),
-            life: self.life,
+            incarnation: self.life,
             serial: self.serial.fetch_add(1, Relaxed) + 1,
             model: None,
             version: self.name.clone(),
--- a/crates/heathpitchd/src/control/health.rs
+++ b/crates/heathpitchd/src/control/health.rs
@@ -51,7 +51,7 @@
         Ok(_) | Err(_) => HealthEvent::PollFailed(vm.name.clone()),
     };
     let incarnation = match &event {
-        HealthEvent::Polled(report) if report.model.is_some() => Some(report.life),
+        HealthEvent::Polled(report) if report.model.is_some() => Some(report.incarnation),
         _ => None,
     };
     let now = control.now();
--- a/crates/heathpitchd/src/control/state.rs
+++ b/crates/heathpitchd/src/control/state.rs
@@ -61,7 +61,7 @@
         let settings = &shared.settings;
         let me = Member {
             node: settings.node.clone(),
-            life: shared.incarnation,
+            incarnation: shared.incarnation,
             beat: 0,
             domain: settings.domain.clone(),
             peer: addresses.peer,
--- a/crates/heathpitchd/src/filters/idempotency.rs
+++ b/crates/heathpitchd/src/filters/idempotency.rs
@@ -79,8 +79,8 @@
     body: u64,
     format: keyed_request::ReplayFormat,
 ) -> Result<KeyCheck, Refusal> {
-    if ticket.life != cx.traffic.shared.incarnation {
-        return forward_to_owner(cx, raw, &ticket.node, ticket.life).await;
+    if ticket.incarnation != cx.traffic.shared.incarnation {
+        return forward_to_owner(cx, raw, &ticket.node, ticket.incarnation).await;
     }
     match lookup(cx, key, body, &format).await? {
         KeyLookup::NotDispatched => Ok(run_here(cx, key)),
@@ -116,9 +116,9 @@
             reservation.discard();
             Err(key_used(outcome))
         }
-        ClaimDecision::Forward { node, life } => {
+        ClaimDecision::Forward { node, incarnation } => {
             reservation.discard();
-            forward_to_owner(cx, raw, &node, life).await
+            forward_to_owner(cx, raw, &node, incarnation).await
         }
         ClaimDecision::Unavailable => {
             let message = "the platform does not answer, so the key cannot be claimed";
--- a/crates/heathpitchd/src/filters/keyed_request.rs
+++ b/crates/heathpitchd/src/filters/keyed_request.rs
@@ -145,7 +145,7 @@
 /// Address of another node, if that incarnation of it is alive.
 pub(crate) fn owner_of(cx: &Context, node: &Name, incarnation: Incarnation) -> Option<Name> {
     let view = cx.traffic.shared.view.load();
-    let owner = view.members.iter().find(|m| m.node == *node && m.life == incarnation);
+    let owner = view.members.iter().find(|m| m.node == *node && m.incarnation == incarnation);
     owner.map(|m| m.caller.clone())
 }
 
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -124,8 +124,8 @@
         let (ends, upto) = self.quarantine.borrow().since(serial, MAX_EXITS, self.now());
         let exits = ends.into_iter().map(|(end, age_ms)| FeedExit {
             fingerprint: end.print,
-            engine: end.life.engine,
-            born: end.life.born,
+            engine: end.incarnation.engine,
+            born: end.incarnation.born,
             events: end.events,
             renewed: end.renewed,
             cleared: end.void,
@@ -141,7 +141,7 @@
             let life = EngineIncarnation { engine: exit.engine.clone(), born: exit.born };
             let end = End {
                 print: exit.fingerprint,
-                life: life.clone(),
+                incarnation: life.clone(),
                 events: exit.events,
                 renewed: exit.renewed,
                 void: exit.cleared,
@@ -308,7 +308,13 @@
     let engine = fields.next()?.parse().ok()?;
     let born = fields.next()?.parse().ok().filter(|born| *born > 0);
     let events = fields.next()?.parse().ok()?;
-    Some(End { print, life: EngineIncarnation { engine, born }, events, renewed: 0, void: false })
+    Some(End {
+        print,
+        incarnation: EngineIncarnation { engine, born },
+        events,
+        renewed: 0,
+        void: false,
+    })
 }
 
 /// Releases the request of an entry that was deleted by an operator or has expired.
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -82,7 +82,7 @@
     /// Limits learned after `serial`, and the serial of the last one returned.
     pub(super) fn limits_since(&self, serial: u64) -> (Vec<FeedLimit>, u64) {
         let (new, upto) = self.limits.borrow().since(serial, MAX_LIMITS, self.now());
-        let feed_limit = |LimitUpdate { life, rate, age }| FeedLimit {
+        let feed_limit = |LimitUpdate { incarnation: life, rate, age }| FeedLimit {
             engine: life.engine,
             born: life.born,
             rate,
--- a/crates/heathpitchd/src/traffic.rs
+++ b/crates/heathpitchd/src/traffic.rs
@@ -72,7 +72,7 @@
 fn issue_ticket(traffic: &Traffic) -> Value {
     let id = traffic.shared.new_request_id();
     let node = traffic.shared.settings.node.clone();
-    let ticket = Ticket { node, life: id.node, serial: id.serial }.to_string();
+    let ticket = Ticket { node, incarnation: id.node, serial: id.serial }.to_string();
     if let Ok(key) = ticket.parse() {
         traffic.idempotency.lock().add_unused(key);
     }
--- a/crates/net/src/peer_codec.rs
+++ b/crates/net/src/peer_codec.rs
@@ -63,7 +63,7 @@
 
 fn write_member(from: &Member, mut to: member::Builder<'_>) {
     to.set_node(from.node.as_str());
-    to.set_life(from.life.0);
+    to.set_life(from.incarnation.0);
     to.set_beat(from.beat);
     to.set_domain(from.domain.as_str());
     to.set_peer(from.peer.as_str());
@@ -77,7 +77,7 @@
 fn read_member(from: member::Reader<'_>) -> Result<Member> {
     Ok(Member {
         node: name(from.get_node()?)?,
-        life: Incarnation(from.get_life()),
+        incarnation: Incarnation(from.get_life()),
         beat: from.get_beat(),
         domain: name(from.get_domain()?)?,
         peer: name(from.get_peer()?)?,
@@ -91,7 +91,7 @@
 
 fn write_report(from: &EngineReport, mut to: report::Builder<'_>) {
     to.set_engine(from.engine.as_str());
-    to.set_life(from.life.0);
+    to.set_life(from.incarnation.0);
     to.set_serial(from.serial);
     to.set_model(from.model.as_ref().map_or("", Name::as_str));
     to.set_version(from.version.as_str());
@@ -119,7 +119,7 @@
     let model = from.get_model()?;
     Ok(EngineReport {
         engine: name(from.get_engine()?)?,
-        life: Incarnation(from.get_life()),
+        incarnation: Incarnation(from.get_life()),
         serial: from.get_serial(),
         model: if model.is_empty() { None } else { Some(name(model)?) },
         version: name(from.get_version()?)?,
--- a/crates/policy/src/claim_decision.rs
+++ b/crates/policy/src/claim_decision.rs
@@ -15,7 +15,7 @@
         /// Node of that incarnation.
         node: Name,
         /// The incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
     },
     /// It may have run; nothing more is known.
     MayHaveRun(Outcome),
@@ -29,7 +29,7 @@
 
 /// Decides on a request by the verdict on its claim.
 ///
-/// `idle` is whether this incarnation's idempotency table knows that the key was never dispatched; `life` is this
+/// `idle` is whether this incarnation's idempotency table knows that the key was never dispatched; `incarnation` is this
 /// incarnation, and `body` the digest of the request.
 ///
 /// # Examples
@@ -41,14 +41,25 @@
 /// let decision = decide_claim(Verdict::Granted, false, Incarnation(1), 7);
 /// assert_eq!(decision, ClaimDecision::Run);
 /// ```
-pub fn decide_claim(verdict: Verdict, idle: bool, life: Incarnation, body: u64) -> ClaimDecision {
+pub fn decide_claim(
+    verdict: Verdict,
+    idle: bool,
+    incarnation: Incarnation,
+    body: u64,
+) -> ClaimDecision {
     match verdict {
         Verdict::Granted => ClaimDecision::Run,
         Verdict::Taken(entry) if entry.body != body => ClaimDecision::Mismatch,
         // This incarnation claimed the key before and never dispatched it.
-        Verdict::Taken(entry) if entry.life == life && may_rerun(idle) => ClaimDecision::Run,
-        Verdict::Taken(entry) if entry.life == life => ClaimDecision::MayHaveRun(Outcome::Unknown),
-        Verdict::Taken(ClaimEntry { node, life, .. }) => ClaimDecision::Forward { node, life },
+        Verdict::Taken(entry) if entry.incarnation == incarnation && may_rerun(idle) => {
+            ClaimDecision::Run
+        }
+        Verdict::Taken(entry) if entry.incarnation == incarnation => {
+            ClaimDecision::MayHaveRun(Outcome::Unknown)
+        }
+        Verdict::Taken(ClaimEntry { node, incarnation, .. }) => {
+            ClaimDecision::Forward { node, incarnation }
+        }
         Verdict::Unavailable => ClaimDecision::Unavailable,
         Verdict::Full => ClaimDecision::Full,
     }
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -103,7 +103,7 @@
 #[derive(Debug)]
 pub struct Claims {
     node: Name,
-    life: Incarnation,
+    incarnation: Incarnation,
     slots: HashMap<u32, Slot>,
     count: usize,
 }
@@ -111,8 +111,8 @@
 /// # Construction
 impl Claims {
     /// Creates the claims of this node incarnation.
-    pub fn new(node: Name, life: Incarnation) -> Self {
-        Self { node, life, slots: HashMap::new(), count: 0 }
+    pub fn new(node: Name, incarnation: Incarnation) -> Self {
+        Self { node, incarnation, slots: HashMap::new(), count: 0 }
     }
 
     /// Number of claims that wait for the platform.
@@ -174,8 +174,8 @@
                 actions.push(ClaimAction::Answer(id, Verdict::Unavailable));
             }
             None => {
-                let (node, life) = (self.node.clone(), self.life);
-                let entry = ClaimEntry { node, life, nonce, at: wall, body };
+                let (node, incarnation) = (self.node.clone(), self.incarnation);
+                let entry = ClaimEntry { node, incarnation, nonce, at: wall, body };
                 slot.waiting.push_back(Waiting { id, digest, entry, since: now });
                 self.count += 1;
             }
--- a/crates/policy/src/claims_page.rs
+++ b/crates/policy/src/claims_page.rs
@@ -20,7 +20,7 @@
     pub node: Name,
     /// Incarnation of the node.
     #[serde(rename = "l")]
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Random number that identifies this claim.
     #[serde(rename = "o")]
     pub nonce: u64,
--- a/crates/policy/src/drain_notices.rs
+++ b/crates/policy/src/drain_notices.rs
@@ -36,13 +36,13 @@
 /// ```
 /// use heathpitch_policy::{EngineIncarnation, DrainNotices};
 ///
-/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let mut notices = DrainNotices::default();
-/// assert!(notices.learn(life.clone(), 0, 10));
-/// assert!(!notices.learn(life.clone(), 300, 20), "already known");
-/// assert!(notices.is_draining(&life));
+/// assert!(notices.learn(incarnation.clone(), 0, 10));
+/// assert!(!notices.learn(incarnation.clone(), 300, 20), "already known");
+/// assert!(notices.is_draining(&incarnation));
 /// let (new, serial) = notices.since(0, 16, 500);
-/// assert_eq!(new, [(life, 490)]);
+/// assert_eq!(new, [(incarnation, 490)]);
 /// assert!(notices.since(serial, 16, 500).0.is_empty());
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
@@ -55,22 +55,22 @@
 /// # Updates
 impl DrainNotices {
     /// Records a notice that an engine sent `age` ago; returns whether it is new.
-    pub fn learn(&mut self, life: EngineIncarnation, age: Millis, now: Millis) -> bool {
+    pub fn learn(&mut self, incarnation: EngineIncarnation, age: Millis, now: Millis) -> bool {
         let at = now.saturating_sub(age);
-        let known = self.known.get(&life);
+        let known = self.known.get(&incarnation);
         let outdated = known.is_some_and(|k| k.cancelled.is_some_and(|cancelled| at <= cancelled));
         if age >= NOTICE_TTL_MS || outdated || known.is_some_and(|k| k.cancelled.is_none()) {
             return false;
         }
         self.serial += 1;
-        self.known.insert(life, Notice { at, cancelled: None, serial: self.serial });
+        self.known.insert(incarnation, Notice { at, cancelled: None, serial: self.serial });
         notices::bound(&mut self.known, |k| k.at, MAX_NOTICES);
         true
     }
 
     /// Cancels the notice of an engine that was asked at `now` and did not repeat it.
-    pub fn cancel(&mut self, life: &EngineIncarnation, now: Millis) {
-        if let Some(known) = self.known.get_mut(life) {
+    pub fn cancel(&mut self, incarnation: &EngineIncarnation, now: Millis) {
+        if let Some(known) = self.known.get_mut(incarnation) {
             known.cancelled = Some(now);
         }
     }
@@ -84,14 +84,18 @@
 /// # Queries
 impl DrainNotices {
     /// Whether an engine drains, so that it gets no new work.
-    pub fn is_draining(&self, life: &EngineIncarnation) -> bool {
-        self.known.get(life).is_some_and(|k| k.cancelled.is_none())
+    pub fn is_draining(&self, incarnation: &EngineIncarnation) -> bool {
+        self.known.get(incarnation).is_some_and(|k| k.cancelled.is_none())
     }
 
     /// Engines to be asked whether they still drain, if they are still listed.
     pub fn due_for_recheck(&self, now: Millis) -> Vec<EngineIncarnation> {
         let old = |k: &Notice| k.cancelled.is_none() && now >= k.at + RECHECK_AFTER_MS;
-        self.known.iter().filter(|(_, k)| old(k)).map(|(life, _)| life.clone()).collect()
+        self.known
+            .iter()
+            .filter(|(_, k)| old(k))
+            .map(|(incarnation, _)| incarnation.clone())
+            .collect()
     }
 
     /// At most `most` notices recorded after `serial`, with their ages, and the serial to continue
@@ -104,6 +108,11 @@
     ) -> (Vec<(EngineIncarnation, Millis)>, u64) {
         let (new, upto) = notices::since(&self.known, |k| k.serial, serial, most, self.serial);
         let active = new.into_iter().filter(|(_, k)| k.cancelled.is_none());
-        (active.map(|(life, k)| (life.clone(), now.saturating_sub(k.at))).collect(), upto)
+        (
+            active
+                .map(|(incarnation, k)| (incarnation.clone(), now.saturating_sub(k.at)))
+                .collect(),
+            upto,
+        )
     }
 }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -22,7 +22,8 @@
     /// Name of the engine.
     pub engine: Name,
     /// Incarnation; grows with each start.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Sequence number of the report within the incarnation.
     pub serial: u64,
     /// Model held, if any.
@@ -61,6 +62,6 @@
 impl EngineReport {
     /// Whether this report is newer than `other` of the same engine.
     pub fn is_newer_than(&self, other: &EngineReport) -> bool {
-        (self.life, self.serial) > (other.life, other.serial)
+        (self.incarnation, self.serial) > (other.incarnation, other.serial)
     }
 }
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -41,9 +41,9 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord};
 ///
-/// let life = EngineIncarnation { engine: "i-1".parse()?, born: Some(17) };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: Some(17) };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
-/// let record = LimitRecord::of([(life, limit)]);
+/// let record = LimitRecord::of([(incarnation, limit)]);
 /// assert_eq!(record.text(), "i-1 17 3.6 calls\n");
 /// let (read, unreadable) = LimitRecord::read("i-1 17 3.6 calls\ni-2 nonsense\n");
 /// assert_eq!((read, unreadable), (record, 1));
@@ -72,23 +72,28 @@
     /// second, and which responses state the limit.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        for (life, LimitEntry { rate, in_probes }) in &self.limits {
+        for (incarnation, LimitEntry { rate, in_probes }) in &self.limits {
             let by = if *in_probes { IN_PROBES } else { NOT_IN_PROBES };
             // Writing to a string cannot fail.
-            let _ = writeln!(text, "{} {} {rate} {by}", life.engine, life.born.unwrap_or(0));
+            let _ = writeln!(
+                text,
+                "{} {} {rate} {by}",
+                incarnation.engine,
+                incarnation.born.unwrap_or(0)
+            );
         }
         text
     }
 
     /// Entries of the record.
     pub fn limits(&self) -> impl Iterator<Item = (&EngineIncarnation, LimitEntry)> {
-        self.limits.iter().map(|(life, limit)| (life, *limit))
+        self.limits.iter().map(|(incarnation, limit)| (incarnation, *limit))
     }
 
     /// Whether nodes that know only this record could exceed a limit of `current`.
     fn exceeds(&self, current: &Self) -> bool {
-        let exceeded = |(life, limit): (&EngineIncarnation, LimitEntry)| {
-            self.limits.get(life).is_none_or(|l| l.rate > limit.rate)
+        let exceeded = |(incarnation, limit): (&EngineIncarnation, LimitEntry)| {
+            self.limits.get(incarnation).is_none_or(|l| l.rate > limit.rate)
         };
         current.limits().any(exceeded)
     }
@@ -116,9 +121,9 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord, LimitRecorder};
 ///
-/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
-/// let named = LimitRecord::of([(life, limit)]);
+/// let named = LimitRecord::of([(incarnation, limit)]);
 /// let mut recorder = LimitRecorder::default();
 /// assert!(!recorder.is_due(&LimitRecord::default(), 0), "nothing to store");
 /// assert!(recorder.is_due(&named, 0));
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitUpdate {
     /// Engine.
-    pub life: EngineIncarnation,
+    pub incarnation: EngineIncarnation,
     /// Limit; `None` if lifted.
     pub rate: Option<Rate>,
     /// Age of this state, milliseconds.
@@ -41,11 +41,11 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, Limits};
 ///
-/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let rate = Some(Rate::from_thousandths(3_600));
 /// let mut limits = Limits::default();
-/// assert!(limits.learn(life.clone(), rate, 100));
-/// assert!(!limits.learn(life.clone(), None, 90), "older");
+/// assert!(limits.learn(incarnation.clone(), rate, 100));
+/// assert!(!limits.learn(incarnation.clone(), None, 90), "older");
 /// let (updates, serial) = limits.since(0, 16, 500);
 /// assert_eq!((updates[0].rate, updates[0].age), (rate, 400));
 /// assert!(limits.since(serial, 16, 500).0.is_empty());
@@ -61,14 +61,19 @@
 
 impl Limits {
     /// Applies an update observed at `at`; returns whether it changes the known state.
-    pub fn learn(&mut self, life: EngineIncarnation, rate: Option<Rate>, at: Millis) -> bool {
-        let known = self.known.get(&life);
+    pub fn learn(
+        &mut self,
+        incarnation: EngineIncarnation,
+        rate: Option<Rate>,
+        at: Millis,
+    ) -> bool {
+        let known = self.known.get(&incarnation);
         let same = known.map_or(rate.is_none(), |k| k.rate == rate);
         if same || known.is_some_and(|k| at < k.at) {
             return false;
         }
         self.serial += 1;
-        self.known.insert(life, Known { rate, at, serial: self.serial });
+        self.known.insert(incarnation, Known { rate, at, serial: self.serial });
         notices::bound(&mut self.known, |k| k.at, MAX_LIMITS);
         true
     }
@@ -76,40 +81,48 @@
     /// Applies the limit of an engine from a stored record; returns whether the engine was unknown.
     ///
     /// The age of the record is unknown, so it counts as older than any update that nodes still announce.
-    pub fn restore(&mut self, life: EngineIncarnation, limit: LimitEntry, now: Millis) -> bool {
+    pub fn restore(
+        &mut self,
+        incarnation: EngineIncarnation,
+        limit: LimitEntry,
+        now: Millis,
+    ) -> bool {
         if limit.in_probes {
-            self.in_probes.insert(life.clone());
+            self.in_probes.insert(incarnation.clone());
         }
-        let unknown = !self.known.contains_key(&life);
-        unknown && self.learn(life, Some(limit.rate), now.saturating_sub(LIFTED_TTL_MS).max(1))
+        let unknown = !self.known.contains_key(&incarnation);
+        unknown
+            && self.learn(incarnation, Some(limit.rate), now.saturating_sub(LIFTED_TTL_MS).max(1))
     }
 
     /// Whether probe responses of an engine state its limit, according to a stored record.
-    pub fn is_in_probes(&self, life: &EngineIncarnation) -> bool {
-        self.in_probes.contains(life)
+    pub fn is_in_probes(&self, incarnation: &EngineIncarnation) -> bool {
+        self.in_probes.contains(incarnation)
     }
 
     /// Limit of an engine and the time it was observed, if there is one.
-    pub fn of(&self, life: &EngineIncarnation) -> Option<(Rate, Millis)> {
-        self.known.get(life).and_then(|k| Some((k.rate?, k.at)))
+    pub fn of(&self, incarnation: &EngineIncarnation) -> Option<(Rate, Millis)> {
+        self.known.get(incarnation).and_then(|k| Some((k.rate?, k.at)))
     }
 
     /// Engines with a limit in force.
     pub fn named(&self) -> impl Iterator<Item = (EngineIncarnation, Rate)> {
-        self.known.iter().filter_map(|(life, k)| Some((life.clone(), k.rate?)))
+        self.known.iter().filter_map(|(incarnation, k)| Some((incarnation.clone(), k.rate?)))
     }
 
     /// Removes engines that `keep` rejects, and lifted limits whose announcement has expired.
     pub fn retain(&mut self, keep: impl Fn(&EngineIncarnation) -> bool, now: Millis) {
-        self.known.retain(|life, k| keep(life) && (k.rate.is_some() || now < k.at + LIFTED_TTL_MS));
-        self.in_probes.retain(|life| self.known.contains_key(life));
+        self.known.retain(|incarnation, k| {
+            keep(incarnation) && (k.rate.is_some() || now < k.at + LIFTED_TTL_MS)
+        });
+        self.in_probes.retain(|incarnation| self.known.contains_key(incarnation));
     }
 
     /// At most `most` updates after `serial`, and the serial up to which they are complete.
     pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<LimitUpdate>, u64) {
         let (new, upto) = notices::since(&self.known, |k| k.serial, serial, most, self.serial);
-        let told = |(life, k): (&EngineIncarnation, &Known)| LimitUpdate {
-            life: life.clone(),
+        let told = |(incarnation, k): (&EngineIncarnation, &Known)| LimitUpdate {
+            incarnation: incarnation.clone(),
             rate: k.rate,
             age: now.saturating_sub(k.at),
         };
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -32,7 +32,7 @@
     /// Name of the node.
     pub node: Name,
     /// Incarnation of the node.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Heartbeat count of that incarnation.
     pub beat: u64,
     /// Failure domain.
@@ -54,7 +54,7 @@
 impl Member {
     /// Incarnations are ordered by the wall clock at start, so a restart supersedes earlier ones.
     fn newer(&self, other: &Member) -> bool {
-        (self.life, self.beat) > (other.life, other.beat)
+        (self.incarnation, self.beat) > (other.incarnation, other.beat)
     }
 }
 
@@ -94,9 +94,9 @@
     }
 
     /// The live member with this name and incarnation.
-    pub fn find(&self, node: &str, life: Incarnation, now: Millis) -> Option<&Member> {
+    pub fn find(&self, node: &str, incarnation: Incarnation, now: Millis) -> Option<&Member> {
         let heard = self.known.get(node).filter(|h| self.is_alive(h, now))?;
-        (heard.member.life == life).then_some(&heard.member)
+        (heard.member.incarnation == incarnation).then_some(&heard.member)
     }
 
     /// Number of live nodes in this failure domain, including this one.
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug)]
 struct CachedBlocks {
-    life: Incarnation,
+    incarnation: Incarnation,
     serial: u64,
     blocks: HashSet<u64>,
 }
@@ -40,13 +40,13 @@
 ///
 /// let engine = "e".parse()?;
 /// let mut index = PrefixIndex::new();
-/// let life = Incarnation(1);
-/// index.events(&engine, life, &[BlockEvent { serial: 1, block: 7, added: true }]);
+/// let incarnation = Incarnation(1);
+/// index.events(&engine, incarnation, &[BlockEvent { serial: 1, block: 7, added: true }]);
 /// assert_eq!(index.hit("e", &[7, 8]), 1);
 /// // Event 2 was lost: the engine's entries are discarded until its content is read again.
-/// index.events(&engine, life, &[BlockEvent { serial: 3, block: 8, added: true }]);
+/// index.events(&engine, incarnation, &[BlockEvent { serial: 3, block: 8, added: true }]);
 /// assert_eq!(index.hit("e", &[7, 8]), 0);
-/// assert_eq!(index.position("e", life), 0);
+/// assert_eq!(index.position("e", incarnation), 0);
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -62,17 +62,19 @@
     }
 
     /// Applies events; skips those already seen, and discards the engine's entries on a gap.
-    pub fn events(&mut self, engine: &Name, life: Incarnation, events: &[BlockEvent]) {
+    pub fn events(&mut self, engine: &Name, incarnation: Incarnation, events: &[BlockEvent]) {
         if events.is_empty() {
             return;
         }
-        let held =
-            self.engines.entry(engine.clone()).or_insert_with(|| CachedBlocks::new(life).into());
+        let held = self
+            .engines
+            .entry(engine.clone())
+            .or_insert_with(|| CachedBlocks::new(incarnation).into());
         let held = Arc::make_mut(held);
-        if life > held.life {
-            *held = CachedBlocks::new(life);
+        if incarnation > held.incarnation {
+            *held = CachedBlocks::new(incarnation);
         }
-        if life < held.life {
+        if incarnation < held.incarnation {
             return;
         }
         for event in events {
@@ -80,7 +82,7 @@
                 s if s <= held.serial => {}
                 s if s == held.serial + 1 => held.apply(event),
                 _ => {
-                    *held = CachedBlocks::new(life);
+                    *held = CachedBlocks::new(incarnation);
                     return;
                 }
             }
@@ -88,13 +90,19 @@
     }
 
     /// Replaces an engine's entries with its whole content as of event `serial`.
-    pub fn replace(&mut self, engine: &Name, life: Incarnation, serial: u64, blocks: &[u64]) {
+    pub fn replace(
+        &mut self,
+        engine: &Name,
+        incarnation: Incarnation,
+        serial: u64,
+        blocks: &[u64],
+    ) {
         let known = self.engines.get(engine);
-        if known.is_some_and(|h| (h.life, h.serial) > (life, serial)) {
+        if known.is_some_and(|h| (h.incarnation, h.serial) > (incarnation, serial)) {
             return;
         }
         let blocks = blocks.iter().copied().take(MAX_BLOCKS).collect();
-        self.engines.insert(engine.clone(), CachedBlocks { life, serial, blocks }.into());
+        self.engines.insert(engine.clone(), CachedBlocks { incarnation, serial, blocks }.into());
     }
 
     /// Removes engines that `keep` rejects.
@@ -106,8 +114,8 @@
 /// # Reading
 impl PrefixIndex {
     /// Sequence number of the newest event applied for this incarnation; 0 requests the whole content.
-    pub fn position(&self, engine: &str, life: Incarnation) -> u64 {
-        self.engines.get(engine).filter(|h| h.life == life).map_or(0, |h| h.serial)
+    pub fn position(&self, engine: &str, incarnation: Incarnation) -> u64 {
+        self.engines.get(engine).filter(|h| h.incarnation == incarnation).map_or(0, |h| h.serial)
     }
 
     /// Number of leading blocks of the chain that the engine is known to hold.
@@ -128,8 +136,8 @@
 }
 
 impl CachedBlocks {
-    fn new(life: Incarnation) -> Self {
-        Self { life, serial: 0, blocks: HashSet::new() }
+    fn new(incarnation: Incarnation) -> Self {
+        Self { incarnation, serial: 0, blocks: HashSet::new() }
     }
 
     fn apply(&mut self, event: &BlockEvent) {
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -57,7 +57,7 @@
     /// The request.
     pub print: RequestFingerprint,
     /// The engine.
-    pub life: EngineIncarnation,
+    pub incarnation: EngineIncarnation,
     /// Events that the engine had delivered for the request.
     pub events: u32,
     /// How often the request came again late in its quarantine, which extends it.
@@ -93,13 +93,13 @@
 ///
 /// let mut quarantine = Quarantine::default();
 /// let (fatal, moved) = (RequestFingerprint(1), RequestFingerprint(2));
-/// let life = |engine: &str| EngineIncarnation { engine: engine.parse().unwrap(), born: None };
+/// let incarnation = |engine: &str| EngineIncarnation { engine: engine.parse().unwrap(), born: None };
 /// for engine in ["e1", "e2", "e3", "e4"] {
-///     quarantine.record_end(fatal, life(engine), 0, 10);
+///     quarantine.record_end(fatal, incarnation(engine), 0, 10);
 /// }
 /// // This one was rerouted along with the fatal one.
 /// for engine in ["e1", "e2", "e3"] {
-///     quarantine.record_end(moved, life(engine), 0, 10);
+///     quarantine.record_end(moved, incarnation(engine), 0, 10);
 /// }
 /// quarantine.decide();
 /// assert!(quarantine.holds(fatal));
@@ -119,11 +119,11 @@
     pub fn record_end(
         &mut self,
         print: RequestFingerprint,
-        life: EngineIncarnation,
+        incarnation: EngineIncarnation,
         events: u32,
         now: Millis,
     ) -> bool {
-        let end = End { print, life, events, renewed: 0, void: false };
+        let end = End { print, incarnation, events, renewed: 0, void: false };
         self.learn(end, 0, now)
     }
 
@@ -136,11 +136,11 @@
         }
         let at = now.saturating_sub(age);
         let serial = self.serial + 1;
-        let End { print, life, events, renewed, void } = end;
+        let End { print, incarnation, events, renewed, void } = end;
         let update = EndState { events, renewed, void, at, serial };
-        let new = match self.ends.get_mut(&(print, life.clone())) {
+        let new = match self.ends.get_mut(&(print, incarnation.clone())) {
             None => {
-                self.ends.insert((print, life), update);
+                self.ends.insert((print, incarnation), update);
                 true
             }
             Some(known) => known.join(update),
@@ -159,8 +159,8 @@
     }
 
     /// Voids the ends of an engine that has answered since; returns whether there were any.
-    pub fn engine_alive(&mut self, life: &EngineIncarnation) -> bool {
-        self.make_void(|(_, l)| l == life)
+    pub fn engine_alive(&mut self, incarnation: &EngineIncarnation) -> bool {
+        self.make_void(|(_, l)| l == incarnation)
     }
 
     /// Extends the quarantine of a request that came again, once half of its time is over; returns
@@ -288,10 +288,10 @@
     /// Requests under which enough engines terminated.
     fn suspects(&self) -> Vec<Suspect<'_>> {
         let mut suspects: BTreeMap<RequestFingerprint, Suspect<'_>> = BTreeMap::new();
-        for ((print, life), known) in self.ends.iter().filter(|(_, k)| k.counts()) {
+        for ((print, incarnation), known) in self.ends.iter().filter(|(_, k)| k.counts()) {
             let fresh = || Suspect { print: *print, incarnations: BTreeSet::new(), events: 0 };
             let suspect = suspects.entry(*print).or_insert_with(fresh);
-            suspect.incarnations.insert(life);
+            suspect.incarnations.insert(incarnation);
             suspect.events += known.events;
         }
         suspects.into_values().filter(|s| s.incarnations.len() >= MIN_ENGINES).collect()
@@ -317,7 +317,7 @@
         now: Millis,
     ) -> impl Iterator<Item = (&EngineIncarnation, u32, Millis)> {
         let of = self.ends.iter().filter(move |((p, _), k)| *p == print && k.counts());
-        of.map(move |((_, life), k)| (life, k.events, now.saturating_sub(k.at)))
+        of.map(move |((_, incarnation), k)| (incarnation, k.events, now.saturating_sub(k.at)))
     }
 
     /// Number of ends that count against each request.
@@ -332,7 +332,7 @@
     /// Engine incarnations known to have terminated.
     pub fn ended_engines(&self) -> HashSet<EngineIncarnation> {
         let ends = self.ends.iter().filter(|(_, k)| !k.void);
-        ends.map(|((_, life), _)| life.clone()).collect()
+        ends.map(|((_, incarnation), _)| incarnation.clone()).collect()
     }
 
     /// Remaining quarantine of a request if it does not come again.
@@ -363,11 +363,12 @@
         let mut new: Vec<_> = self.ends.iter().filter(|(_, k)| k.serial > serial).collect();
         new.sort_by_key(|(_, k)| k.serial);
         let last = new.get(most.saturating_sub(1)).map_or(self.serial, |(_, k)| k.serial);
-        let ends = new.iter().take_while(|(_, k)| k.serial <= last).map(|((print, life), k)| {
-            let (print, life, events) = (*print, life.clone(), k.events);
-            let end = End { print, life, events, renewed: k.renewed, void: k.void };
-            (end, now.saturating_sub(k.at))
-        });
+        let ends =
+            new.iter().take_while(|(_, k)| k.serial <= last).map(|((print, incarnation), k)| {
+                let (print, incarnation, events) = (*print, incarnation.clone(), k.events);
+                let end = End { print, incarnation, events, renewed: k.renewed, void: k.void };
+                (end, now.saturating_sub(k.at))
+            });
         (ends.collect(), last)
     }
 }
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -67,13 +67,13 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, Rights};
 ///
-/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: None };
 /// let limit = Rate::from_thousandths(4_000);
 /// let (a, b) = ("n1".parse()?, "n2".parse()?);
 /// let mut rights = Rights::default();
-/// assert_eq!(rights.issue(&life, limit, &a, 1, 0.0, 0).given, 0, "nearly empty at first");
-/// assert_eq!(rights.issue(&life, limit, &a, 1, 0.0, 250).given, 1);
-/// let none = rights.issue(&life, limit, &b, 1, 0.0, 260);
+/// assert_eq!(rights.issue(&incarnation, limit, &a, 1, 0.0, 0).given, 0, "nearly empty at first");
+/// assert_eq!(rights.issue(&incarnation, limit, &a, 1, 0.0, 250).given, 1);
+/// let none = rights.issue(&incarnation, limit, &b, 1, 0.0, 260);
 /// assert_eq!((none.given, none.wait), (0, 140));
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
--- a/crates/policy/src/ticket.rs
+++ b/crates/policy/src/ticket.rs
@@ -19,7 +19,7 @@
 /// use heathpitch_core::Incarnation;
 /// use heathpitch_policy::Ticket;
 ///
-/// let ticket = Ticket { node: "n1".parse()?, life: Incarnation(255), serial: 3 };
+/// let ticket = Ticket { node: "n1".parse()?, incarnation: Incarnation(255), serial: 3 };
 /// assert_eq!(ticket.to_string(), "hpt.n1.ff.3");
 /// assert_eq!("hpt.n1.ff.3".parse::<Ticket>()?, ticket);
 /// # Ok::<(), Box<dyn std::error::Error>>(())
@@ -29,7 +29,7 @@
     /// Node that minted it.
     pub node: Name,
     /// Incarnation of the node.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Serial number within that incarnation.
     pub serial: u64,
 }
@@ -52,11 +52,11 @@
         let rest = s.strip_prefix(PREFIX).and_then(|r| r.strip_prefix('.'));
         let mut parts = rest.ok_or(TicketError::Foreign)?.rsplitn(3, '.');
         let serial = parts.next().and_then(|p| u64::from_str_radix(p, 16).ok());
-        let life = parts.next().and_then(|p| u64::from_str_radix(p, 16).ok());
+        let incarnation = parts.next().and_then(|p| u64::from_str_radix(p, 16).ok());
         let node = parts.next().and_then(|p| p.parse().ok());
-        match (node, life, serial) {
-            (Some(node), Some(life), Some(serial)) => {
-                Ok(Self { node, life: Incarnation(life), serial })
+        match (node, incarnation, serial) {
+            (Some(node), Some(incarnation), Some(serial)) => {
+                Ok(Self { node, incarnation: Incarnation(incarnation), serial })
             }
             _ => Err(TicketError::Malformed),
         }
@@ -65,6 +65,6 @@
 
 impl fmt::Display for Ticket {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{PREFIX}.{}.{:x}.{:x}", self.node, self.life.0, self.serial)
+        write!(f, "{PREFIX}.{}.{:x}.{:x}", self.node, self.incarnation.0, self.serial)
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -31,7 +31,7 @@
 pub(crate) fn report(engine: &str, first: u32, end: u32) -> EngineReport {
     EngineReport {
         engine: name(engine),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         serial: 1,
         model: Some(name("m")),
         version: name("v1"),
--- a/crates/policy/tests/engine_limit.rs
+++ b/crates/policy/tests/engine_limit.rs
@@ -68,11 +68,12 @@
     assert!(limit.learn(Some(rate(1.0)), 450));
     assert!(!limit.learn(Some(rate(9.0)), 440), "older");
     assert!(limit.learn(None, 600));
-    let life = EngineIncarnation { engine: name("i-1"), born: Some(5) };
+    let incarnation = EngineIncarnation { engine: name("i-1"), born: Some(5) };
     let mut limits = Limits::default();
-    assert!(!limits.learn(life.clone(), None, 10), "nothing to lift");
+    assert!(!limits.learn(incarnation.clone(), None, 10), "nothing to lift");
     assert!(
-        limits.learn(life.clone(), Some(rate(1.0)), 20) && limits.learn(life.clone(), None, 30)
+        limits.learn(incarnation.clone(), Some(rate(1.0)), 20)
+            && limits.learn(incarnation.clone(), None, 30)
     );
     assert_eq!(limits.since(0, 8, 40).0[0].rate, None, "its lifting is announced");
     limits.retain(|_| true, 20_000);
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -73,7 +73,7 @@
     leaving.serial = 9;
     health.on(HealthEvent::Polled(leaving.clone()), 10);
     let mut again = report("e", 0, 4);
-    again.life.0 = 2;
+    again.incarnation.0 = 2;
     health.on(HealthEvent::Polled(again), 20);
     assert_eq!(health.status("e", 20), Some(HealthStatus::Up));
     health.on(HealthEvent::Relayed(leaving), 30);
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -100,7 +100,7 @@
     signals: Vec<Arc<Backpressure>>,
     equal: Vec<Bucket>,
     rights: Rights,
-    life: EngineIncarnation,
+    incarnation: EngineIncarnation,
     /// The planner's limits, its write schedule, and the stored record.
     limits: Limits,
     recorder: LimitRecorder,
@@ -131,7 +131,7 @@
             signals: (0..load.nodes).map(|_| Arc::default()).collect(),
             equal: (0..load.nodes).map(bucket).collect(),
             rights: Rights::default(),
-            life: EngineIncarnation { engine: name("i-1"), born: None },
+            incarnation: EngineIncarnation { engine: name("i-1"), born: None },
             limits: Limits::default(),
             recorder: LimitRecorder::default(),
             record: String::new(),
@@ -193,7 +193,7 @@
             self.signals.iter().for_each(|backpressure| {
                 backpressure.limit().learn(rate, now);
             });
-            self.limits.learn(self.life.clone(), rate, now);
+            self.limits.learn(self.incarnation.clone(), rate, now);
         }
         if now.is_multiple_of(RECORD_INTERVAL_MS) {
             self.write_record(now);
@@ -210,7 +210,9 @@
     /// Writes the planner's record to the store if that is due.
     fn write_record(&mut self, now: u64) {
         let record = LimitRecord::of(
-            self.limits.named().map(|(life, rate)| (life, LimitEntry { rate, in_probes: false })),
+            self.limits
+                .named()
+                .map(|(incarnation, rate)| (incarnation, LimitEntry { rate, in_probes: false })),
         );
         if self.recorder.is_due(&record, now) {
             self.record = record.text();
@@ -222,11 +224,11 @@
     fn read_record(&mut self, now: u64) {
         let (record, _) = LimitRecord::read(&self.record);
         self.limits = Limits::default();
-        for (life, limit) in record.limits() {
-            assert!(self.limits.restore(life.clone(), limit, now));
+        for (incarnation, limit) in record.limits() {
+            assert!(self.limits.restore(incarnation.clone(), limit, now));
         }
         self.recorder.stored(record, now);
-        let Some((rate, at)) = self.limits.of(&self.life) else { return };
+        let Some((rate, at)) = self.limits.of(&self.incarnation) else { return };
         for backpressure in &self.signals {
             backpressure.limit().learn(Some(rate), at);
         }
@@ -303,7 +305,8 @@
         }
         self.outcome.right_requests += 1.0;
         let wanted = limit.wanted(now);
-        let grant = self.rights.issue(&self.life, rate, &self.names[node], wanted, draw, now);
+        let grant =
+            self.rights.issue(&self.incarnation, rate, &self.names[node], wanted, draw, now);
         if grant.given == 0 {
             limit.pause_until(now + grant.wait);
         }
--- a/crates/policy/tests/members.rs
+++ b/crates/policy/tests/members.rs
@@ -17,7 +17,7 @@
 fn member(i: usize, domain: &str) -> Member {
     Member {
         node: name(&format!("n{i}")),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         beat: 0,
         domain: name(domain),
         peer: name(&format!("p{i}")),
@@ -78,7 +78,7 @@
 #[test]
 fn a_restarted_node_replaces_its_earlier_incarnation() {
     let mut m = Members::new(member(0, "d"), PERIOD_MS);
-    m.merge(vec![Member { life: Incarnation(2), ..member(1, "d") }], 1);
+    m.merge(vec![Member { incarnation: Incarnation(2), ..member(1, "d") }], 1);
     m.merge(vec![Member { beat: 99, ..member(1, "d") }], 2);
     assert!(m.find("n1", Incarnation(2), 2).is_some());
     assert!(m.find("n1", Incarnation(1), 2).is_none());
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -11,14 +11,14 @@
 const FATAL: RequestFingerprint = RequestFingerprint(7);
 const OTHER: RequestFingerprint = RequestFingerprint(8);
 
-fn life(engine: u32) -> EngineIncarnation {
+fn incarnation(engine: u32) -> EngineIncarnation {
     EngineIncarnation { engine: format!("e{engine}").parse().unwrap(), born: None }
 }
 
 fn after(ends: &[(RequestFingerprint, u32, u32)]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (print, engine, events) in ends {
-        quarantine.record_end(*print, life(*engine), *events, 0);
+        quarantine.record_end(*print, incarnation(*engine), *events, 0);
     }
     quarantine.decide();
     quarantine
@@ -50,7 +50,7 @@
 fn two_requests_with_the_same_ends_are_told_apart_by_the_next_end() {
     let mut quarantine = after(&[1, 2, 3].map(|e| [(FATAL, e, 2), (OTHER, e, 0)]).concat());
     assert_eq!(quarantine.held().count(), 0);
-    quarantine.record_end(FATAL, life(4), 2, 0);
+    quarantine.record_end(FATAL, incarnation(4), 2, 0);
     assert_eq!(quarantine.decide(), (vec![FATAL], vec![]));
 }
 
@@ -59,7 +59,7 @@
     let mut quarantine = after(&[1, 2, 3, 4].map(|e| [(FATAL, e, 0), (OTHER, e, 3)]).concat());
     assert_eq!(quarantine.held().collect::<Vec<_>>(), [FATAL]);
     // If that was wrong, the other request goes on to crash an engine alone.
-    quarantine.record_end(OTHER, life(5), 3, 0);
+    quarantine.record_end(OTHER, incarnation(5), 3, 0);
     assert_eq!(quarantine.decide().0, [OTHER]);
 }
 
@@ -83,9 +83,9 @@
     assert!(answered.clear_request(FATAL));
     assert_eq!(answered.decide().1, [FATAL]);
     let mut alive = after(&ends);
-    assert!(alive.engine_alive(&life(2)));
+    assert!(alive.engine_alive(&incarnation(2)));
     assert_eq!(alive.decide().1, [FATAL]);
-    assert!(!alive.engine_alive(&life(2)));
+    assert!(!alive.engine_alive(&incarnation(2)));
 }
 
 #[test]
@@ -107,7 +107,7 @@
 #[test]
 fn ends_of_a_request_expire_together() {
     let mut here = after(&[1, 2].map(|e| (FATAL, e, 0)));
-    here.record_end(FATAL, life(3), 0, 500_000);
+    here.record_end(FATAL, incarnation(3), 0, 500_000);
     here.decide();
     here.expire(900_000);
     here.decide();
@@ -130,7 +130,7 @@
 #[test]
 fn ends_passed_back_and_forth_do_not_stay_young() {
     let [mut here, mut there] = [Quarantine::default(), Quarantine::default()];
-    here.record_end(FATAL, life(1), 0, 0);
+    here.record_end(FATAL, incarnation(1), 0, 0);
     for now in (0..590_000).step_by(1_000) {
         for (end, age) in here.since(0, 100, now).0 {
             there.learn(end, age, now + 1);
@@ -142,7 +142,7 @@
     assert!(there.evidence(FATAL, 590_000).next().unwrap().2 >= 589_990);
     there.expire(600_010);
     assert_eq!(there.evidence(FATAL, 600_010).count(), 0);
-    let end = End { print: FATAL, life: life(1), events: 0, renewed: 0, void: false };
+    let end = End { print: FATAL, incarnation: incarnation(1), events: 0, renewed: 0, void: false };
     there.learn(end.clone(), 600_000, 600_010);
     there.expire(600_010);
     assert_eq!(there.evidence(FATAL, 600_010).count(), 0);
@@ -153,7 +153,7 @@
 fn memory_is_bounded_and_quarantined_requests_are_evicted_last() {
     let mut quarantine = after(&[1, 2, 3].map(|e| (FATAL, e, 0)));
     for flood in 100..10_100 {
-        quarantine.record_end(RequestFingerprint(flood), life(flood as u32), 0, flood);
+        quarantine.record_end(RequestFingerprint(flood), incarnation(flood as u32), 0, flood);
     }
     assert!(quarantine.since(0, usize::MAX, 20_000).0.len() <= 2_048);
     quarantine.decide();
@@ -164,7 +164,7 @@
 fn changes_are_sent_in_batches() {
     let mut quarantine = Quarantine::default();
     (0..10).for_each(|e| {
-        quarantine.record_end(FATAL, life(e), 0, 0);
+        quarantine.record_end(FATAL, incarnation(e), 0, 0);
     });
     let (first, serial) = quarantine.since(0, 4, 0);
     let (rest, end) = quarantine.since(serial, 100, 0);
@@ -204,9 +204,9 @@
             now += 10_000;
             let node = &mut nodes[usize::from(second)];
             match step {
-                Step::Ended(p, e, n) => { node.record_end(RequestFingerprint(p), life(e), n, now); }
+                Step::Ended(p, e, n) => { node.record_end(RequestFingerprint(p), incarnation(e), n, now); }
                 Step::Answered(p) => { node.clear_request(RequestFingerprint(p)); }
-                Step::EngineAlive(e) => { node.engine_alive(&life(e)); }
+                Step::EngineAlive(e) => { node.engine_alive(&incarnation(e)); }
                 Step::CameAgain(p) => { node.renew(RequestFingerprint(p), now);
     }
             }
@@ -260,7 +260,7 @@
     let mut quarantine = Quarantine::default();
     let mut running: Vec<Vec<Run>> = vec![Vec::new(); engines];
     let mut up_at: Vec<Millis> = vec![0; engines];
-    let mut lives: Vec<u32> = (0..engines as u32).collect();
+    let mut incarnations: Vec<u32> = (0..engines as u32).collect();
     let mut pending: Vec<(Millis, Run)> = Vec::new();
     let (mut next, mut outcome, mut known) = (100, Outcome::default(), 0);
     for now in (0..60_000).step_by(STEP_MS as usize) {
@@ -296,7 +296,12 @@
             up_at[engine] = now + 3_000;
             for run in std::mem::take(&mut running[engine]) {
                 let events = (now - run.started) / 50;
-                quarantine.record_end(run.print, life(lives[engine]), events as u32, now);
+                quarantine.record_end(
+                    run.print,
+                    incarnation(incarnations[engine]),
+                    events as u32,
+                    now,
+                );
                 match run {
                     Run { sends: 1, .. } => pending.push((now + 10, run)),
                     Run { tries: 1.., .. } => {
@@ -305,7 +310,7 @@
                     _ => {}
                 }
             }
-            lives[engine] += engines as u32;
+            incarnations[engine] += engines as u32;
             quarantine.decide();
         }
     }
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -80,7 +80,7 @@
 fn report(i: usize, model: &Name, layers: LayerRange) -> EngineReport {
     EngineReport {
         engine: name(&format!("engine-{i}")),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         serial: 1,
         model: Some(model.clone()),
         version: name("v1"),
@@ -195,7 +195,7 @@
 fn member(i: usize) -> Member {
     Member {
         node: name(&format!("node-{i}")),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         beat: 1,
         domain: name(&format!("d{}", i % 6)),
         peer: name("10.0.0.1:7000"),
@@ -322,7 +322,13 @@
         let mut page = ClaimPage::default();
         for i in 0..claims as u64 {
             let (node, life) = (name("node-1"), Incarnation(u64::MAX / 3));
-            let entry = ClaimEntry { node, life, nonce: i * 7, at: 1_700_000_000_000, body: i };
+            let entry = ClaimEntry {
+                node,
+                incarnation: life,
+                nonce: i * 7,
+                at: 1_700_000_000_000,
+                body: i,
+            };
             page.entries.insert(digest(&[&i.to_le_bytes()]), entry);
         }
         let text = serde_json::to_string(&page).unwrap_or_default();
--- a/crates/proof/src/members.rs
+++ b/crates/proof/src/members.rs
@@ -55,7 +55,7 @@
 fn node(i: usize, life: u64) -> Node {
     let me = Member {
         node: name(i),
-        life: Incarnation(life),
+        incarnation: Incarnation(life),
         beat: 0,
         domain: domain(i),
         peer: name(i),
--- a/crates/proof/src/upstreams.rs
+++ b/crates/proof/src/upstreams.rs
@@ -110,7 +110,7 @@
     }
 
     fn hear(&mut self, at: usize, report: &EngineReport, tally: &mut Tally) {
-        let word = (report.life.0, report.serial, report.leaving);
+        let word = (report.incarnation.0, report.serial, report.leaving);
         let heard = &mut self.engines[at].heard;
         match heard {
             Some(old) if (old.0, old.1) >= (word.0, word.1) => tally.fault("older report"),
@@ -155,7 +155,7 @@
 fn report(i: usize, engine: &Engine) -> EngineReport {
     EngineReport {
         engine: name(i),
-        life: Incarnation(engine.life),
+        incarnation: Incarnation(engine.life),
         serial: engine.serial,
         model: Some(name(98)),
         version: name(97),
