--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -123,12 +123,12 @@
     pub(super) fn exits_since(&self, serial: u64) -> (Vec<FeedExit>, u64) {
         let (ends, upto) = self.quarantine.borrow().since(serial, MAX_EXITS, self.now());
         let exits = ends.into_iter().map(|(end, age_ms)| FeedExit {
-            fingerprint: end.print,
+            fingerprint: end.fingerprint,
             engine: end.incarnation.engine,
             born: end.incarnation.born,
             events: end.events,
             renewed: end.renewed,
-            cleared: end.void,
+            cleared: end.cleared,
             age_ms,
         });
         (exits.collect(), upto)
@@ -140,11 +140,11 @@
         for exit in exits {
             let life = EngineIncarnation { engine: exit.engine.clone(), born: exit.born };
             let end = End {
-                print: exit.fingerprint,
+                fingerprint: exit.fingerprint,
                 incarnation: life.clone(),
                 events: exit.events,
                 renewed: exit.renewed,
-                void: exit.cleared,
+                cleared: exit.cleared,
             };
             let now = self.now();
             let age = now.saturating_sub(sent) + exit.age_ms;
@@ -309,11 +309,11 @@
     let born = fields.next()?.parse().ok().filter(|born| *born > 0);
     let events = fields.next()?.parse().ok()?;
     Some(End {
-        print,
+        fingerprint: print,
         incarnation: EngineIncarnation { engine, born },
         events,
         renewed: 0,
-        void: false,
+        cleared: false,
     })
 }
 
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -7,7 +7,7 @@
 //! explain the terminations ([`Quarantine::verdict`]), so that requests which were rerouted from
 //! engine to engine along with the faulty one are not quarantined with it.
 //!
-//! The state of an end changes in one direction only: it may be renewed, or become void. So nodes
+//! The state of an end changes in one direction only: it may be renewed, or cleared. So nodes
 //! agree whether updates arrive out of order, twice or late.
 
 use std::cmp::{Ordering, Reverse};
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
     /// The request.
-    pub print: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// The engine.
     pub incarnation: EngineIncarnation,
     /// Events that the engine had delivered for the request.
@@ -63,12 +63,12 @@
     /// How often the request came again late in its quarantine, which extends it.
     pub renewed: u32,
     /// Whether it no longer counts: the request was answered, or the engine is alive.
-    pub void: bool,
+    pub cleared: bool,
 }
 
 /// A request under which enough engines terminated.
 struct Suspect<'a> {
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     incarnations: BTreeSet<&'a EngineIncarnation>,
     /// Events delivered, summed over these engines.
     events: u32,
@@ -78,7 +78,7 @@
 struct EndState {
     events: u32,
     renewed: u32,
-    void: bool,
+    cleared: bool,
     at: Millis,
     serial: u64,
 }
@@ -118,12 +118,12 @@
     /// whether that is new. It counts only against a request that had just started there.
     pub fn record_end(
         &mut self,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         incarnation: EngineIncarnation,
         events: u32,
         now: Millis,
     ) -> bool {
-        let end = End { print, incarnation, events, renewed: 0, void: false };
+        let end = End { fingerprint, incarnation, events, renewed: 0, cleared: false };
         self.learn(end, 0, now)
     }
 
@@ -136,11 +136,11 @@
         }
         let at = now.saturating_sub(age);
         let serial = self.serial + 1;
-        let End { print, incarnation, events, renewed, void } = end;
-        let update = EndState { events, renewed, void, at, serial };
-        let new = match self.ends.get_mut(&(print, incarnation.clone())) {
+        let End { fingerprint, incarnation, events, renewed, cleared } = end;
+        let update = EndState { events, renewed, cleared, at, serial };
+        let new = match self.ends.get_mut(&(fingerprint, incarnation.clone())) {
             None => {
-                self.ends.insert((print, incarnation), update);
+                self.ends.insert((fingerprint, incarnation), update);
                 true
             }
             Some(known) => known.join(update),
@@ -152,24 +152,26 @@
         new
     }
 
-    /// Voids the ends of a request that was answered completely, so that it crashed no engine;
+    /// Clears the ends of a request that was answered completely, so that it crashed no engine;
     /// returns whether there were any.
-    pub fn clear_request(&mut self, print: RequestFingerprint) -> bool {
-        self.make_void(|(p, _)| *p == print)
+    pub fn clear_request(&mut self, fingerprint: RequestFingerprint) -> bool {
+        self.clear(|(p, _)| *p == fingerprint)
     }
 
-    /// Voids the ends of an engine that has answered since; returns whether there were any.
+    /// Clears the ends of an engine that has answered since; returns whether there were any.
     pub fn engine_alive(&mut self, incarnation: &EngineIncarnation) -> bool {
-        self.make_void(|(_, l)| l == incarnation)
+        self.clear(|(_, l)| l == incarnation)
     }
 
     /// Extends the quarantine of a request that came again, once half of its time is over; returns
     /// whether it did.
-    pub fn renew(&mut self, print: RequestFingerprint, now: Millis) -> bool {
-        let due = Self::is_renewal_due(self.remaining(print, now));
+    pub fn renew(&mut self, fingerprint: RequestFingerprint, now: Millis) -> bool {
+        let due = Self::is_renewal_due(self.remaining(fingerprint, now));
         if due {
             self.serial += 1;
-            for (_, known) in self.ends.iter_mut().filter(|((p, _), k)| *p == print && !k.void) {
+            for (_, known) in
+                self.ends.iter_mut().filter(|((p, _), k)| *p == fingerprint && !k.cleared)
+            {
                 (known.renewed, known.at, known.serial) = (known.renewed + 1, now, self.serial);
             }
         }
@@ -180,19 +182,19 @@
     pub fn expire(&mut self, now: Millis) -> bool {
         let before = self.ends.len();
         let mut last: HashMap<RequestFingerprint, Millis> = HashMap::new();
-        for ((print, _), known) in &self.ends {
-            let at = last.entry(*print).or_default();
+        for ((fingerprint, _), known) in &self.ends {
+            let at = last.entry(*fingerprint).or_default();
             *at = known.at.max(*at);
         }
-        self.ends.retain(|(print, _), _| now < last[print] + END_TTL_MS);
+        self.ends.retain(|(fingerprint, _), _| now < last[fingerprint] + END_TTL_MS);
         self.ends.len() < before
     }
 
-    fn make_void(&mut self, of: impl Fn(&(RequestFingerprint, EngineIncarnation)) -> bool) -> bool {
+    fn clear(&mut self, of: impl Fn(&(RequestFingerprint, EngineIncarnation)) -> bool) -> bool {
         let serial = self.serial + 1;
         let mut new = false;
-        for (_, known) in self.ends.iter_mut().filter(|(key, k)| !k.void && of(key)) {
-            (known.void, known.serial) = (true, serial);
+        for (_, known) in self.ends.iter_mut().filter(|(key, k)| !k.cleared && of(key)) {
+            (known.cleared, known.serial) = (true, serial);
             new = true;
         }
         if new {
@@ -201,14 +203,14 @@
         new
     }
 
-    /// Evicts the least important end if there are too many: void ends first, those of quarantined
+    /// Evicts the least important end if there are too many: cleared ends first, those of quarantined
     /// requests last, and the oldest of each kind first.
     fn make_room(&mut self) {
         if self.ends.len() <= MAX_ENDS {
             return;
         }
         let worth = |(key, k): (&(RequestFingerprint, EngineIncarnation), &EndState)| {
-            (!k.void, self.held.contains(&key.0), k.at)
+            (!k.cleared, self.held.contains(&key.0), k.at)
         };
         let least = self.ends.iter().min_by_key(|e| worth(*e)).map(|(key, _)| key.clone());
         if let Some(least) = least {
@@ -220,12 +222,12 @@
 impl EndState {
     /// Whether this end counts against its request.
     fn counts(&self) -> bool {
-        !self.void && just_started(self.events)
+        !self.cleared && just_started(self.events)
     }
 
     /// Merges another state of the same end; returns whether it changes anything.
     fn join(&mut self, update: EndState) -> bool {
-        let new = (update.void && !self.void) || update.renewed > self.renewed;
+        let new = (update.cleared && !self.cleared) || update.renewed > self.renewed;
         let at = match update.renewed.cmp(&self.renewed) {
             Ordering::Greater => update.at,
             // The older one, so that passing an end back and forth does not make it younger.
@@ -236,7 +238,7 @@
         *self = EndState {
             events: self.events.min(update.events),
             renewed: self.renewed.max(update.renewed),
-            void: self.void || update.void,
+            cleared: self.cleared || update.cleared,
             at,
             serial,
         };
@@ -270,16 +272,18 @@
         let mut blamed = BTreeSet::new();
         loop {
             let unexplained = |s: &Suspect<'_>| s.incarnations.difference(&explained).count();
-            let left = suspects.iter().filter(|s| !blamed.contains(&s.print) && unexplained(s) > 0);
+            let left =
+                suspects.iter().filter(|s| !blamed.contains(&s.fingerprint) && unexplained(s) > 0);
             let Some(worst) =
-                left.clone().max_by_key(|s| (unexplained(s), Reverse(s.events), s.print))
+                left.clone().max_by_key(|s| (unexplained(s), Reverse(s.events), s.fingerprint))
             else {
                 return blamed;
             };
-            let same_incarnations =
-                |s: &Suspect<'_>| s.print != worst.print && s.incarnations == worst.incarnations;
+            let same_incarnations = |s: &Suspect<'_>| {
+                s.fingerprint != worst.fingerprint && s.incarnations == worst.incarnations
+            };
             if worst.incarnations.len() > MIN_ENGINES || !left.clone().any(same_incarnations) {
-                blamed.insert(worst.print);
+                blamed.insert(worst.fingerprint);
             }
             explained.extend(&worst.incarnations);
         }
@@ -288,9 +292,10 @@
     /// Requests under which enough engines terminated.
     fn suspects(&self) -> Vec<Suspect<'_>> {
         let mut suspects: BTreeMap<RequestFingerprint, Suspect<'_>> = BTreeMap::new();
-        for ((print, incarnation), known) in self.ends.iter().filter(|(_, k)| k.counts()) {
-            let fresh = || Suspect { print: *print, incarnations: BTreeSet::new(), events: 0 };
-            let suspect = suspects.entry(*print).or_insert_with(fresh);
+        for ((fingerprint, incarnation), known) in self.ends.iter().filter(|(_, k)| k.counts()) {
+            let fresh =
+                || Suspect { fingerprint: *fingerprint, incarnations: BTreeSet::new(), events: 0 };
+            let suspect = suspects.entry(*fingerprint).or_insert_with(fresh);
             suspect.incarnations.insert(incarnation);
             suspect.events += known.events;
         }
@@ -301,8 +306,8 @@
 /// # Queries
 impl Quarantine {
     /// Whether a request is quarantined.
-    pub fn holds(&self, print: RequestFingerprint) -> bool {
-        self.held.contains(&print)
+    pub fn holds(&self, fingerprint: RequestFingerprint) -> bool {
+        self.held.contains(&fingerprint)
     }
 
     /// Quarantined requests.
@@ -313,37 +318,37 @@
     /// Ends that count against a request: incarnation, events delivered and age.
     pub fn evidence(
         &self,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         now: Millis,
     ) -> impl Iterator<Item = (&EngineIncarnation, u32, Millis)> {
-        let of = self.ends.iter().filter(move |((p, _), k)| *p == print && k.counts());
+        let of = self.ends.iter().filter(move |((p, _), k)| *p == fingerprint && k.counts());
         of.map(move |((_, incarnation), k)| (incarnation, k.events, now.saturating_sub(k.at)))
     }
 
     /// Number of ends that count against each request.
     pub fn counts(&self) -> HashMap<RequestFingerprint, u32> {
         let mut counts = HashMap::new();
-        for (print, _) in self.ends.iter().filter(|(_, k)| k.counts()).map(|(key, _)| key) {
-            *counts.entry(*print).or_default() += 1;
+        for (fingerprint, _) in self.ends.iter().filter(|(_, k)| k.counts()).map(|(key, _)| key) {
+            *counts.entry(*fingerprint).or_default() += 1;
         }
         counts
     }
 
     /// Engine incarnations known to have terminated.
     pub fn ended_engines(&self) -> HashSet<EngineIncarnation> {
-        let ends = self.ends.iter().filter(|(_, k)| !k.void);
+        let ends = self.ends.iter().filter(|(_, k)| !k.cleared);
         ends.map(|((_, incarnation), _)| incarnation.clone()).collect()
     }
 
     /// Remaining quarantine of a request if it does not come again.
-    pub fn remaining(&self, print: RequestFingerprint, now: Millis) -> Millis {
-        let youngest = self.evidence(print, now).map(|(.., age)| age).min();
+    pub fn remaining(&self, fingerprint: RequestFingerprint, now: Millis) -> Millis {
+        let youngest = self.evidence(fingerprint, now).map(|(.., age)| age).min();
         END_TTL_MS.saturating_sub(youngest.unwrap_or(END_TTL_MS))
     }
 
     /// How often the quarantine of a request was extended.
-    pub fn renewed(&self, print: RequestFingerprint) -> u32 {
-        let of = self.ends.iter().filter(|((p, _), _)| *p == print);
+    pub fn renewed(&self, fingerprint: RequestFingerprint) -> u32 {
+        let of = self.ends.iter().filter(|((p, _), _)| *p == fingerprint);
         of.map(|(_, k)| k.renewed).max().unwrap_or(0)
     }
 
@@ -363,12 +368,20 @@
         let mut new: Vec<_> = self.ends.iter().filter(|(_, k)| k.serial > serial).collect();
         new.sort_by_key(|(_, k)| k.serial);
         let last = new.get(most.saturating_sub(1)).map_or(self.serial, |(_, k)| k.serial);
-        let ends =
-            new.iter().take_while(|(_, k)| k.serial <= last).map(|((print, incarnation), k)| {
-                let (print, incarnation, events) = (*print, incarnation.clone(), k.events);
-                let end = End { print, incarnation, events, renewed: k.renewed, void: k.void };
+        let ends = new.iter().take_while(|(_, k)| k.serial <= last).map(
+            |((fingerprint, incarnation), k)| {
+                let (fingerprint, incarnation, events) =
+                    (*fingerprint, incarnation.clone(), k.events);
+                let end = End {
+                    fingerprint,
+                    incarnation,
+                    events,
+                    renewed: k.renewed,
+                    cleared: k.cleared,
+                };
                 (end, now.saturating_sub(k.at))
-            });
+            },
+        );
         (ends.collect(), last)
     }
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -17,8 +17,8 @@
 
 fn after(ends: &[(RequestFingerprint, u32, u32)]) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for (print, engine, events) in ends {
-        quarantine.record_end(*print, incarnation(*engine), *events, 0);
+    for (fingerprint, engine, events) in ends {
+        quarantine.record_end(*fingerprint, incarnation(*engine), *events, 0);
     }
     quarantine.decide();
     quarantine
@@ -142,7 +142,13 @@
     assert!(there.evidence(FATAL, 590_000).next().unwrap().2 >= 589_990);
     there.expire(600_010);
     assert_eq!(there.evidence(FATAL, 600_010).count(), 0);
-    let end = End { print: FATAL, incarnation: incarnation(1), events: 0, renewed: 0, void: false };
+    let end = End {
+        fingerprint: FATAL,
+        incarnation: incarnation(1),
+        events: 0,
+        renewed: 0,
+        cleared: false,
+    };
     there.learn(end.clone(), 600_000, 600_010);
     there.expire(600_010);
     assert_eq!(there.evidence(FATAL, 600_010).count(), 0);
@@ -171,8 +177,8 @@
     assert_eq!((first.len(), rest.len(), end), (4, 6, quarantine.serial()));
     // Ends that changed together are sent together, whatever their number.
     quarantine.clear_request(FATAL);
-    let (void, end) = quarantine.since(end, 4, 0);
-    assert_eq!((void.len(), end), (10, quarantine.serial()));
+    let (cleared, end) = quarantine.since(end, 4, 0);
+    assert_eq!((cleared.len(), end), (10, quarantine.serial()));
 }
 
 /// A change at one of two nodes.
@@ -229,7 +235,7 @@
 /// A request in the model.
 #[derive(Clone, Debug)]
 struct Run {
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     started: Millis,
     /// Sends within this try.
     sends: u32,
@@ -267,25 +273,27 @@
         for _ in 0..rng.random_range(0..2) {
             next += 1;
             outcome.harmless += 1;
-            let print = RequestFingerprint(next);
-            pending.push((now, Run { print, started: 0, sends: 0, tries: 1 }));
+            let fingerprint = RequestFingerprint(next);
+            pending.push((now, Run { fingerprint, started: 0, sends: 0, tries: 1 }));
         }
         if fatal && now % 1_000 == 0 {
-            pending.push((now, Run { print: FATAL, started: 0, sends: 0, tries: 1 }));
+            pending.push((now, Run { fingerprint: FATAL, started: 0, sends: 0, tries: 1 }));
         }
         let due: Vec<Run> = pending.extract_if(.., |(at, _)| *at <= now).map(|(_, r)| r).collect();
         for run in due {
             let up: Vec<usize> = (0..engines).filter(|e| up_at[*e] <= now).collect();
-            if up.is_empty() || quarantine.holds(run.print) {
-                outcome.held += usize::from(quarantine.holds(run.print) && run.print != FATAL);
+            if up.is_empty() || quarantine.holds(run.fingerprint) {
+                outcome.held +=
+                    usize::from(quarantine.holds(run.fingerprint) && run.fingerprint != FATAL);
                 continue;
             }
-            outcome.extra_sends += usize::from(run.print == FATAL && known >= 3);
+            outcome.extra_sends += usize::from(run.fingerprint == FATAL && known >= 3);
             let at = up[rng.random_range(0..up.len())];
             running[at].push(Run { started: now, sends: run.sends + 1, ..run });
         }
         for engine in 0..engines {
-            let fatal = running[engine].iter().any(|r| r.print == FATAL && now >= r.started + 70);
+            let fatal =
+                running[engine].iter().any(|r| r.fingerprint == FATAL && now >= r.started + 70);
             let fault = faults.is_some_and(|f| now % 1_000 == 0 && rng.random_range(0..f) == 0);
             if up_at[engine] > now || !(fatal || fault) {
                 running[engine].retain(|r| now < r.started + 4_000);
@@ -297,7 +305,7 @@
             for run in std::mem::take(&mut running[engine]) {
                 let events = (now - run.started) / 50;
                 quarantine.record_end(
-                    run.print,
+                    run.fingerprint,
                     incarnation(incarnations[engine]),
                     events as u32,
                     now,
