--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use heathpitch_core::{EngineEntry, Millis, Name, RequestFingerprint, Revision};
 use heathpitch_net::{FeedExit, Item, StoreError, Write};
-use heathpitch_policy::{End, EngineIncarnation, just_started};
+use heathpitch_policy::{EngineExit, EngineIncarnation, just_started};
 
 use super::reachability;
 use super::state::Control;
@@ -79,7 +79,7 @@
         let mut new = false;
         for call in lost.iter().filter(recorded) {
             let mut quarantine = self.quarantine.borrow_mut();
-            new |= quarantine.record_end(call.fingerprint, life.clone(), call.events, now);
+            new |= quarantine.record_exit(call.fingerprint, life.clone(), call.events, now);
         }
         self.avoid(&life);
         if new {
@@ -139,7 +139,7 @@
         let mut new = 0;
         for exit in exits {
             let life = EngineIncarnation { engine: exit.engine.clone(), born: exit.born };
-            let end = End {
+            let end = EngineExit {
                 fingerprint: exit.fingerprint,
                 incarnation: life.clone(),
                 events: exit.events,
@@ -187,7 +187,7 @@
         };
         let held: HashMap<_, _> = quarantine.held().map(held).collect();
         self.shared.metrics.held.set(held.len() as i64);
-        let (counts, ended) = (quarantine.counts(), quarantine.ended_engines());
+        let (counts, ended) = (quarantine.counts(), quarantine.exited_engines());
         self.shared.quarantine.store(Arc::new(QuarantineSnapshot { counts, held, ended }));
     }
 }
@@ -303,12 +303,12 @@
     }
 }
 
-fn parse_line(print: RequestFingerprint, line: &str) -> Option<End> {
+fn parse_line(print: RequestFingerprint, line: &str) -> Option<EngineExit> {
     let mut fields = line.split(' ');
     let engine = fields.next()?.parse().ok()?;
     let born = fields.next()?.parse().ok().filter(|born| *born > 0);
     let events = fields.next()?.parse().ok()?;
-    Some(End {
+    Some(EngineExit {
         fingerprint: print,
         incarnation: EngineIncarnation { engine, born },
         events,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -92,7 +92,7 @@
 pub use predict::{Need, predict};
 pub use prefix::{BlockEvent, PrefixIndex};
 pub use probes::{ProbeResult, suspects};
-pub use quarantine::{End, EngineIncarnation, Quarantine, just_started};
+pub use quarantine::{EngineExit, EngineIncarnation, Quarantine, just_started};
 pub use relay::{Broken, EndReason, Relay, RelayAction, RelayEvent, RelayPlan, Repeat};
 pub use replica::{Adoption, Replica};
 pub use retry_schedule::RetrySchedule;
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -2,12 +2,12 @@
 //!
 //! An engine that terminates cuts off every request that runs there, so a single termination says
 //! little about any one of them. What counts is which request was running in repeated terminations,
-//! over all nodes and under whatever ids the request comes: nodes send each [`End`] to each other,
+//! over all nodes and under whatever ids the request comes: nodes send each [`EngineExit`] to each other,
 //! and each node derives the same verdict from them. A verdict blames the fewest requests that
 //! explain the terminations ([`Quarantine::verdict`]), so that requests which were rerouted from
 //! engine to engine along with the faulty one are not quarantined with it.
 //!
-//! The state of an end changes in one direction only: it may be renewed, or cleared. So nodes
+//! The state of an exit changes in one direction only: it may be renewed, or cleared. So nodes
 //! agree whether updates arrive out of order, twice or late.
 
 use std::cmp::{Ordering, Reverse};
@@ -24,11 +24,11 @@
 /// repeatedly, many harmless requests are as young (167 of 288 attempts that were cut off in one
 /// recorded day), so this alone does not blame a request.
 const JUST_STARTED_EVENTS: u32 = 8;
-/// Time for which an end is kept after the request was last seen: engines are repaired, or an
+/// Time for which an exit is kept after the request was last seen: engines are repaired, or an
 /// operator has intervened, within some minutes.
-const END_TTL_MS: Millis = 600_000;
-/// Bounds the ends kept, about 100 bytes each.
-const MAX_ENDS: usize = 2_048;
+const EXIT_TTL_MS: Millis = 600_000;
+/// Bounds the exits kept, about 100 bytes each.
+const MAX_EXITS: usize = 2_048;
 
 /// Whether a request for which an engine has delivered this many events had just started there.
 ///
@@ -53,7 +53,7 @@
 
 /// The termination of an engine while a request was running there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct EngineExit {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The engine.
@@ -75,7 +75,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct EndState {
+struct ExitState {
     events: u32,
     renewed: u32,
     cleared: bool,
@@ -83,7 +83,7 @@
     serial: u64,
 }
 
-/// Known ends and the requests that are quarantined for them.
+/// Known exits and the requests that are quarantined for them.
 ///
 /// # Examples
 ///
@@ -95,11 +95,11 @@
 /// let (fatal, moved) = (RequestFingerprint(1), RequestFingerprint(2));
 /// let incarnation = |engine: &str| EngineIncarnation { engine: engine.parse().unwrap(), born: None };
 /// for engine in ["e1", "e2", "e3", "e4"] {
-///     quarantine.record_end(fatal, incarnation(engine), 0, 10);
+///     quarantine.record_exit(fatal, incarnation(engine), 0, 10);
 /// }
 /// // This one was rerouted along with the fatal one.
 /// for engine in ["e1", "e2", "e3"] {
-///     quarantine.record_end(moved, incarnation(engine), 0, 10);
+///     quarantine.record_exit(moved, incarnation(engine), 0, 10);
 /// }
 /// quarantine.decide();
 /// assert!(quarantine.holds(fatal));
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     serial: u64,
-    ends: BTreeMap<(RequestFingerprint, EngineIncarnation), EndState>,
+    exits: BTreeMap<(RequestFingerprint, EngineIncarnation), ExitState>,
     held: BTreeSet<RequestFingerprint>,
 }
 
@@ -116,31 +116,31 @@
 impl Quarantine {
     /// Records that an engine terminated which had delivered `events` events of a request; returns
     /// whether that is new. It counts only against a request that had just started there.
-    pub fn record_end(
+    pub fn record_exit(
         &mut self,
         fingerprint: RequestFingerprint,
         incarnation: EngineIncarnation,
         events: u32,
         now: Millis,
     ) -> bool {
-        let end = End { fingerprint, incarnation, events, renewed: 0, cleared: false };
-        self.learn(end, 0, now)
+        let exit = EngineExit { fingerprint, incarnation, events, renewed: 0, cleared: false };
+        self.learn(exit, 0, now)
     }
 
-    /// Merges an end that another node has known for `age`; returns whether it changes anything.
-    pub fn learn(&mut self, end: End, age: Millis, now: Millis) -> bool {
-        // An old end is kept as long as a later one of its request; at twice the TTL all have
+    /// Merges an exit that another node has known for `age`; returns whether it changes anything.
+    pub fn learn(&mut self, exit: EngineExit, age: Millis, now: Millis) -> bool {
+        // An old exit is kept as long as a later one of its request; at twice the TTL all have
         // expired.
-        if age >= 2 * END_TTL_MS {
+        if age >= 2 * EXIT_TTL_MS {
             return false;
         }
         let at = now.saturating_sub(age);
         let serial = self.serial + 1;
-        let End { fingerprint, incarnation, events, renewed, cleared } = end;
-        let update = EndState { events, renewed, cleared, at, serial };
-        let new = match self.ends.get_mut(&(fingerprint, incarnation.clone())) {
+        let EngineExit { fingerprint, incarnation, events, renewed, cleared } = exit;
+        let update = ExitState { events, renewed, cleared, at, serial };
+        let new = match self.exits.get_mut(&(fingerprint, incarnation.clone())) {
             None => {
-                self.ends.insert((fingerprint, incarnation), update);
+                self.exits.insert((fingerprint, incarnation), update);
                 true
             }
             Some(known) => known.join(update),
@@ -152,13 +152,13 @@
         new
     }
 
-    /// Clears the ends of a request that was answered completely, so that it crashed no engine;
+    /// Clears the exits of a request that was answered completely, so that it crashed no engine;
     /// returns whether there were any.
     pub fn clear_request(&mut self, fingerprint: RequestFingerprint) -> bool {
         self.clear(|(p, _)| *p == fingerprint)
     }
 
-    /// Clears the ends of an engine that has answered since; returns whether there were any.
+    /// Clears the exits of an engine that has answered since; returns whether there were any.
     pub fn engine_alive(&mut self, incarnation: &EngineIncarnation) -> bool {
         self.clear(|(_, l)| l == incarnation)
     }
@@ -170,7 +170,7 @@
         if due {
             self.serial += 1;
             for (_, known) in
-                self.ends.iter_mut().filter(|((p, _), k)| *p == fingerprint && !k.cleared)
+                self.exits.iter_mut().filter(|((p, _), k)| *p == fingerprint && !k.cleared)
             {
                 (known.renewed, known.at, known.serial) = (known.renewed + 1, now, self.serial);
             }
@@ -178,22 +178,22 @@
         due
     }
 
-    /// Drops expired ends, all ends of a request together; returns whether there were any.
+    /// Drops expired exits, all exits of a request together; returns whether there were any.
     pub fn expire(&mut self, now: Millis) -> bool {
-        let before = self.ends.len();
+        let before = self.exits.len();
         let mut last: HashMap<RequestFingerprint, Millis> = HashMap::new();
-        for ((fingerprint, _), known) in &self.ends {
+        for ((fingerprint, _), known) in &self.exits {
             let at = last.entry(*fingerprint).or_default();
             *at = known.at.max(*at);
         }
-        self.ends.retain(|(fingerprint, _), _| now < last[fingerprint] + END_TTL_MS);
-        self.ends.len() < before
+        self.exits.retain(|(fingerprint, _), _| now < last[fingerprint] + EXIT_TTL_MS);
+        self.exits.len() < before
     }
 
     fn clear(&mut self, of: impl Fn(&(RequestFingerprint, EngineIncarnation)) -> bool) -> bool {
         let serial = self.serial + 1;
         let mut new = false;
-        for (_, known) in self.ends.iter_mut().filter(|(key, k)| !k.cleared && of(key)) {
+        for (_, known) in self.exits.iter_mut().filter(|(key, k)| !k.cleared && of(key)) {
             (known.cleared, known.serial) = (true, serial);
             new = true;
         }
@@ -203,39 +203,39 @@
         new
     }
 
-    /// Evicts the least important end if there are too many: cleared ends first, those of quarantined
+    /// Evicts the least important exit if there are too many: cleared exits first, those of quarantined
     /// requests last, and the oldest of each kind first.
     fn make_room(&mut self) {
-        if self.ends.len() <= MAX_ENDS {
+        if self.exits.len() <= MAX_EXITS {
             return;
         }
-        let worth = |(key, k): (&(RequestFingerprint, EngineIncarnation), &EndState)| {
+        let worth = |(key, k): (&(RequestFingerprint, EngineIncarnation), &ExitState)| {
             (!k.cleared, self.held.contains(&key.0), k.at)
         };
-        let least = self.ends.iter().min_by_key(|e| worth(*e)).map(|(key, _)| key.clone());
+        let least = self.exits.iter().min_by_key(|e| worth(*e)).map(|(key, _)| key.clone());
         if let Some(least) = least {
-            self.ends.remove(&least);
+            self.exits.remove(&least);
         }
     }
 }
 
-impl EndState {
-    /// Whether this end counts against its request.
+impl ExitState {
+    /// Whether this exit counts against its request.
     fn counts(&self) -> bool {
         !self.cleared && just_started(self.events)
     }
 
-    /// Merges another state of the same end; returns whether it changes anything.
-    fn join(&mut self, update: EndState) -> bool {
+    /// Merges another state of the same exit; returns whether it changes anything.
+    fn join(&mut self, update: ExitState) -> bool {
         let new = (update.cleared && !self.cleared) || update.renewed > self.renewed;
         let at = match update.renewed.cmp(&self.renewed) {
             Ordering::Greater => update.at,
-            // The older one, so that passing an end back and forth does not make it younger.
+            // The older one, so that passing an exit back and forth does not make it younger.
             Ordering::Equal => self.at.min(update.at),
             Ordering::Less => self.at,
         };
         let serial = if new { update.serial } else { self.serial };
-        *self = EndState {
+        *self = ExitState {
             events: self.events.min(update.events),
             renewed: self.renewed.max(update.renewed),
             cleared: self.cleared || update.cleared,
@@ -258,11 +258,11 @@
         (new, released)
     }
 
-    /// The fewest requests that explain the ends.
+    /// The fewest requests that explain the exits.
     ///
     /// The request under which most engines terminated is blamed first and explains all of these
-    /// ends; each further one must have an end that no request blamed before it explains. If the
-    /// same three engines terminated under two requests, neither is blamed: the next end tells them
+    /// exits; each further one must have an exit that no request blamed before it explains. If the
+    /// same three engines terminated under two requests, neither is blamed: the next exit tells them
     /// apart. In 32 minutes of the model in this module's tests, 13 of 96 000 harmless requests
     /// were quarantined along with a fatal one without the two rules and none with both, and no
     /// more engines terminated.
@@ -292,7 +292,7 @@
     /// Requests under which enough engines terminated.
     fn suspects(&self) -> Vec<Suspect<'_>> {
         let mut suspects: BTreeMap<RequestFingerprint, Suspect<'_>> = BTreeMap::new();
-        for ((fingerprint, incarnation), known) in self.ends.iter().filter(|(_, k)| k.counts()) {
+        for ((fingerprint, incarnation), known) in self.exits.iter().filter(|(_, k)| k.counts()) {
             let fresh =
                 || Suspect { fingerprint: *fingerprint, incarnations: BTreeSet::new(), events: 0 };
             let suspect = suspects.entry(*fingerprint).or_insert_with(fresh);
@@ -321,40 +321,40 @@
         fingerprint: RequestFingerprint,
         now: Millis,
     ) -> impl Iterator<Item = (&EngineIncarnation, u32, Millis)> {
-        let of = self.ends.iter().filter(move |((p, _), k)| *p == fingerprint && k.counts());
+        let of = self.exits.iter().filter(move |((p, _), k)| *p == fingerprint && k.counts());
         of.map(move |((_, incarnation), k)| (incarnation, k.events, now.saturating_sub(k.at)))
     }
 
-    /// Number of ends that count against each request.
+    /// Number of exits that count against each request.
     pub fn counts(&self) -> HashMap<RequestFingerprint, u32> {
         let mut counts = HashMap::new();
-        for (fingerprint, _) in self.ends.iter().filter(|(_, k)| k.counts()).map(|(key, _)| key) {
+        for (fingerprint, _) in self.exits.iter().filter(|(_, k)| k.counts()).map(|(key, _)| key) {
             *counts.entry(*fingerprint).or_default() += 1;
         }
         counts
     }
 
     /// Engine incarnations known to have terminated.
-    pub fn ended_engines(&self) -> HashSet<EngineIncarnation> {
-        let ends = self.ends.iter().filter(|(_, k)| !k.cleared);
-        ends.map(|((_, incarnation), _)| incarnation.clone()).collect()
+    pub fn exited_engines(&self) -> HashSet<EngineIncarnation> {
+        let exits = self.exits.iter().filter(|(_, k)| !k.cleared);
+        exits.map(|((_, incarnation), _)| incarnation.clone()).collect()
     }
 
     /// Remaining quarantine of a request if it does not come again.
     pub fn remaining(&self, fingerprint: RequestFingerprint, now: Millis) -> Millis {
         let youngest = self.evidence(fingerprint, now).map(|(.., age)| age).min();
-        END_TTL_MS.saturating_sub(youngest.unwrap_or(END_TTL_MS))
+        EXIT_TTL_MS.saturating_sub(youngest.unwrap_or(EXIT_TTL_MS))
     }
 
     /// How often the quarantine of a request was extended.
     pub fn renewed(&self, fingerprint: RequestFingerprint) -> u32 {
-        let of = self.ends.iter().filter(|((p, _), _)| *p == fingerprint);
+        let of = self.exits.iter().filter(|((p, _), _)| *p == fingerprint);
         of.map(|(_, k)| k.renewed).max().unwrap_or(0)
     }
 
     /// Whether a request with this much quarantine remaining is extended if it comes again.
     pub fn is_renewal_due(left: Millis) -> bool {
-        left <= END_TTL_MS / 2
+        left <= EXIT_TTL_MS / 2
     }
 
     /// Serial of the last change.
@@ -364,24 +364,24 @@
 
     /// Ends that changed after `serial`, in order of change, with their ages, and the serial to
     /// continue from. At most `most`, plus all that changed together with the last one.
-    pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<(End, Millis)>, u64) {
-        let mut new: Vec<_> = self.ends.iter().filter(|(_, k)| k.serial > serial).collect();
+    pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<(EngineExit, Millis)>, u64) {
+        let mut new: Vec<_> = self.exits.iter().filter(|(_, k)| k.serial > serial).collect();
         new.sort_by_key(|(_, k)| k.serial);
         let last = new.get(most.saturating_sub(1)).map_or(self.serial, |(_, k)| k.serial);
-        let ends = new.iter().take_while(|(_, k)| k.serial <= last).map(
+        let exits = new.iter().take_while(|(_, k)| k.serial <= last).map(
             |((fingerprint, incarnation), k)| {
                 let (fingerprint, incarnation, events) =
                     (*fingerprint, incarnation.clone(), k.events);
-                let end = End {
+                let exit = EngineExit {
                     fingerprint,
                     incarnation,
                     events,
                     renewed: k.renewed,
                     cleared: k.cleared,
                 };
-                (end, now.saturating_sub(k.at))
+                (exit, now.saturating_sub(k.at))
             },
         );
-        (ends.collect(), last)
+        (exits.collect(), last)
     }
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
 use heathpitch_core::{Millis, RequestFingerprint};
-use heathpitch_policy::{End, EngineIncarnation, Quarantine};
+use heathpitch_policy::{EngineExit, EngineIncarnation, Quarantine};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -15,10 +15,10 @@
     EngineIncarnation { engine: format!("e{engine}").parse().unwrap(), born: None }
 }
 
-fn after(ends: &[(RequestFingerprint, u32, u32)]) -> Quarantine {
+fn after(exits: &[(RequestFingerprint, u32, u32)]) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for (fingerprint, engine, events) in ends {
-        quarantine.record_end(*fingerprint, incarnation(*engine), *events, 0);
+    for (fingerprint, engine, events) in exits {
+        quarantine.record_exit(*fingerprint, incarnation(*engine), *events, 0);
     }
     quarantine.decide();
     quarantine
@@ -34,7 +34,7 @@
 fn a_long_running_request_is_not_blamed_but_the_end_of_its_engine_is_recorded() {
     let quarantine = after(&[(OTHER, 1, 9), (OTHER, 2, 40), (OTHER, 3, 200)]);
     assert!(!quarantine.holds(OTHER));
-    assert_eq!((quarantine.ended_engines().len(), quarantine.counts().len()), (3, 0));
+    assert_eq!((quarantine.exited_engines().len(), quarantine.counts().len()), (3, 0));
 }
 
 #[test]
@@ -50,7 +50,7 @@
 fn two_requests_with_the_same_ends_are_told_apart_by_the_next_end() {
     let mut quarantine = after(&[1, 2, 3].map(|e| [(FATAL, e, 2), (OTHER, e, 0)]).concat());
     assert_eq!(quarantine.held().count(), 0);
-    quarantine.record_end(FATAL, incarnation(4), 2, 0);
+    quarantine.record_exit(FATAL, incarnation(4), 2, 0);
     assert_eq!(quarantine.decide(), (vec![FATAL], vec![]));
 }
 
@@ -59,7 +59,7 @@
     let mut quarantine = after(&[1, 2, 3, 4].map(|e| [(FATAL, e, 0), (OTHER, e, 3)]).concat());
     assert_eq!(quarantine.held().collect::<Vec<_>>(), [FATAL]);
     // If that was wrong, the other request goes on to crash an engine alone.
-    quarantine.record_end(OTHER, incarnation(5), 3, 0);
+    quarantine.record_exit(OTHER, incarnation(5), 3, 0);
     assert_eq!(quarantine.decide().0, [OTHER]);
 }
 
@@ -78,11 +78,11 @@
 
 #[test]
 fn an_answer_or_a_live_engine_ends_the_quarantine() {
-    let ends = [1, 2, 3].map(|e| (FATAL, e, 0));
-    let mut answered = after(&ends);
+    let exits = [1, 2, 3].map(|e| (FATAL, e, 0));
+    let mut answered = after(&exits);
     assert!(answered.clear_request(FATAL));
     assert_eq!(answered.decide().1, [FATAL]);
-    let mut alive = after(&ends);
+    let mut alive = after(&exits);
     assert!(alive.engine_alive(&incarnation(2)));
     assert_eq!(alive.decide().1, [FATAL]);
     assert!(!alive.engine_alive(&incarnation(2)));
@@ -102,19 +102,19 @@
     assert_eq!(quarantine.decide().1, [FATAL]);
 }
 
-/// The first ends may be old when the last one comes: a node that starts then must reach the same
+/// The first exits may be old when the last one comes: a node that starts then must reach the same
 /// verdict as the others.
 #[test]
 fn ends_of_a_request_expire_together() {
     let mut here = after(&[1, 2].map(|e| (FATAL, e, 0)));
-    here.record_end(FATAL, incarnation(3), 0, 500_000);
+    here.record_exit(FATAL, incarnation(3), 0, 500_000);
     here.decide();
     here.expire(900_000);
     here.decide();
     assert!(here.holds(FATAL));
     let mut there = Quarantine::default();
-    for (end, age) in here.since(0, 100, 900_000).0 {
-        there.learn(end, age, 900_000);
+    for (exit, age) in here.since(0, 100, 900_000).0 {
+        there.learn(exit, age, 900_000);
     }
     there.expire(900_000);
     there.decide();
@@ -130,36 +130,36 @@
 #[test]
 fn ends_passed_back_and_forth_do_not_stay_young() {
     let [mut here, mut there] = [Quarantine::default(), Quarantine::default()];
-    here.record_end(FATAL, incarnation(1), 0, 0);
+    here.record_exit(FATAL, incarnation(1), 0, 0);
     for now in (0..590_000).step_by(1_000) {
-        for (end, age) in here.since(0, 100, now).0 {
-            there.learn(end, age, now + 1);
+        for (exit, age) in here.since(0, 100, now).0 {
+            there.learn(exit, age, now + 1);
         }
-        for (end, age) in there.since(0, 100, now + 1).0 {
-            assert!(!here.learn(end, age, now + 2), "nothing new");
+        for (exit, age) in there.since(0, 100, now + 1).0 {
+            assert!(!here.learn(exit, age, now + 2), "nothing new");
         }
     }
     assert!(there.evidence(FATAL, 590_000).next().unwrap().2 >= 589_990);
     there.expire(600_010);
     assert_eq!(there.evidence(FATAL, 600_010).count(), 0);
-    let end = End {
+    let exit = EngineExit {
         fingerprint: FATAL,
         incarnation: incarnation(1),
         events: 0,
         renewed: 0,
         cleared: false,
     };
-    there.learn(end.clone(), 600_000, 600_010);
+    there.learn(exit.clone(), 600_000, 600_010);
     there.expire(600_010);
     assert_eq!(there.evidence(FATAL, 600_010).count(), 0);
-    assert!(!there.learn(end, 1_200_000, 1_200_000));
+    assert!(!there.learn(exit, 1_200_000, 1_200_000));
 }
 
 #[test]
 fn memory_is_bounded_and_quarantined_requests_are_evicted_last() {
     let mut quarantine = after(&[1, 2, 3].map(|e| (FATAL, e, 0)));
     for flood in 100..10_100 {
-        quarantine.record_end(RequestFingerprint(flood), incarnation(flood as u32), 0, flood);
+        quarantine.record_exit(RequestFingerprint(flood), incarnation(flood as u32), 0, flood);
     }
     assert!(quarantine.since(0, usize::MAX, 20_000).0.len() <= 2_048);
     quarantine.decide();
@@ -170,7 +170,7 @@
 fn changes_are_sent_in_batches() {
     let mut quarantine = Quarantine::default();
     (0..10).for_each(|e| {
-        quarantine.record_end(FATAL, incarnation(e), 0, 0);
+        quarantine.record_exit(FATAL, incarnation(e), 0, 0);
     });
     let (first, serial) = quarantine.since(0, 4, 0);
     let (rest, end) = quarantine.since(serial, 100, 0);
@@ -184,7 +184,7 @@
 /// A change at one of two nodes.
 #[derive(Clone, Debug)]
 enum Step {
-    Ended(u64, u32, u32),
+    Exited(u64, u32, u32),
     Answered(u64),
     EngineAlive(u32),
     CameAgain(u64),
@@ -192,7 +192,7 @@
 
 fn step() -> impl Strategy<Value = (bool, Step)> {
     let step = prop_oneof![
-        8 => (0..4_u64, 0..6_u32, 0..12_u32).prop_map(|(p, e, n)| Step::Ended(p, e, n)),
+        8 => (0..4_u64, 0..6_u32, 0..12_u32).prop_map(|(p, e, n)| Step::Exited(p, e, n)),
         1 => (0..4_u64).prop_map(Step::Answered),
         1 => (0..6_u32).prop_map(Step::EngineAlive),
         1 => (0..4_u64).prop_map(Step::CameAgain),
@@ -203,14 +203,14 @@
 proptest! {
 /// Whatever each node saw, and in whatever order they exchange it, their verdicts are equal.
 #[test]
-    fn nodes_that_exchanged_their_ends_agree(steps in prop::collection::vec(step(), 0..60)) {
+    fn nodes_that_exchanged_their_exits_agree(steps in prop::collection::vec(step(), 0..60)) {
     let mut nodes = [Quarantine::default(), Quarantine::default()];
     let mut now = 0;
         for (second, step) in steps {
             now += 10_000;
             let node = &mut nodes[usize::from(second)];
             match step {
-                Step::Ended(p, e, n) => { node.record_end(RequestFingerprint(p), incarnation(e), n, now); }
+                Step::Exited(p, e, n) => { node.record_exit(RequestFingerprint(p), incarnation(e), n, now); }
                 Step::Answered(p) => { node.clear_request(RequestFingerprint(p)); }
                 Step::EngineAlive(e) => { node.engine_alive(&incarnation(e)); }
                 Step::CameAgain(p) => { node.renew(RequestFingerprint(p), now);
@@ -219,9 +219,9 @@
         }
         let [mut a, mut b] = nodes;
         for _ in 0..2 {
-            for (end, age) in a.since(0, usize::MAX, now).0 { b.learn(end, age, now);
+            for (exit, age) in a.since(0, usize::MAX, now).0 { b.learn(exit, age, now);
         }
-        for (end, age) in b.since(0, usize::MAX, now).0 { a.learn(end, age, now);
+        for (exit, age) in b.since(0, usize::MAX, now).0 { a.learn(exit, age, now);
     }
         }
         for node in [&mut a, &mut b] {
@@ -251,7 +251,7 @@
     /// Harmless requests that were held in quarantine.
     held: usize,
     /// Engines that terminated.
-    ended: usize,
+    exited: usize,
     /// Sends of the fatal request after it had crashed three engines.
     extra_sends: usize,
 }
@@ -299,12 +299,12 @@
                 running[engine].retain(|r| now < r.started + 4_000);
                 continue;
             }
-            outcome.ended += 1;
+            outcome.exited += 1;
             known += u32::from(fatal);
             up_at[engine] = now + 3_000;
             for run in std::mem::take(&mut running[engine]) {
                 let events = (now - run.started) / 50;
-                quarantine.record_end(
+                quarantine.record_exit(
                     run.fingerprint,
                     incarnation(incarnations[engine]),
                     events as u32,
@@ -326,7 +326,7 @@
 }
 
 /// Runs 32 minutes for each number of engines. If the verdict did not blame the fewest requests
-/// that explain the ends, harmless requests would be quarantined along with the fatal one.
+/// that explain the exits, harmless requests would be quarantined along with the fatal one.
 #[test]
 fn harmless_requests_are_not_quarantined_along_with_a_fatal_one() {
     for engines in [3, 6, 24] {
@@ -334,9 +334,9 @@
         let (harmless, held): (usize, usize) =
             (minutes.iter().map(|m| m.harmless).sum(), minutes.iter().map(|m| m.held).sum());
         let extra_sends = minutes.iter().map(|m| m.extra_sends).max().unwrap();
-        let ended: usize = minutes.iter().map(|m| m.ended).sum();
+        let exited: usize = minutes.iter().map(|m| m.exited).sum();
         println!(
-            "{engines} engines: {held} of {harmless} quarantined, {ended} ended, fatal request sent {extra_sends} more times"
+            "{engines} engines: {held} of {harmless} quarantined, {exited} exited, fatal request sent {extra_sends} more times"
         );
         assert_eq!(held, 0, "of {harmless}");
         assert!(extra_sends <= 3, "{extra_sends}");
@@ -347,8 +347,8 @@
 fn nothing_is_quarantined_if_engines_terminate_by_themselves() {
     for (engines, faults) in [(3, 4), (6, 6), (24, 10)] {
         let minutes = (0..32).map(|s| minute(s, engines, false, Some(faults)));
-        let (ended, held) = minutes.fold((0, 0), |(e, h), m| (e + m.ended, h + m.held));
-        println!("{engines} engines: {ended} ended, {held} quarantined");
-        assert_eq!(held, 0, "{ended} ended");
+        let (exited, held) = minutes.fold((0, 0), |(e, h), m| (e + m.exited, h + m.held));
+        println!("{engines} engines: {exited} exited, {held} quarantined");
+        assert_eq!(held, 0, "{exited} exited");
     }
 }
--- a/crates/proof/src/telling/ends.rs
+++ b/crates/proof/src/telling/ends.rs
@@ -38,7 +38,7 @@
         self.ended += 1;
         let life = EngineIncarnation { engine: name(at), born: Some(self.ended) };
         let (print, now) = (RequestFingerprint(print), self.now);
-        self.nodes[at].quarantine.record_end(print, life.clone(), 0, now);
+        self.nodes[at].quarantine.record_exit(print, life.clone(), 0, now);
         life
     }
 
@@ -60,7 +60,7 @@
 
     fn all_know(&self, life: &EngineIncarnation, when: &str) -> Result<(), Breach> {
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.alive) {
-            let known = node.quarantine.ended_engines().contains(life);
+            let known = node.quarantine.exited_engines().contains(life);
             Breach::unless(known, Promise::Told, || {
                 format!("node {i} has not heard of {life:?}, {when}")
             })?;
