--- a/crates/core/src/engine_entry.rs
+++ b/crates/core/src/engine_entry.rs
@@ -34,5 +34,5 @@
     pub layers: LayerRange,
     /// Unix time of its start, milliseconds, if reported; a different value means that the engine
     /// was restarted.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -126,7 +126,7 @@
     if backpressure.is_draining() || backpressure.pause_left(traffic.shared.now()).is_some() {
         return Err(Failure::Backpressure);
     }
-    let incarnation = view.entry.born.unwrap_or_default();
+    let incarnation = view.entry.started_at.unwrap_or_default();
     let connected = traffic.pool.connect(view.entry.address, incarnation, reuse).await;
     let mut connection = connected.map_err(|e: RpcError| Failure::Unsent(e.to_string()))?;
     if connection.is_new() {
--- a/crates/heathpitchd/src/gateway/control/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -109,7 +109,7 @@
         }
         GatewayEvent::EngineDraining { engine: life.engine.clone(), age_ms: age, by }.log();
         let listed = self.entries.borrow().get(&life.engine).cloned();
-        let Some(entry) = listed.filter(|e| e.born == life.born) else { return false };
+        let Some(entry) = listed.filter(|e| e.started_at == life.started_at) else { return false };
         if entry.state == EntryState::Leaving {
             return false;
         }
@@ -127,7 +127,7 @@
         let (new, upto) = self.drain_notices.borrow().since(serial, MAX_DRAINS, self.now());
         let drains = new.into_iter().map(|(life, age_ms)| FeedDrain {
             engine: life.engine,
-            born: life.born,
+            started_at: life.started_at,
             age_ms,
         });
         (drains.collect(), upto)
@@ -138,7 +138,8 @@
         let transit_ms = self.now().saturating_sub(sent);
         let mut changed = false;
         for drain in drains {
-            let life = EngineIncarnation { engine: drain.engine.clone(), born: drain.born };
+            let life =
+                EngineIncarnation { engine: drain.engine.clone(), started_at: drain.started_at };
             changed |= self.learn_drain(&life, drain.age_ms + transit_ms, "another node");
         }
         if changed {
@@ -163,7 +164,7 @@
 /// shows.
 async fn recheck(control: &Control, life: &EngineIncarnation) {
     let entry = control.entries.borrow().get(&life.engine).cloned();
-    let Some(entry) = entry.filter(|e| e.born == life.born) else { return };
+    let Some(entry) = entry.filter(|e| e.started_at == life.started_at) else { return };
     if !engines::is_listed_ready(control, &entry.id) {
         return;
     }
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -57,16 +57,17 @@
     let sent = control.now();
     let answer = control.edges.orders.status(engine).await?;
     let status = control.record_response(engine, "report", sent, answer);
-    let recency = control.incarnations.borrow_mut().observe(&engine.id, status.born, control.now());
+    let recency =
+        control.incarnations.borrow_mut().observe(&engine.id, status.started_at, control.now());
     match recency {
         Recency::Current => {}
         Recency::Stale => return Err(RpcError::Lost("stale incarnation".to_owned())),
         Recency::Restarted => {
-            reset_restarted(control, &engine.id, status.born, "its status");
+            reset_restarted(control, &engine.id, status.started_at, "its status");
             // The status decides which layers it holds until its entry is updated.
             let layers = status.layers.unwrap_or(LayerRange::new(0, 0));
-            let (state, born) = (EntryState::Ready, status.born);
-            let entry = EngineEntry { layers, state, born, ..engine.clone() };
+            let (state, started_at) = (EntryState::Ready, status.started_at);
+            let entry = EngineEntry { layers, state, started_at, ..engine.clone() };
             control.entries.borrow_mut().insert(engine.id.clone(), Arc::new(entry));
             control.publish();
         }
@@ -76,12 +77,12 @@
 
 /// Discards the state kept of an engine that restarted under its id, as shown by `by`: its former incarnation
 /// holds no layers and no tokens any more, and will send no answers.
-fn reset_restarted(control: &Control, engine: &Name, born: Option<Millis>, by: &'static str) {
+fn reset_restarted(control: &Control, engine: &Name, started_at: Option<Millis>, by: &'static str) {
     forget(control, engine);
     control.backpressure.borrow_mut().remove(engine);
     control.leaving.borrow_mut().remove(engine);
     control.lapsed.borrow_mut().remove(engine);
-    GatewayEvent::EngineRestarted { engine: engine.clone(), born, by }.log();
+    GatewayEvent::EngineRestarted { engine: engine.clone(), started_at, by }.log();
 }
 
 /// Updates the layers of an entry from the engine's status.
@@ -130,10 +131,10 @@
         }
     };
     let id = entry.id.clone();
-    let recency = control.incarnations.borrow_mut().observe(&id, entry.born, control.now());
+    let recency = control.incarnations.borrow_mut().observe(&id, entry.started_at, control.now());
     match recency {
         Recency::Current => {}
-        Recency::Restarted => reset_restarted(control, &id, entry.born, "its store entry"),
+        Recency::Restarted => reset_restarted(control, &id, entry.started_at, "its store entry"),
         Recency::Stale => {
             log::info!("ignored an entry of engine {id} from an earlier incarnation");
             return Some(id);
@@ -186,7 +187,9 @@
     let model = service.as_ref().and_then(|s| s.model.as_ref());
     match model {
         Some(model) if entry.layers.end > model.layers => wrong("its model has fewer layers"),
-        _ if entry.born.is_none() && control.incarnations.borrow().born(&entry.id).is_some() => {
+        _ if entry.started_at.is_none()
+            && control.incarnations.borrow().started_at(&entry.id).is_some() =>
+        {
             wrong("it lacks the start time of the engine, which earlier entries had")
         }
         _ => Ok(entry),
@@ -212,7 +215,7 @@
         domain: entry.domain.clone(),
         leaving: entry.state == EntryState::Leaving,
         layers: entry.layers,
-        born: entry.born,
+        started_at: entry.started_at,
     }
     .log();
 }
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -110,7 +110,11 @@
 
     /// Avoids an engine that has exited, if it is still listed.
     fn avoid(&self, life: &EngineIncarnation) {
-        let listed = self.entries.borrow().get(&life.engine).is_some_and(|e| e.born == life.born);
+        let listed = self
+            .entries
+            .borrow()
+            .get(&life.engine)
+            .is_some_and(|e| e.started_at == life.started_at);
         if listed && !self.is_unreachable(&life.engine) {
             reachability::mark_unreachable(self, &life.engine, "engine exited");
         }
@@ -125,7 +129,7 @@
         let exits = ends.into_iter().map(|(end, age_ms)| FeedExit {
             fingerprint: end.fingerprint,
             engine: end.incarnation.engine,
-            born: end.incarnation.born,
+            started_at: end.incarnation.started_at,
             events: end.events,
             renewed: end.renewed,
             cleared: end.cleared,
@@ -138,7 +142,8 @@
     pub(super) fn receive_exits(&self, exits: &[FeedExit], sent: Millis, by: &Name) {
         let mut new = 0;
         for exit in exits {
-            let life = EngineIncarnation { engine: exit.engine.clone(), born: exit.born };
+            let life =
+                EngineIncarnation { engine: exit.engine.clone(), started_at: exit.started_at };
             let end = EngineExit {
                 fingerprint: exit.fingerprint,
                 incarnation: life.clone(),
@@ -275,7 +280,7 @@
     now: Millis,
 ) -> Bytes {
     let line = |(life, events, _): (&EngineIncarnation, u32, Millis)| {
-        format!("{} {} {events}\n", life.engine, life.born.unwrap_or(0))
+        format!("{} {} {events}\n", life.engine, life.started_at.unwrap_or(0))
     };
     let lines = quarantine.evidence(print, now).take(MAX_ENTRY_ENGINES).map(line);
     lines.collect::<String>().into()
@@ -306,11 +311,11 @@
 fn parse_line(print: RequestFingerprint, line: &str) -> Option<EngineExit> {
     let mut fields = line.split(' ');
     let engine = fields.next()?.parse().ok()?;
-    let born = fields.next()?.parse().ok().filter(|born| *born > 0);
+    let started_at = fields.next()?.parse().ok().filter(|started_at| *started_at > 0);
     let events = fields.next()?.parse().ok()?;
     Some(EngineExit {
         fingerprint: print,
-        incarnation: EngineIncarnation { engine, born },
+        incarnation: EngineIncarnation { engine, started_at },
         events,
         renewed: 0,
         cleared: false,
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -84,7 +84,7 @@
         let (new, upto) = self.limits.borrow().since(serial, MAX_LIMITS, self.now());
         let feed_limit = |LimitUpdate { incarnation: life, rate, age }| FeedLimit {
             engine: life.engine,
-            born: life.born,
+            started_at: life.started_at,
             rate,
             age_ms: age,
         };
@@ -94,7 +94,8 @@
     /// Learns limits that another node reported in a message sent at `sent` or later.
     pub(super) fn receive_limits(&self, limits: &[FeedLimit], sent: Millis) {
         for limit in limits {
-            let life = EngineIncarnation { engine: limit.engine.clone(), born: limit.born };
+            let life =
+                EngineIncarnation { engine: limit.engine.clone(), started_at: limit.started_at };
             // The transit time of the message is unknown: a limit counts as young as it can be, and
             // its end as old as it can be, so that a limit is kept rather than dropped.
             let from = if limit.rate.is_some() { self.now() } else { sent };
@@ -127,7 +128,7 @@
     /// Makes a limit learned at `at` take effect for requests.
     fn apply_limit(&self, life: &EngineIncarnation, rate: Option<Rate>, at: Millis) {
         let entry = self.entries.borrow().get(&life.engine).cloned();
-        if let Some(entry) = entry.filter(|e| e.born == life.born) {
+        if let Some(entry) = entry.filter(|e| e.started_at == life.started_at) {
             self.backpressure_of(&entry).limit().learn(rate, at);
         }
     }
@@ -156,8 +157,10 @@
         if !self.issues_rights() {
             return RightsResponse::default();
         }
-        let life =
-            EngineIncarnation { engine: request.limit.engine.clone(), born: request.limit.born };
+        let life = EngineIncarnation {
+            engine: request.limit.engine.clone(),
+            started_at: request.limit.started_at,
+        };
         let limit = self.limits.borrow().of(&life);
         let Some((rate, _)) = limit else {
             // The engine has no limit any more, which the requester will learn from the feed.
@@ -214,7 +217,7 @@
     let (rate, age_ms) = (backpressure.limit().rate(), backpressure.limit().age(sent));
     let request = RightsRequest {
         node: control.node(),
-        limit: FeedLimit { engine: engine.id.clone(), born: engine.born, rate, age_ms },
+        limit: FeedLimit { engine: engine.id.clone(), started_at: engine.started_at, rate, age_ms },
         requested: count,
     };
     let response = match engine.domain == control.domain() && control.is_planner() {
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -107,8 +107,8 @@
             leaving.keys().filter(|id| !entries.contains_key(*id)).cloned().collect()
         };
         for engine in &gone {
-            let born = self.incarnations.borrow().born(engine);
-            let life = EngineIncarnation { engine: engine.clone(), born };
+            let started_at = self.incarnations.borrow().started_at(engine);
+            let life = EngineIncarnation { engine: engine.clone(), started_at };
             self.drain_notices.borrow_mut().learn(life, 0, self.now());
         }
         self.stored_quarantine.borrow_mut().forget();
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -179,7 +179,8 @@
         /// Layers that it holds.
         layers: LayerRange,
         /// Unix time of its start, milliseconds, if known.
-        born: Option<Millis>,
+        #[serde(rename = "born")]
+        started_at: Option<Millis>,
     },
     /// Many engines were listed, or their entries changed, at once.
     EnginesListed {
@@ -199,7 +200,8 @@
         /// Engine.
         engine: Name,
         /// Unix time of its start, milliseconds.
-        born: Option<Millis>,
+        #[serde(rename = "born")]
+        started_at: Option<Millis>,
         /// How this was noticed.
         by: &'static str,
     },
--- a/crates/heathpitchd/src/gateway/quarantine_snapshot.rs
+++ b/crates/heathpitchd/src/gateway/quarantine_snapshot.rs
@@ -82,7 +82,7 @@
 
 /// The incarnation of an engine that its entry describes.
 pub(crate) fn incarnation_of(engine: &EngineEntry) -> EngineIncarnation {
-    EngineIncarnation { engine: engine.id.clone(), born: engine.born }
+    EngineIncarnation { engine: engine.id.clone(), started_at: engine.started_at }
 }
 
 /// A request that is not sent to any engine.
--- a/crates/net/src/dialect.rs
+++ b/crates/net/src/dialect.rs
@@ -130,7 +130,7 @@
     /// Calls that wait for a later engine of their path, with its address.
     pub stalled: Vec<(Arc<str>, SocketAddr)>,
     /// Unix time of its start in milliseconds, if reported.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
 
 impl EngineStatus {
--- a/crates/net/src/feed_codec.rs
+++ b/crates/net/src/feed_codec.rs
@@ -220,7 +220,7 @@
         let mut to = to.reborrow().get(i as u32);
         to.set_print(e.fingerprint.0);
         to.set_engine(e.engine.as_str());
-        to.set_born(e.born.unwrap_or(0));
+        to.set_born(e.started_at.unwrap_or(0));
         to.set_events(e.events);
         to.set_renewed(e.renewed);
         to.set_void(e.cleared);
@@ -244,7 +244,7 @@
     Ok(FeedExit {
         fingerprint: RequestFingerprint(from.get_print()),
         engine: name(from.get_engine()?)?,
-        born: Some(from.get_born()).filter(|born| *born > 0),
+        started_at: Some(from.get_born()).filter(|started_at| *started_at > 0),
         events: from.get_events(),
         renewed: from.get_renewed(),
         cleared: from.get_void(),
@@ -256,7 +256,7 @@
     for (i, l) in from.iter().enumerate() {
         let mut to = to.reborrow().get(i as u32);
         to.set_engine(l.engine.as_str());
-        to.set_born(l.born.unwrap_or(0));
+        to.set_born(l.started_at.unwrap_or(0));
         to.set_age_ms(l.age_ms);
     }
 }
@@ -264,7 +264,7 @@
 fn read_drain(from: leave::Reader<'_>) -> capnp::Result<FeedDrain> {
     Ok(FeedDrain {
         engine: name(from.get_engine()?)?,
-        born: Some(from.get_born()).filter(|born| *born > 0),
+        started_at: Some(from.get_born()).filter(|started_at| *started_at > 0),
         age_ms: from.get_age_ms(),
     })
 }
@@ -277,7 +277,7 @@
 
 fn write_limit(from: &FeedLimit, mut to: limit::Builder<'_>) {
     to.set_engine(from.engine.as_str());
-    to.set_born(from.born.unwrap_or(0));
+    to.set_born(from.started_at.unwrap_or(0));
     to.set_parts(Rate::pack(from.rate));
     to.set_age_ms(from.age_ms);
 }
@@ -285,7 +285,7 @@
 fn read_limit(from: limit::Reader<'_>) -> capnp::Result<FeedLimit> {
     Ok(FeedLimit {
         engine: name(from.get_engine()?)?,
-        born: Some(from.get_born()).filter(|born| *born > 0),
+        started_at: Some(from.get_born()).filter(|started_at| *started_at > 0),
         rate: Rate::unpack(from.get_parts()),
         age_ms: from.get_age_ms(),
     })
--- a/crates/net/src/feed_message.rs
+++ b/crates/net/src/feed_message.rs
@@ -65,7 +65,7 @@
     /// The engine.
     pub engine: Name,
     /// Unix time of its start in milliseconds, if known.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Its limit; `None` if it no longer advertises one.
     pub rate: Option<Rate>,
     /// Time since the engine signalled it.
@@ -100,7 +100,7 @@
     /// The engine.
     pub engine: Name,
     /// Unix time of its start in milliseconds, if known.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Time since the engine signalled it.
     pub age_ms: Millis,
 }
@@ -113,7 +113,7 @@
     /// The engine.
     pub engine: Name,
     /// Unix time of the engine's start in milliseconds, if known.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Events of the response before the engine ended.
     pub events: u32,
     /// How often the request was seen again much later.
--- a/crates/policy/src/drain_notices.rs
+++ b/crates/policy/src/drain_notices.rs
@@ -36,7 +36,7 @@
 /// ```
 /// use heathpitch_policy::{EngineIncarnation, DrainNotices};
 ///
-/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: None };
 /// let mut notices = DrainNotices::default();
 /// assert!(notices.learn(incarnation.clone(), 0, 10));
 /// assert!(!notices.learn(incarnation.clone(), 300, 20), "already known");
--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Known {
     /// Unix time of the start, milliseconds.
-    born: Millis,
+    started_at: Millis,
     /// When this node saw it replace another incarnation, if it did.
     restarted: Option<Millis>,
 }
@@ -51,23 +51,23 @@
 impl Incarnations {
     /// Records the start time in a message received at `now`; one without a start time counts as of
     /// the known incarnation.
-    pub fn observe(&mut self, engine: &Name, born: Option<Millis>, now: Millis) -> Recency {
-        let Some(born) = born else { return Recency::Current };
-        let known = self.known.get(engine).map(|l| l.born);
+    pub fn observe(&mut self, engine: &Name, started_at: Option<Millis>, now: Millis) -> Recency {
+        let Some(started_at) = started_at else { return Recency::Current };
+        let known = self.known.get(engine).map(|l| l.started_at);
         let (recency, restarted) = match known {
-            Some(known) if born < known => return Recency::Stale,
-            Some(known) if born == known => return Recency::Current,
+            Some(known) if started_at < known => return Recency::Stale,
+            Some(known) if started_at == known => return Recency::Current,
             Some(_) => (Recency::Restarted, Some(now)),
             None => (Recency::Current, None),
         };
-        self.known.insert(engine.clone(), Known { born, restarted });
+        self.known.insert(engine.clone(), Known { started_at, restarted });
         recency
     }
 
     /// Unix time of the start of an engine's newest incarnation, milliseconds, if it ever reported
     /// one.
-    pub fn born(&self, engine: &Name) -> Option<Millis> {
-        self.known.get(engine).map(|l| l.born)
+    pub fn started_at(&self, engine: &Name) -> Option<Millis> {
+        self.known.get(engine).map(|l| l.started_at)
     }
 
     /// Whether a restart of an engine was observed at `since` or later.
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -41,7 +41,7 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord};
 ///
-/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: Some(17) };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: Some(17) };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
 /// let record = LimitRecord::of([(incarnation, limit)]);
 /// assert_eq!(record.text(), "i-1 17 3.6 calls\n");
@@ -79,7 +79,7 @@
                 text,
                 "{} {} {rate} {by}",
                 incarnation.engine,
-                incarnation.born.unwrap_or(0)
+                incarnation.started_at.unwrap_or(0)
             );
         }
         text
@@ -102,15 +102,15 @@
 fn read_line(line: &str) -> Option<(EngineIncarnation, LimitEntry)> {
     let mut words = line.split(' ');
     let engine = words.next()?.parse().ok()?;
-    let born = words.next()?.parse().ok()?;
+    let started_at = words.next()?.parse().ok()?;
     let rate = Rate::per_second(words.next()?.parse().ok()?)?;
     let in_probes = match words.next()? {
         IN_PROBES => true,
         NOT_IN_PROBES => false,
         _ => return None,
     };
-    let born = Some(born).filter(|b| *b > 0);
-    Some((EngineIncarnation { engine, born }, LimitEntry { rate, in_probes }))
+    let started_at = Some(started_at).filter(|b| *b > 0);
+    Some((EngineIncarnation { engine, started_at }, LimitEntry { rate, in_probes }))
 }
 
 /// Schedules the planner's writes of the record of a failure domain.
@@ -121,7 +121,7 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord, LimitRecorder};
 ///
-/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: None };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
 /// let named = LimitRecord::of([(incarnation, limit)]);
 /// let mut recorder = LimitRecorder::default();
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -41,7 +41,7 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, Limits};
 ///
-/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: None };
 /// let rate = Some(Rate::from_thousandths(3_600));
 /// let mut limits = Limits::default();
 /// assert!(limits.learn(incarnation.clone(), rate, 100));
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -48,7 +48,7 @@
     /// Id of the engine.
     pub engine: Name,
     /// Unix time of its start, milliseconds, if the engine reports it.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
 
 /// The termination of an engine while a request was running there.
@@ -93,7 +93,7 @@
 ///
 /// let mut quarantine = Quarantine::default();
 /// let (fatal, moved) = (RequestFingerprint(1), RequestFingerprint(2));
-/// let incarnation = |engine: &str| EngineIncarnation { engine: engine.parse().unwrap(), born: None };
+/// let incarnation = |engine: &str| EngineIncarnation { engine: engine.parse().unwrap(), started_at: None };
 /// for engine in ["e1", "e2", "e3", "e4"] {
 ///     quarantine.record_exit(fatal, incarnation(engine), 0, 10);
 /// }
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -67,7 +67,7 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, Rights};
 ///
-/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: None };
 /// let limit = Rate::from_thousandths(4_000);
 /// let (a, b) = ("n1".parse()?, "n2".parse()?);
 /// let mut rights = Rights::default();
--- a/crates/policy/tests/chain.rs
+++ b/crates/policy/tests/chain.rs
@@ -41,7 +41,7 @@
         slots: 8,
         card: Some(name("card")),
         layers: LayerRange::new(layers.0, layers.1),
-        born: None,
+        started_at: None,
     };
     let card =
         Card { name: name("card"), memory_mb: 9_000.0, step_factor: pace, prefill_factor: pace };
--- a/crates/policy/tests/drain_notices.rs
+++ b/crates/policy/tests/drain_notices.rs
@@ -4,8 +4,8 @@
 
 use heathpitch_policy::{DrainNotices, EngineIncarnation};
 
-fn incarnation(engine: &str, born: u64) -> EngineIncarnation {
-    EngineIncarnation { engine: engine.parse().unwrap(), born: Some(born) }
+fn incarnation(engine: &str, started_at: u64) -> EngineIncarnation {
+    EngineIncarnation { engine: engine.parse().unwrap(), started_at: Some(started_at) }
 }
 
 #[test]
--- a/crates/policy/tests/engine_limit.rs
+++ b/crates/policy/tests/engine_limit.rs
@@ -68,7 +68,7 @@
     assert!(limit.learn(Some(rate(1.0)), 450));
     assert!(!limit.learn(Some(rate(9.0)), 440), "older");
     assert!(limit.learn(None, 600));
-    let incarnation = EngineIncarnation { engine: name("i-1"), born: Some(5) };
+    let incarnation = EngineIncarnation { engine: name("i-1"), started_at: Some(5) };
     let mut limits = Limits::default();
     assert!(!limits.learn(incarnation.clone(), None, 10), "nothing to lift");
     assert!(
--- a/crates/policy/tests/incarnations.rs
+++ b/crates/policy/tests/incarnations.rs
@@ -13,7 +13,7 @@
     assert_eq!(incarnations.observe(&engine, None, 1), Recency::Current);
     assert_eq!(incarnations.observe(&engine, Some(5), 2), Recency::Current);
     assert_eq!(incarnations.observe(&engine, None, 3), Recency::Current);
-    assert_eq!(incarnations.born(&engine), Some(5));
+    assert_eq!(incarnations.started_at(&engine), Some(5));
     assert!(!incarnations.restarted_since(&engine, 0));
 }
 
@@ -27,16 +27,16 @@
         let engine = name("i-1");
         let mut incarnations = Incarnations::default();
         let mut newest = None;
-        for (now, born) in (0..).zip(starts) {
+        for (now, started_at) in (0..).zip(starts) {
             let expected = match newest {
                 None => Recency::Current,
-                Some(n) if born > n => Recency::Restarted,
-                Some(n) if born < n => Recency::Stale,
+                Some(n) if started_at > n => Recency::Restarted,
+                Some(n) if started_at < n => Recency::Stale,
                 Some(_) => Recency::Current,
             };
-            prop_assert_eq!(incarnations.observe(&engine, Some(born), now), expected);
-            newest = newest.max(Some(born));
-            prop_assert_eq!(incarnations.born(&engine), newest);
+            prop_assert_eq!(incarnations.observe(&engine, Some(started_at), now), expected);
+            newest = newest.max(Some(started_at));
+            prop_assert_eq!(incarnations.started_at(&engine), newest);
             prop_assert_eq!(
                 incarnations.restarted_since(&engine, now),
                 expected == Recency::Restarted
--- a/crates/policy/tests/layout_whole_fleet.rs
+++ b/crates/policy/tests/layout_whole_fleet.rs
@@ -139,7 +139,7 @@
                 slots: model.slots,
                 card: Some(w.card.name.clone()),
                 layers: w.layers,
-                born: None,
+                started_at: None,
             };
             let full = share > FULL_SHARE;
             ChainEngine {
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -131,7 +131,7 @@
             signals: (0..load.nodes).map(|_| Arc::default()).collect(),
             equal: (0..load.nodes).map(bucket).collect(),
             rights: Rights::default(),
-            incarnation: EngineIncarnation { engine: name("i-1"), born: None },
+            incarnation: EngineIncarnation { engine: name("i-1"), started_at: None },
             limits: Limits::default(),
             recorder: LimitRecorder::default(),
             record: String::new(),
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -12,7 +12,7 @@
 const OTHER: RequestFingerprint = RequestFingerprint(8);
 
 fn incarnation(engine: u32) -> EngineIncarnation {
-    EngineIncarnation { engine: format!("e{engine}").parse().unwrap(), born: None }
+    EngineIncarnation { engine: format!("e{engine}").parse().unwrap(), started_at: None }
 }
 
 fn after(exits: &[(RequestFingerprint, u32, u32)]) -> Quarantine {
--- a/crates/proof/src/telling/ends.rs
+++ b/crates/proof/src/telling/ends.rs
@@ -36,7 +36,7 @@
     /// An engine ends under a request, and a node sees it.
     pub(super) fn end_engine(&mut self, at: usize, print: u64) -> EngineIncarnation {
         self.ended += 1;
-        let life = EngineIncarnation { engine: name(at), born: Some(self.ended) };
+        let life = EngineIncarnation { engine: name(at), started_at: Some(self.ended) };
         let (print, now) = (RequestFingerprint(print), self.now);
         self.nodes[at].quarantine.record_exit(print, life.clone(), 0, now);
         life
