--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -282,7 +282,7 @@
         let request = FeedRequest {
             node: settings.node.clone(),
             address: self.shared.peer.unwrap_or(settings.listen),
-            able: nodes::is_able(&settings),
+            can_plan: nodes::can_plan(&settings),
             revision: self.revision(),
             version: self.version(),
             digest: self.mirror.borrow().digest(),
--- a/crates/heathpitchd/src/gateway/control/feed_server.rs
+++ b/crates/heathpitchd/src/gateway/control/feed_server.rs
@@ -72,7 +72,7 @@
         return local_reports(control, known);
     }
     let follower = Source { node: request.node.clone(), address: request.address };
-    control.followers.borrow_mut().record_poll(follower, request.able, control.now());
+    control.followers.borrow_mut().record_poll(follower, request.can_plan, control.now());
     let mut response = nodes(control);
     if let Err(e) = fill(control, &request, known, &mut response) {
         log::error!("failed to pack the answer to a poll: {e}");
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -51,7 +51,7 @@
 const MAX_RETRY: Duration = Duration::from_millis(4_000);
 
 /// Whether the VM is large enough for a planner.
-pub(super) fn is_able(settings: &GatewaySettings) -> bool {
+pub(super) fn can_plan(settings: &GatewaySettings) -> bool {
     settings.vm.link_mbps >= MIN_LINK_MBPS && settings.vm.cpu_share >= MIN_CPU_SHARE
 }
 
@@ -59,11 +59,11 @@
 pub(super) async fn follow(control: Rc<Control>) {
     let key = planner_key(&control.domain());
     let mut retry = RETRY;
-    let (first_start, able) = {
+    let (first_start, can_plan) = {
         let settings = control.shared.settings.load();
-        (settings.first_start, is_able(&settings))
+        (settings.first_start, can_plan(&settings))
     };
-    let start = FleetStart { first_start, able, seeded: !control.seeds.is_empty() };
+    let start = FleetStart { first_start, can_plan, seeded: !control.seeds.is_empty() };
     control.sources.borrow_mut().schedule_first_lookup(start, control.now(), &mut rand::rng());
     let mut seen = None;
     loop {
@@ -283,7 +283,7 @@
 /// Random delay in milliseconds before this node contends for a free lease.
 fn stagger(settings: &GatewaySettings) -> Millis {
     let wait = rand::rng().random_range(1..MAX_STAGGER_MS);
-    if is_able(settings) { wait } else { SMALL_VM_DELAY_MS + 2 * wait }
+    if can_plan(settings) { wait } else { SMALL_VM_DELAY_MS + 2 * wait }
 }
 
 /// Key of a failure domain's planner.
--- a/crates/net/src/feed_codec.rs
+++ b/crates/net/src/feed_codec.rs
@@ -45,7 +45,7 @@
 pub(crate) fn write_request(from: &FeedRequest, mut to: ask::Builder<'_>) {
     to.set_node(from.node.as_str());
     to.set_address(from.address.to_string());
-    to.set_able(from.able);
+    to.set_able(from.can_plan);
     to.set_revision(from.revision.0);
     to.set_version(from.version);
     to.set_digest(from.digest);
@@ -66,7 +66,7 @@
     Ok(FeedRequest {
         node: name(from.get_node()?)?,
         address: address(from.get_address()?)?,
-        able: from.get_able(),
+        can_plan: from.get_able(),
         revision: Revision(from.get_revision()),
         version: from.get_version(),
         digest: from.get_digest(),
--- a/crates/net/src/feed_message.rs
+++ b/crates/net/src/feed_message.rs
@@ -16,7 +16,7 @@
     /// Address at which it can be polled itself.
     pub address: SocketAddr,
     /// Whether its VM has the capacity for a planner's feed.
-    pub able: bool,
+    pub can_plan: bool,
     /// Revision of its configuration; 0 for none.
     pub revision: Revision,
     /// The operator's version of its configuration; 0 for none.
--- a/crates/policy/src/followers.rs
+++ b/crates/policy/src/followers.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 struct Follower {
     source: Source,
-    able: bool,
+    can_plan: bool,
     at: Millis,
 }
 
@@ -46,9 +46,9 @@
 
 /// # Updates
 impl Followers {
-    /// Records a poll by a node; `able` says whether its VM can run a planner.
-    pub fn record_poll(&mut self, source: Source, able: bool, now: Millis) {
-        self.seen.insert(source.node.clone(), Follower { source, able, at: now });
+    /// Records a poll by a node; `can_plan` says whether its VM can run a planner.
+    pub fn record_poll(&mut self, source: Source, can_plan: bool, now: Millis) {
+        self.seen.insert(source.node.clone(), Follower { source, can_plan, at: now });
     }
 
     /// Drops all followers, when this node stops being the planner.
@@ -56,7 +56,7 @@
         *self = Self::default();
     }
 
-    /// Selects the standbys: able nodes first, then the previous standbys, then by name.
+    /// Selects the standbys: nodes that can run a planner first, then the previous standbys, then by name.
     ///
     /// The selection changes as little as possible, so that all followers know the same standbys.
     pub fn standbys(&mut self, now: Millis) -> Vec<Source> {
@@ -64,7 +64,7 @@
             self.seen.values().filter(|f| now < f.at + PRESENT_MS).collect();
         let rank = |f: &Follower| {
             let previous = self.standbys.iter().position(|n| n == &f.source.node);
-            (!f.able, previous.unwrap_or(STANDBYS))
+            (!f.can_plan, previous.unwrap_or(STANDBYS))
         };
         // The sort is stable and keeps the order by name.
         present.sort_by_key(|f| rank(f));
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -73,7 +73,7 @@
     /// planner yet.
     pub first_start: bool,
     /// Whether this node's VM is large enough to run a planner.
-    pub able: bool,
+    pub can_plan: bool,
     /// Whether it can ask seeds for the planners.
     pub seeded: bool,
 }
@@ -294,7 +294,7 @@
     /// on a small VM can avoid it: it waits until a larger one is the planner and a seed names it.
     pub fn schedule_first_lookup(&mut self, start: FleetStart, now: Millis, rng: &mut impl Rng) {
         let (delay, spread) = match start {
-            FleetStart { able: true, .. } => (0, 0),
+            FleetStart { can_plan: true, .. } => (0, 0),
             FleetStart { first_start: true, seeded: true, .. } => FIRST_LOOKUP_SEEDED_MS,
             FleetStart { first_start: true, seeded: false, .. } => FIRST_LOOKUP_MS,
             FleetStart { first_start: false, seeded: true, .. } => RESTART_LOOKUP_SEEDED_MS,
--- a/crates/policy/tests/fleet_start.rs
+++ b/crates/policy/tests/fleet_start.rs
@@ -14,7 +14,7 @@
 
 const DOMAINS: usize = 5;
 /// Nodes of a domain whose VM is large enough for a planner.
-const ABLE_NODES: usize = 10;
+const PLANNER_NODES: usize = 10;
 /// Nodes that the settings name as seeds.
 const SEEDS: [usize; 3] = [3, 71, 142];
 /// Time step of the simulation.
@@ -27,14 +27,14 @@
 const START_SPREAD_MS: Millis = 300;
 /// Time from taking the lease until a planner has read the store.
 const READ_MS: Millis = 60;
-/// Longest random wait of an able node before it takes a free lease.
+/// Longest random wait of a node that can run a planner before it takes a free lease.
 const CLAIM_SPREAD_MS: Millis = 200;
 /// Least wait of other nodes, to which up to twice `CLAIM_SPREAD_MS` is added.
 const SMALL_VM_WAIT_MS: Millis = 250;
 
 struct Node {
     domain: usize,
-    able: bool,
+    can_plan: bool,
     starts: Millis,
     sources: Sources,
     /// When it takes its domain's lease, if that is still free.
@@ -78,16 +78,16 @@
         let seeds = if seeded { SEEDS.map(|s| s % nodes).to_vec() } else { Vec::new() };
         let node = |i: usize| {
             let starts = rng.random_range(1..START_SPREAD_MS);
-            let able = i / DOMAINS < ABLE_NODES;
+            let can_plan = i / DOMAINS < PLANNER_NODES;
             let mut sources = Sources::new(source(i).node, domain(i % DOMAINS), starts);
             let seeded = seeded && !seeds.contains(&i);
             sources.schedule_first_lookup(
-                FleetStart { first_start, able, seeded },
+                FleetStart { first_start, can_plan, seeded },
                 starts,
                 &mut rng,
             );
             let domain = i % DOMAINS;
-            Node { domain, able, starts, sources, claims_at: None, updated: None, reads_at: 0 }
+            Node { domain, can_plan, starts, sources, claims_at: None, updated: None, reads_at: 0 }
         };
         let nodes: Vec<Node> = (0..nodes).map(node).collect();
         // After all nodes were killed, their leases have not expired yet.
@@ -182,7 +182,7 @@
                 self.calls += 1;
                 let wait = self.rng.random_range(1..CLAIM_SPREAD_MS);
                 node.claims_at =
-                    Some(now + if node.able { wait } else { SMALL_VM_WAIT_MS + 2 * wait });
+                    Some(now + if node.can_plan { wait } else { SMALL_VM_WAIT_MS + 2 * wait });
             }
         }
     }
@@ -228,7 +228,7 @@
             );
             assert!(calls <= unseeded, "{nodes} nodes: {calls}, {unseeded} without seeds");
             assert!(last_update <= 3_000, "{nodes} nodes: updated after {last_update} ms");
-            assert!(calls <= 4 * DOMAINS * ABLE_NODES, "{nodes} nodes: {calls}");
+            assert!(calls <= 4 * DOMAINS * PLANNER_NODES, "{nodes} nodes: {calls}");
             at_largest = calls;
         }
         assert!(at_largest < 1_970 / 4, "{at_largest}");
