--- a/crates/fakes/src/engine_http.rs
+++ b/crates/fakes/src/engine_http.rs
@@ -7,7 +7,7 @@
 use heathpitch_core::{Attempt, LayerRange};
 use heathpitch_net as body;
 use heathpitch_net::{Body, BodyError, Frame, GenerateCall, Order, RefusalKind};
-use heathpitch_policy::{BLOCK, blocks, prompt_tokens};
+use heathpitch_policy::{BLOCK_TOKENS, blocks, prompt_tokens};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 use parking_lot::Mutex;
@@ -155,7 +155,7 @@
     /// Decodes until the answer is whole, a stage fails or the router has gone.
     async fn drive(mut self, hit: usize, lose: bool) {
         let start = prompt_tokens(&self.call.prompt).len();
-        let mut from = (hit * BLOCK).min(self.tokens.len() - 1);
+        let mut from = (hit * BLOCK_TOKENS).min(self.tokens.len() - 1);
         let mut skip = hit;
         let mut held = None;
         loop {
--- a/crates/fakes/src/stage.rs
+++ b/crates/fakes/src/stage.rs
@@ -5,7 +5,7 @@
 
 use heathpitch_core::{Attempt, LayerRange, Name, Priority};
 use heathpitch_net::{Hop, Refusal, RefusalKind, RpcError};
-use heathpitch_policy::BLOCK;
+use heathpitch_policy::BLOCK_TOKENS;
 use hyper::Method;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -177,7 +177,7 @@
         match self.cache.lock().get(*block, sequence.layers) {
             Some(digests) if sequence.at == 0 => {
                 sequence.kv.digests = digests;
-                sequence.at = (blocks * BLOCK) as u32;
+                sequence.at = (blocks * BLOCK_TOKENS) as u32;
                 true
             }
             _ => false,
@@ -190,8 +190,8 @@
             outputs.push(sequence.kv.run(*input));
             sequence.at += 1;
             let at = sequence.at as usize;
-            if at.is_multiple_of(BLOCK) && at / BLOCK <= sequence.blocks.len() {
-                let block = sequence.blocks[at / BLOCK - 1];
+            if at.is_multiple_of(BLOCK_TOKENS) && at / BLOCK_TOKENS <= sequence.blocks.len() {
+                let block = sequence.blocks[at / BLOCK_TOKENS - 1];
                 let digests = sequence.kv.digests.clone();
                 self.cache.lock().put(block, sequence.layers, digests);
             }
--- a/crates/policy/src/blocks.rs
+++ b/crates/policy/src/blocks.rs
@@ -5,7 +5,7 @@
 /// Token that starts every prompt.
 const START_TOKEN: u32 = 256;
 /// Tokens in a block.
-pub const BLOCK: usize = 16;
+pub const BLOCK_TOKENS: usize = 16;
 
 /// Hashes of the complete blocks of a prompt, each chained to the one before.
 ///
@@ -25,7 +25,7 @@
 /// ```
 pub fn blocks(account: &Name, model: &Name, tokens: &[u32]) -> Vec<u64> {
     let salt = hash_name(model, hash_name(account, 3));
-    let chain = tokens.chunks_exact(BLOCK).scan(salt, |h, block| {
+    let chain = tokens.chunks_exact(BLOCK_TOKENS).scan(salt, |h, block| {
         *h = block.iter().fold(*h, |h, t| mix(h, u64::from(*t) + 1));
         Some(*h)
     });
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -58,7 +58,7 @@
 pub use account_limiter::{AccountLimiter, LimitExceeded};
 pub use admission::{AdmissionControl, Shed};
 pub use backpressure::{Admission, Backpressure};
-pub use blocks::{BLOCK, blocks, prompt_tokens};
+pub use blocks::{BLOCK_TOKENS, blocks, prompt_tokens};
 pub use bucket::Bucket;
 pub use budget::{RetryBudget, retry_after};
 pub use chain::{ChainEngine, ChainQuery, find_chain, find_local_chain};
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 
 use crate::blocks::{hash_name, mix};
-use crate::{BLOCK, Need, PrefixIndex, Upstream, predict};
+use crate::{BLOCK_TOKENS, Need, PrefixIndex, Upstream, predict};
 
 /// Extra cost, as a fraction, at which the engine with the prefix is still preferred.
 const AFFINITY_TOLERANCE: f64 = 0.25;
@@ -144,7 +144,7 @@
 }
 
 fn cost_with(u: &Upstream, ask: &PathRequest<'_>, blocks: usize) -> f64 {
-    let tokens = ask.tokens.saturating_sub((blocks * BLOCK) as u32);
+    let tokens = ask.tokens.saturating_sub((blocks * BLOCK_TOKENS) as u32);
     predict(u, &Need { tokens, domain: ask.domain, now: ask.now })
 }
 
