--- a/crates/heathpitchd/src/control/members.rs
+++ b/crates/heathpitchd/src/control/members.rs
@@ -20,5 +20,5 @@
     let config = control.replica.borrow().revision();
     let mut members = control.members.borrow_mut();
     members.announce(state, config);
-    members.beat(now);
+    members.heartbeat(now);
 }
--- a/crates/heathpitchd/src/control/state.rs
+++ b/crates/heathpitchd/src/control/state.rs
@@ -62,7 +62,7 @@
         let me = Member {
             node: settings.node.clone(),
             incarnation: shared.incarnation,
-            beat: 0,
+            heartbeat: 0,
             domain: settings.domain.clone(),
             peer: addresses.peer,
             caller: addresses.caller,
--- a/crates/net/src/peer_codec.rs
+++ b/crates/net/src/peer_codec.rs
@@ -64,7 +64,7 @@
 fn write_member(from: &Member, mut to: member::Builder<'_>) {
     to.set_node(from.node.as_str());
     to.set_life(from.incarnation.0);
-    to.set_beat(from.beat);
+    to.set_beat(from.heartbeat);
     to.set_domain(from.domain.as_str());
     to.set_peer(from.peer.as_str());
     to.set_caller(from.caller.as_str());
@@ -78,7 +78,7 @@
     Ok(Member {
         node: name(from.get_node()?)?,
         incarnation: Incarnation(from.get_life()),
-        beat: from.get_beat(),
+        heartbeat: from.get_beat(),
         domain: name(from.get_domain()?)?,
         peer: name(from.get_peer()?)?,
         caller: name(from.get_caller()?)?,
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -34,7 +34,7 @@
     /// Incarnation of the node.
     pub incarnation: Incarnation,
     /// Heartbeat count of that incarnation.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// Failure domain.
     pub domain: Name,
     /// `ip:port` for peers.
@@ -54,7 +54,7 @@
 impl Member {
     /// Incarnations are ordered by the wall clock at start, so a restart supersedes earlier ones.
     fn newer(&self, other: &Member) -> bool {
-        (self.incarnation, self.beat) > (other.incarnation, other.beat)
+        (self.incarnation, self.heartbeat) > (other.incarnation, other.heartbeat)
     }
 }
 
@@ -136,8 +136,8 @@
 /// # Events
 impl Members {
     /// Advances the heartbeat and evicts members that have long been dead.
-    pub fn beat(&mut self, now: Millis) {
-        self.me.beat += 1;
+    pub fn heartbeat(&mut self, now: Millis) {
+        self.me.heartbeat += 1;
         let forget = self.period * DEAD_AFTER_BEATS * 3;
         self.known.retain(|_, h| now.saturating_sub(h.at) < forget);
     }
--- a/crates/policy/tests/members.rs
+++ b/crates/policy/tests/members.rs
@@ -18,7 +18,7 @@
     Member {
         node: name(&format!("n{i}")),
         incarnation: Incarnation(1),
-        beat: 0,
+        heartbeat: 0,
         domain: name(domain),
         peer: name(&format!("p{i}")),
         caller: name("c"),
@@ -43,7 +43,7 @@
     for _ in 0..rounds {
         now += PERIOD_MS;
         for i in 0..nodes {
-            all[i].beat(now);
+            all[i].heartbeat(now);
             let Some(peer) = all[i].pick_peer(now, &mut rng) else { continue };
             let j: usize = peer.as_str()[1..].parse().unwrap();
             if i == j {
@@ -79,7 +79,7 @@
 fn a_restarted_node_replaces_its_earlier_incarnation() {
     let mut m = Members::new(member(0, "d"), PERIOD_MS);
     m.merge(vec![Member { incarnation: Incarnation(2), ..member(1, "d") }], 1);
-    m.merge(vec![Member { beat: 99, ..member(1, "d") }], 2);
+    m.merge(vec![Member { heartbeat: 99, ..member(1, "d") }], 2);
     assert!(m.find("n1", Incarnation(2), 2).is_some());
     assert!(m.find("n1", Incarnation(1), 2).is_none());
 }
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -196,7 +196,7 @@
     Member {
         node: name(&format!("node-{i}")),
         incarnation: Incarnation(1),
-        beat: 1,
+        heartbeat: 1,
         domain: name(&format!("d{}", i % 6)),
         peer: name("10.0.0.1:7000"),
         caller: name("10.0.0.1:8000"),
@@ -216,10 +216,10 @@
 fn membership() {
     for nodes in [8, 100, 200, 410] {
         let mut of = members(nodes);
-        let mut beat = 2;
+        let mut heartbeat = 2;
         let ns = time(200, || {
-            beat += 1;
-            let fresh = (1..17).map(|i| Member { beat, ..member(i * 6) }).collect();
+            heartbeat += 1;
+            let fresh = (1..17).map(|i| Member { heartbeat, ..member(i * 6) }).collect();
             of.merge(fresh, 1_000);
             black_box(of.freshest(16, 1_000));
         });
--- a/crates/proof/src/members.rs
+++ b/crates/proof/src/members.rs
@@ -56,7 +56,7 @@
     let me = Member {
         node: name(i),
         incarnation: Incarnation(life),
-        beat: 0,
+        heartbeat: 0,
         domain: domain(i),
         peer: name(i),
         caller: name(i),
@@ -100,7 +100,7 @@
         if !self.nodes[at].alive {
             return Ok(());
         }
-        self.nodes[at].members.beat(self.now);
+        self.nodes[at].members.heartbeat(self.now);
         let picked = self.nodes[at].members.pick_peer(self.now, &mut self.rng);
         let Some(other) = picked.and_then(|p| (0..NODES).find(|i| name(*i) == p)) else {
             return Ok(());
