--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -169,7 +169,7 @@
         let draw = rand::rng().random_range(0.0..1.0);
         let mut rights = self.rights.borrow_mut();
         let grant = rights.issue(&life, rate, &request.node, request.requested, draw, now);
-        RightsResponse { active: true, issued: grant.given, wait_ms: grant.wait }
+        RightsResponse { active: true, issued: grant.issued, wait_ms: grant.wait }
     }
 }
 
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -2,7 +2,7 @@
 //!
 //! Each request needs one right, and rights are issued at the rate of the limit. So the sum over all nodes stays
 //! within it, whatever their number and however clients are spread over them. A node that becomes the issuer does
-//! not know the rights issued before, so it starts with a nearly empty bucket. A node that gets no right is told when
+//! not know the rights issued before, so it starts with a nearly empty bucket. A node that gets no right learns when
 //! to ask again, such that all nodes together ask at a bounded rate.
 
 use std::collections::HashMap;
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// Rights issued.
-    pub given: u16,
+    pub issued: u16,
     /// Time after which to ask again; 0 if any were issued.
     pub wait: Millis,
 }
@@ -71,10 +71,10 @@
 /// let limit = Rate::from_thousandths(4_000);
 /// let (a, b) = ("n1".parse()?, "n2".parse()?);
 /// let mut rights = Rights::default();
-/// assert_eq!(rights.issue(&incarnation, limit, &a, 1, 0.0, 0).given, 0, "nearly empty at first");
-/// assert_eq!(rights.issue(&incarnation, limit, &a, 1, 0.0, 250).given, 1);
+/// assert_eq!(rights.issue(&incarnation, limit, &a, 1, 0.0, 0).issued, 0, "nearly empty at first");
+/// assert_eq!(rights.issue(&incarnation, limit, &a, 1, 0.0, 250).issued, 1);
 /// let none = rights.issue(&incarnation, limit, &b, 1, 0.0, 260);
-/// assert_eq!((none.given, none.wait), (0, 140));
+/// assert_eq!((none.issued, none.wait), (0, 140));
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -106,15 +106,15 @@
         }
         issued.at = now;
         issued.requesters.insert(node.clone(), now);
-        for given in 0..wanted {
+        for count in 0..wanted {
             if let Err(next) = issued.bucket.take(now) {
                 let since = *issued.shortage.get_or_insert(now);
                 issued.binding |= now >= since + BINDING_DELAY_MS;
-                let wait = if given > 0 { 0 } else { issued.wait(next, draw, now) };
-                return Grant { given, wait };
+                let wait = if count > 0 { 0 } else { issued.wait(next, draw, now) };
+                return Grant { issued: count, wait };
             }
         }
-        Grant { given: wanted, wait: 0 }
+        Grant { issued: wanted, wait: 0 }
     }
 
     /// Removes all engines; called when this node becomes or stops being the issuer.
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -307,10 +307,10 @@
         let wanted = limit.wanted(now);
         let grant =
             self.rights.issue(&self.incarnation, rate, &self.names[node], wanted, draw, now);
-        if grant.given == 0 {
+        if grant.issued == 0 {
             limit.pause_until(now + grant.wait);
         }
-        limit.add_rights(grant.given, now, now);
+        limit.add_rights(grant.issued, now, now);
         EngineLimit::take(backpressure, now)
     }
 }
