--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -245,7 +245,7 @@
 
 fn apply_engines(control: &Control, response: &FeedEngines) -> Result<(), RpcError> {
     let (items, gone) = match response {
-        FeedEngines::Whole(packed) => {
+        FeedEngines::Full(packed) => {
             let items = unpack(packed)?;
             let kept: HashSet<Name> =
                 items.iter().filter_map(|i| engines::engine_id(control, &i.key)).collect();
@@ -253,9 +253,9 @@
             let gone = entries.keys().filter(|id| !kept.contains(*id)).cloned().collect();
             (items, gone)
         }
-        FeedEngines::Changes { items, gone } => {
+        FeedEngines::Changes { items, removed } => {
             let gone: Vec<Name> =
-                gone.iter().filter_map(|key| engines::engine_id(control, key)).collect();
+                removed.iter().filter_map(|key| engines::engine_id(control, key)).collect();
             (items.clone(), gone)
         }
     };
--- a/crates/heathpitchd/src/gateway/control/feed_server.rs
+++ b/crates/heathpitchd/src/gateway/control/feed_server.rs
@@ -138,7 +138,7 @@
         }
     };
     let engines = engines(control, request.digest, known.serial)?;
-    let packed = if let FeedEngines::Whole(packed) = &engines { packed.len() } else { 0 };
+    let packed = if let FeedEngines::Full(packed) = &engines { packed.len() } else { 0 };
     let large = packed + config.as_ref().map_or(0, |c| c.value.len());
     if !control.full_transfers.take(large, now) {
         response.withheld = true;
@@ -162,15 +162,15 @@
     }
     let delta = mirror.since(serial);
     if !delta.full {
-        return Ok(FeedEngines::Changes { items: delta.items, gone: delta.removed });
+        return Ok(FeedEngines::Changes { items: delta.items, removed: delta.removed });
     }
     let mut kept = control.full_transfers.engines.borrow_mut();
     match &*kept {
-        Some((serial, packed)) if *serial == delta.serial => Ok(FeedEngines::Whole(packed.clone())),
+        Some((serial, packed)) if *serial == delta.serial => Ok(FeedEngines::Full(packed.clone())),
         _ => {
             let packed = pack(&delta.items)?;
             *kept = Some((delta.serial, packed.clone()));
-            Ok(FeedEngines::Whole(packed))
+            Ok(FeedEngines::Full(packed))
         }
     }
 }
--- a/crates/net/src/feed_codec.rs
+++ b/crates/net/src/feed_codec.rs
@@ -99,14 +99,14 @@
     to.set_beside(from.domain_size);
     to.set_vacant(from.planner_released);
     match &from.engines {
-        FeedEngines::Whole(packed) => {
+        FeedEngines::Full(packed) => {
             to.set_whole(true);
             to.set_packed(packed);
         }
-        FeedEngines::Changes { items, gone } => {
+        FeedEngines::Changes { items, removed } => {
             write_items(items, to.reborrow().init_items(items.len() as u32));
-            let mut keys = to.reborrow().init_gone(gone.len() as u32);
-            for (i, key) in gone.iter().enumerate() {
+            let mut keys = to.reborrow().init_gone(removed.len() as u32);
+            for (i, key) in removed.iter().enumerate() {
                 keys.set(i as u32, &**key);
             }
         }
@@ -140,10 +140,10 @@
         Ok::<Arc<str>, capnp::Error>(k?.to_str()?.into())
     };
     let engines = match from.get_whole() {
-        true => FeedEngines::Whole(Bytes::copy_from_slice(from.get_packed()?)),
+        true => FeedEngines::Full(Bytes::copy_from_slice(from.get_packed()?)),
         false => FeedEngines::Changes {
             items: read_items(from.get_items()?)?,
-            gone: from.get_gone()?.iter().map(key).collect::<capnp::Result<_>>()?,
+            removed: from.get_gone()?.iter().map(key).collect::<capnp::Result<_>>()?,
         },
     };
     Ok(FeedResponse {
--- a/crates/net/src/feed_message.rs
+++ b/crates/net/src/feed_message.rs
@@ -176,19 +176,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedEngines {
     /// All entries, encoded by [`pack`](crate::pack).
-    Whole(Bytes),
+    Full(Bytes),
     /// Changes since the serial given in the poll.
     Changes {
         /// New and changed entries.
         items: Vec<Item>,
         /// Keys of deleted entries.
-        gone: Vec<Arc<str>>,
+        removed: Vec<Arc<str>>,
     },
 }
 
 impl Default for FeedEngines {
     fn default() -> Self {
-        Self::Changes { items: Vec::new(), gone: Vec::new() }
+        Self::Changes { items: Vec::new(), removed: Vec::new() }
     }
 }
 
