--- a/crates/fakes/src/stage.rs
+++ b/crates/fakes/src/stage.rs
@@ -166,7 +166,7 @@
 
     /// This engine's statement that it did not start.
     pub(crate) fn refusal(&self, kind: RefusalKind) -> Refusal {
-        Refusal { started: false, kind, engine: self.setup.name.clone(), back: 200 }
+        Refusal { started: false, kind, engine: self.setup.name.clone(), retry_after: 200 }
     }
 
     /// Takes the state at the end of the skipped blocks from the cache.
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -35,8 +35,8 @@
     /// Engine that refused: the head of the path or a later stage.
     pub engine: Name,
     /// Time after which to retry, milliseconds.
-    #[serde(default)]
-    pub back: Millis,
+    #[serde(default, rename = "back")]
+    pub retry_after: Millis,
 }
 
 /// Error of sending a request.
