--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -1,6 +1,6 @@
 //! Invariants, checked in debug builds.
 //!
-//! Each invariant has a name that is part of the panic message, so a failed randomised run shows
+//! Each invariant has a name that is part of the panic message, so a failed randomized run shows
 //! which one was violated.
 
 use std::fmt;
--- a/crates/net/src/dialect.rs
+++ b/crates/net/src/dialect.rs
@@ -1,4 +1,4 @@
-//! Interface of a platform adapter, besides the store: documents, headers of calls and control of engines.
+//! Interface of a platform adapter, other than the store: documents, headers of calls and control of engines.
 //!
 //! Only the adapter that implements these traits knows the names that the platform uses.
 
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -209,7 +209,7 @@
     ///
     /// # Errors
     ///
-    /// [`SendFailure`], which tells whether the request may have been received.
+    /// [`SendFailure`], which says whether the request may have been received.
     pub async fn send(&mut self, request: Request<Body>) -> Result<Response, SendFailure> {
         if let Err(e) = self.sender.ready().await {
             return Err(SendFailure::Unsent(error_chain(&e)));
--- a/crates/policy/src/bucket.rs
+++ b/crates/policy/src/bucket.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns an unused token.
-    pub fn untake(&mut self) {
+    pub fn refund(&mut self) {
         self.level = (self.level + 1.0).min(self.burst);
     }
 
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -12,10 +12,10 @@
 
 /// Cost of one more stage: the delay inside a domain, milliseconds per token.
 pub(crate) const HOP_COST: f64 = 0.2;
-/// Cost beside the delay of starting in another domain and of returning answers from there, which
+/// Cost in addition to the delay of starting in another domain and of returning answers from there, which
 /// carries text only; milliseconds per token.
 const REMOTE_COST: f64 = 1.5;
-/// Cost beside the delay of continuing in another domain, milliseconds per token.
+/// Cost in addition to the delay of continuing in another domain, milliseconds per token.
 ///
 /// A prompt's activations occupy the link between domains, which requests use one at a time, for
 /// 20 to 35 ms. If all requests of a domain cross, the link saturates, so crossing costs more than
@@ -36,7 +36,7 @@
     pub entry: Arc<EngineEntry>,
     /// Its card.
     pub card: Card,
-    /// Cost beside that of its layers, such as load or suspected failure; milliseconds per token.
+    /// Cost in addition to that of its layers, such as load or suspected failure; milliseconds per token.
     pub penalty: f64,
     /// Cost of starting here: requests waiting for prefill; milliseconds per token.
     pub start_cost: f64,
--- a/crates/policy/src/engine_limit.rs
+++ b/crates/policy/src/engine_limit.rs
@@ -8,7 +8,7 @@
 //!
 //! No node can enforce a limit on the sum over all nodes alone: each request needs a right, issued by the planner of
 //! the engine's failure domain ([`Rights`](crate::Rights)). Rights expire soon, so that a node resuming after a
-//! stall does not use old ones beside new ones. A node that cannot reach an issuer issues its own: all such
+//! stall does not use old ones in addition to new ones. A node that cannot reach an issuer issues its own: all such
 //! nodes together at most a quarter of the limit, so that the rights issued to others in the meantime do not
 //! add up to more than the limit allows.
 
@@ -35,7 +35,7 @@
 const COUNT_INTERVAL_MS: Millis = 250;
 /// Largest batch of rights to request.
 const MAX_BATCH: u16 = 256;
-/// Bits of a count that is packed beside a time.
+/// Bits of a count that is packed with a time.
 const COUNT_BITS: u32 = 16;
 const COUNT_MASK: u64 = (1 << COUNT_BITS) - 1;
 
@@ -121,7 +121,7 @@
     fn set(&self, rate: Option<Rate>, at: Millis) -> bool {
         self.changed.store(at, Relaxed);
         self.omitted.store(false, Relaxed);
-        // Rights issued under another limit are void.
+        // Rights issued under another limit are invalid.
         self.stock.store(0, Relaxed);
         self.rate.store(Rate::pack(rate), Relaxed);
         true
@@ -131,24 +131,28 @@
 /// # Rights
 impl EngineLimit {
     /// Takes a right from the stock.
-    pub fn take(wish: &Arc<Backpressure>, now: Millis) -> Option<Right> {
-        let stock = &wish.limit().stock;
+    pub fn take(backpressure: &Arc<Backpressure>, now: Millis) -> Option<Right> {
+        let stock = &backpressure.limit().stock;
         let taken = stock.fetch_update(Relaxed, Relaxed, |s| {
             (until(s) > now && s & COUNT_MASK > 0).then(|| s - 1)
         });
-        taken.ok().map(|s| Right { wish: wish.clone(), until: until(s), used: false })
+        taken.ok().map(|s| Right {
+            backpressure: backpressure.clone(),
+            until: until(s),
+            used: false,
+        })
     }
 
     /// Adds `count` rights issued to a request sent at `sent`, and takes one; `None` if they arrived too late or
     /// another call took the last one.
     pub fn receive(
-        wish: &Arc<Backpressure>,
+        backpressure: &Arc<Backpressure>,
         count: u16,
         sent: Millis,
         now: Millis,
     ) -> Option<Right> {
-        wish.limit().add_rights(count, sent, now);
-        Self::take(wish, now)
+        backpressure.limit().add_rights(count, sent, now);
+        Self::take(backpressure, now)
     }
 
     /// Adds `count` rights issued to a request sent at `sent`.
@@ -264,20 +268,20 @@
 /// Permit to send one request to an engine; returned to the stock on drop if unused.
 #[derive(Debug)]
 pub struct Right {
-    wish: Arc<Backpressure>,
+    backpressure: Arc<Backpressure>,
     until: Millis,
     used: bool,
 }
 
 impl Right {
     /// A right that this node issued to itself at `now`.
-    pub fn self_issued(wish: &Arc<Backpressure>, now: Millis) -> Self {
-        Self { wish: wish.clone(), until: now + RIGHT_TTL_MS, used: false }
+    pub fn self_issued(backpressure: &Arc<Backpressure>, now: Millis) -> Self {
+        Self { backpressure: backpressure.clone(), until: now + RIGHT_TTL_MS, used: false }
     }
 
     /// Uses the right if it is for this engine and valid at `now`; returns whether it was.
-    pub(crate) fn spend(&mut self, wish: &Arc<Backpressure>, now: Millis) -> bool {
-        self.used = now < self.until && Arc::ptr_eq(&self.wish, wish);
+    pub(crate) fn spend(&mut self, backpressure: &Arc<Backpressure>, now: Millis) -> bool {
+        self.used = now < self.until && Arc::ptr_eq(&self.backpressure, backpressure);
         self.used
     }
 
@@ -291,7 +295,7 @@
     fn drop(&mut self) {
         if !self.used {
             // Expiry is checked when it is taken again.
-            self.wish.limit().put_back(self.until);
+            self.backpressure.limit().put_back(self.until);
         }
     }
 }
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -74,12 +74,12 @@
 /// use heathpitch_policy::{IdempotencyTable, KeyState};
 ///
 /// let key: heathpitch_core::Name = "k".parse()?;
-/// let mut ledger = IdempotencyTable::new();
-/// assert_eq!(ledger.start(&key, 1), KeyState::New);
-/// assert!(ledger.dispatch(&key));
-/// assert!(!ledger.dispatch(&key));
-/// assert_eq!(ledger.start(&key, 1), KeyState::Running);
-/// assert_eq!(ledger.start(&key, 2), KeyState::Mismatch);
+/// let mut table = IdempotencyTable::new();
+/// assert_eq!(table.start(&key, 1), KeyState::New);
+/// assert!(table.dispatch(&key));
+/// assert!(!table.dispatch(&key));
+/// assert_eq!(table.start(&key, 1), KeyState::Running);
+/// assert_eq!(table.start(&key, 2), KeyState::Mismatch);
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Debug)]
--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -13,7 +13,7 @@
 pub enum Recency {
     /// The known incarnation, or the first one seen.
     Current,
-    /// A newer incarnation: all that is known of the engine is void.
+    /// A newer incarnation: all that is known of the engine is invalid.
     Restarted,
     /// An older incarnation: the message is to be ignored.
     Stale,
--- a/crates/policy/src/layout_deal.rs
+++ b/crates/policy/src/layout_deal.rs
@@ -145,9 +145,9 @@
     let tokens = f64::from(*tokens);
     let step = model.step_time_ms(tokens);
     let part = |a: &Assignment| {
-        let pace =
+        let factor =
             workers.iter().find(|w| w.engine == a.engine).map_or(1.0, |w| w.card.step_factor);
-        HOP_COST + step * pace * f64::from(a.layers.count()) / f64::from(model.layers.max(1))
+        HOP_COST + step * factor * f64::from(a.layers.count()) / f64::from(model.layers.max(1))
     };
     tokens / model.mean_tokens().max(1.0) / plan.iter().map(part).sum::<f64>()
 }
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -19,7 +19,7 @@
 /// Most engines in a record, about fifty bytes each.
 const RECORD_MAX_ENGINES: usize = 2_048;
 
-/// Words of the stored format for whether probe responses state the limit.
+/// Values in the stored format for whether probe responses state the limit.
 const IN_PROBES: &str = "questions";
 const NOT_IN_PROBES: &str = "calls";
 
@@ -100,11 +100,11 @@
 }
 
 fn read_line(line: &str) -> Option<(EngineIncarnation, LimitEntry)> {
-    let mut words = line.split(' ');
-    let engine = words.next()?.parse().ok()?;
-    let started_at = words.next()?.parse().ok()?;
-    let rate = Rate::per_second(words.next()?.parse().ok()?)?;
-    let in_probes = match words.next()? {
+    let mut fields = line.split(' ');
+    let engine = fields.next()?.parse().ok()?;
+    let started_at = fields.next()?.parse().ok()?;
+    let rate = Rate::per_second(fields.next()?.parse().ok()?)?;
+    let in_probes = match fields.next()? {
         IN_PROBES => true,
         NOT_IN_PROBES => false,
         _ => return None,
@@ -123,12 +123,12 @@
 ///
 /// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: None };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
-/// let named = LimitRecord::of([(incarnation, limit)]);
+/// let current = LimitRecord::of([(incarnation, limit)]);
 /// let mut recorder = LimitRecorder::default();
 /// assert!(!recorder.is_due(&LimitRecord::default(), 0), "nothing to store");
-/// assert!(recorder.is_due(&named, 0));
-/// recorder.stored(named.clone(), 0);
-/// assert!(!recorder.is_due(&named, 9_000));
+/// assert!(recorder.is_due(&current, 0));
+/// recorder.stored(current.clone(), 0);
+/// assert!(!recorder.is_due(&current, 9_000));
 /// assert!(!recorder.is_due(&LimitRecord::default(), 4_000), "lifting a limit may wait");
 /// assert!(recorder.is_due(&LimitRecord::default(), 5_000));
 /// # Ok::<(), heathpitch_core::NameError>(())
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -121,11 +121,11 @@
     /// At most `most` updates after `serial`, and the serial up to which they are complete.
     pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<LimitUpdate>, u64) {
         let (new, upto) = notices::since(&self.known, |k| k.serial, serial, most, self.serial);
-        let told = |(incarnation, k): (&EngineIncarnation, &Known)| LimitUpdate {
+        let update = |(incarnation, k): (&EngineIncarnation, &Known)| LimitUpdate {
             incarnation: incarnation.clone(),
             rate: k.rate,
             age: now.saturating_sub(k.at),
         };
-        (new.into_iter().map(told).collect(), upto)
+        (new.into_iter().map(update).collect(), upto)
     }
 }
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -12,7 +12,7 @@
 
 /// Members kept of each other failure domain.
 const MAX_REMOTE_MEMBERS: usize = 8;
-/// Heartbeat periods without news of a member after which it counts as dead.
+/// Heartbeat periods without an update of a member after which it counts as dead.
 const DEAD_AFTER_BEATS: u64 = 30;
 /// One exchange in this many goes to another failure domain.
 const REMOTE_EXCHANGE_RATIO: u32 = 5;
@@ -95,8 +95,8 @@
 
     /// The live member with this name and incarnation.
     pub fn find(&self, node: &str, incarnation: Incarnation, now: Millis) -> Option<&Member> {
-        let heard = self.known.get(node).filter(|h| self.is_alive(h, now))?;
-        (heard.member.incarnation == incarnation).then_some(&heard.member)
+        let entry = self.known.get(node).filter(|h| self.is_alive(h, now))?;
+        (entry.member.incarnation == incarnation).then_some(&entry.member)
     }
 
     /// Number of live nodes in this failure domain, including this one.
@@ -105,7 +105,7 @@
         1 + self.known.values().filter(local).count()
     }
 
-    /// This node and the most recently heard members, at most `most`, to send to a peer.
+    /// This node and the most recently updated members, at most `most`, to send to a peer.
     pub fn freshest(&self, most: usize, now: Millis) -> Vec<Member> {
         let mut list: Vec<_> = self.known.values().filter(|h| self.is_alive(h, now)).collect();
         list.sort_by(|a, b| b.at.cmp(&a.at).then_with(|| a.member.node.cmp(&b.member.node)));
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -262,8 +262,8 @@
     ///
     /// The request under which most engines terminated is blamed first and explains all of these
     /// exits; each further one must have an exit that no request blamed before it explains. If the
-    /// same three engines terminated under two requests, neither is blamed: the next exit tells them
-    /// apart. In 32 minutes of the model in this module's tests, 13 of 96 000 harmless requests
+    /// same three engines terminated under two requests, neither is blamed: the next exit distinguishes them
+    /// In 32 minutes of the model in this module's tests, 13 of 96 000 harmless requests
     /// were quarantined along with a fatal one without the two rules and none with both, and no
     /// more engines terminated.
     fn verdict(&self) -> BTreeSet<RequestFingerprint> {
--- a/crates/policy/src/retry_window.rs
+++ b/crates/policy/src/retry_window.rs
@@ -46,8 +46,8 @@
     /// Offset added before rounding down; it changes at a different time on each node.
     fn rounding(&self, seed: f64, now: Millis) -> f64 {
         let span = (self.window * ROUNDING_WINDOWS).max(1) as f64;
-        let turn = (now as f64 / span + seed).floor();
-        (seed * SEED_SPREAD + turn * GOLDEN_RATIO).fract()
+        let index = (now as f64 / span + seed).floor();
+        (seed * SEED_SPREAD + index * GOLDEN_RATIO).fract()
     }
 }
 
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -142,7 +142,7 @@
     /// When it may look up the planner's lease; `None` while a source of its own domain is active.
     claim_at: Option<Millis>,
     /// Whether the planner has released its lease and no successor is known.
-    vacant: bool,
+    planner_released: bool,
 }
 
 /// # Construction
@@ -159,7 +159,7 @@
             silent_since: Some(now),
             read_at: None,
             claim_at: Some(now),
-            vacant: false,
+            planner_released: false,
         }
     }
 }
@@ -172,7 +172,7 @@
         let known = self.planners.get(&domain);
         let new = known.is_none_or(|k| planner.revision > k.revision);
         if new {
-            self.vacant &= domain != self.domain;
+            self.planner_released &= domain != self.domain;
             self.backoffs.remove(&planner.source.node);
             self.planners.insert(domain, planner);
         }
@@ -181,7 +181,7 @@
 
     /// Records that the planner of this failure domain released its lease, though it still answers.
     pub fn planner_released(&mut self, now: Millis, domain_size: u32, rng: &mut impl Rng) {
-        self.vacant = true;
+        self.planner_released = true;
         if self.claim_at.is_none() {
             self.claim_at = Some(now + self.claim_wait(domain_size, rng));
         }
@@ -258,7 +258,7 @@
                 self.backoffs.remove(node);
                 self.active = Some(node.clone());
                 (self.silent_since, self.read_at) = (None, None);
-                if self.is_local(node) && !self.vacant {
+                if self.is_local(node) && !self.planner_released {
                     self.claim_at = None;
                 }
             }
--- a/crates/policy/tests/chain.rs
+++ b/crates/policy/tests/chain.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn engine(id: &str, domain: &str, layers: (u32, u32), pace: f64) -> ChainEngine {
+fn engine(id: &str, domain: &str, layers: (u32, u32), factor: f64) -> ChainEngine {
     let entry = EngineEntry {
         id: name(id),
         service: name("llm"),
@@ -43,8 +43,12 @@
         layers: LayerRange::new(layers.0, layers.1),
         started_at: None,
     };
-    let card =
-        Card { name: name("card"), memory_mb: 9_000.0, step_factor: pace, prefill_factor: pace };
+    let card = Card {
+        name: name("card"),
+        memory_mb: 9_000.0,
+        step_factor: factor,
+        prefill_factor: factor,
+    };
     ChainEngine {
         entry: Arc::new(entry),
         card,
@@ -102,10 +106,10 @@
         find_chain(&search(&model, &home, None), &[local[0].clone(), remote[1].clone()]).unwrap();
     let (path, _) = find_local_chain(&search(&model, &home, Some(&running)), &engines).unwrap();
     assert!(path.stages().iter().all(|s| s.engine != name("y")), "{:?}", shown(&path));
-    let mut crowded = engines.clone();
-    crowded[1].full = true;
-    crowded[1].penalty = 16.0;
-    let (path, _) = find_local_chain(&search(&model, &home, None), &crowded).unwrap();
+    let mut deprioritized = engines.clone();
+    deprioritized[1].full = true;
+    deprioritized[1].penalty = 16.0;
+    let (path, _) = find_local_chain(&search(&model, &home, None), &deprioritized).unwrap();
     assert_eq!(
         shown(&path),
         ["x=0..40", "y=40..80"],
@@ -202,9 +206,9 @@
     ) {
     let (model, home) = (model(6), name("east"));
     let engines: Vec<ChainEngine> = engines
-            .iter().enumerate().map(|(i, (first, count, pace))| {
+            .iter().enumerate().map(|(i, (first, count, factor))| {
                 let end = (first + count).min(6);
-                engine(&format!("e{i}"), "east", (*first, end), f64::from(*pace))
+                engine(&format!("e{i}"), "east", (*first, end), f64::from(*factor))
             })
             .collect();
         let found = find_chain(&search(&model, &home, None), &engines);
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -92,16 +92,16 @@
 #[test]
 fn late_answers_of_nearly_all_engines_are_ignored() {
     use heathpitch_policy::{ProbeResult, suspects};
-    let looks = |late: usize, gone: usize| -> Vec<_> {
-        let sign = |i: usize| match i {
+    let probes = |late: usize, gone: usize| -> Vec<_> {
+        let result = |i: usize| match i {
             i if i < gone => ProbeResult::Unreachable,
             i if i < gone + late => ProbeResult::TimedOut,
             _ => ProbeResult::Alive,
         };
-        (0..12).map(|i| (name(&format!("e{i}")), sign(i))).collect()
+        (0..12).map(|i| (name(&format!("e{i}")), result(i))).collect()
     };
-    assert_eq!(suspects(looks(8, 0)).len(), 8);
-    assert_eq!(suspects(looks(9, 0)).len(), 0);
-    assert_eq!(suspects(looks(12, 0)).len(), 0);
-    assert_eq!(suspects(looks(9, 2)).len(), 2);
+    assert_eq!(suspects(probes(8, 0)).len(), 8);
+    assert_eq!(suspects(probes(9, 0)).len(), 0);
+    assert_eq!(suspects(probes(12, 0)).len(), 0);
+    assert_eq!(suspects(probes(9, 2)).len(), 2);
 }
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -11,11 +11,11 @@
 
 /// Cards of typical deployments.
 fn cards() -> Vec<Card> {
-    let card = |n: &str, memory_mb, pace, read| Card {
+    let card = |n: &str, memory_mb, factor, prefill| Card {
         name: name(n),
         memory_mb,
-        step_factor: pace,
-        prefill_factor: read,
+        step_factor: factor,
+        prefill_factor: prefill,
     };
     vec![
         card("h100", 72_000.0, 1.4, 1.0),
--- a/crates/policy/tests/layout_large_domain.rs
+++ b/crates/policy/tests/layout_large_domain.rs
@@ -19,11 +19,11 @@
 const TYPICAL_TOKENS: f64 = 90_000.0;
 
 fn cards() -> [Card; 4] {
-    let card = |n: &str, memory_mb, pace, read| Card {
+    let card = |n: &str, memory_mb, factor, prefill| Card {
         name: name(n),
         memory_mb,
-        step_factor: pace,
-        prefill_factor: read,
+        step_factor: factor,
+        prefill_factor: prefill,
     };
     [
         card("h100", 72_000.0, 1.4, 1.0),
--- a/crates/policy/tests/layout_whole_fleet.rs
+++ b/crates/policy/tests/layout_whole_fleet.rs
@@ -28,11 +28,11 @@
 const DOMAINS: [[usize; 3]; 3] = [[2, 15, 12], [4, 6, 14], [2, 9, 22]];
 
 fn cards() -> [Card; 3] {
-    let card = |n: &str, memory_mb, pace, read| Card {
+    let card = |n: &str, memory_mb, factor, prefill| Card {
         name: name(n),
         memory_mb,
-        step_factor: pace,
-        prefill_factor: read,
+        step_factor: factor,
+        prefill_factor: prefill,
     };
     [
         card("a100", 72_000.0, 2.4, 3.2),
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -8,7 +8,7 @@
 
 /// Tokens of a typical request.
 const REQUEST_TOKENS: u64 = 900;
-/// Tokens that fit into an engine beside its layers.
+/// Tokens that fit into an engine in addition to its layers.
 const CAPACITY_TOKENS: f64 = 150_000.0;
 /// Fraction of the capacity up to which requests are admitted.
 const ADMIT_SHARE: f64 = 0.95;
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -25,20 +25,20 @@
 }
 
 #[test]
-fn two_ends_do_not_quarantine_a_request_but_three_do() {
+fn two_exits_do_not_quarantine_a_request_but_three_do() {
     assert!(!after(&[(FATAL, 1, 0), (FATAL, 2, 0), (FATAL, 2, 0)]).holds(FATAL));
     assert!(after(&[(FATAL, 1, 0), (FATAL, 2, 0), (FATAL, 3, 0)]).holds(FATAL));
 }
 
 #[test]
-fn a_long_running_request_is_not_blamed_but_the_end_of_its_engine_is_recorded() {
+fn a_long_running_request_is_not_blamed_but_the_exit_of_its_engine_is_recorded() {
     let quarantine = after(&[(OTHER, 1, 9), (OTHER, 2, 40), (OTHER, 3, 200)]);
     assert!(!quarantine.holds(OTHER));
     assert_eq!((quarantine.exited_engines().len(), quarantine.counts().len()), (3, 0));
 }
 
 #[test]
-fn a_request_present_at_each_end_is_not_blamed_if_more_engines_ended_under_another() {
+fn a_request_present_at_each_exit_is_not_blamed_if_more_engines_exited_under_another() {
     let rerouted = [1, 2, 3].map(|e| (OTHER, e, 0));
     let fatal = [1, 2, 3, 4].map(|e| (FATAL, e, 0));
     let quarantine = after(&[rerouted.to_vec(), fatal.to_vec()].concat());
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn two_requests_with_the_same_ends_are_told_apart_by_the_next_end() {
+fn two_requests_with_the_same_exits_are_distinguished_by_the_next_exit() {
     let mut quarantine = after(&[1, 2, 3].map(|e| [(FATAL, e, 2), (OTHER, e, 0)]).concat());
     assert_eq!(quarantine.held().count(), 0);
     quarantine.record_exit(FATAL, incarnation(4), 2, 0);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn two_requests_that_always_coincide_are_told_apart_by_their_events() {
+fn two_requests_that_always_coincide_are_distinguished_by_their_events() {
     let mut quarantine = after(&[1, 2, 3, 4].map(|e| [(FATAL, e, 0), (OTHER, e, 3)]).concat());
     assert_eq!(quarantine.held().collect::<Vec<_>>(), [FATAL]);
     // If that was wrong, the other request goes on to crash an engine alone.
@@ -105,7 +105,7 @@
 /// The first exits may be old when the last one comes: a node that starts then must reach the same
 /// verdict as the others.
 #[test]
-fn ends_of_a_request_expire_together() {
+fn exits_of_a_request_expire_together() {
     let mut here = after(&[1, 2].map(|e| (FATAL, e, 0)));
     here.record_exit(FATAL, incarnation(3), 0, 500_000);
     here.decide();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn ends_passed_back_and_forth_do_not_stay_young() {
+fn exits_passed_back_and_forth_do_not_stay_young() {
     let [mut here, mut there] = [Quarantine::default(), Quarantine::default()];
     here.record_exit(FATAL, incarnation(1), 0, 0);
     for now in (0..590_000).step_by(1_000) {
