--- a/crates/policy/src/claim_decision.rs
+++ b/crates/policy/src/claim_decision.rs
@@ -66,5 +66,5 @@
 }
 
 fn may_rerun(idle: bool) -> bool {
-    idle || !on(Mechanism::ForgottenIsRun)
+    idle || !on(Mechanism::EvictedAsRun)
 }
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -132,7 +132,7 @@
         match self.entries.get_mut(key) {
             Some(e) if e.body.is_some_and(|b| b != body) => KeyState::Mismatch,
             Some(Entry { state: State::Claiming { .. } | State::Dispatched, .. })
-                if on(Mechanism::LedgerOnce) =>
+                if on(Mechanism::DispatchOnce) =>
             {
                 KeyState::Running
             }
@@ -171,7 +171,7 @@
             Some(e) if matches!(e.state, State::Claiming { unused: true }) => {
                 e.state = State::NotDispatched
             }
-            Some(e) if !on(Mechanism::ForgottenIsRun) => e.state = State::NotDispatched,
+            Some(e) if !on(Mechanism::EvictedAsRun) => e.state = State::NotDispatched,
             _ => self.forget(key),
         }
     }
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -388,7 +388,7 @@
 /// Random wait before a node may read the store, so that reads of a failure domain are spread
 /// evenly.
 fn read_wait(domain_size: u32, rng: &mut impl Rng) -> Millis {
-    if !on(Mechanism::RandomTurns) {
+    if !on(Mechanism::RandomizedReads) {
         return SOURCE_GRACE_MS;
     }
     SOURCE_GRACE_MS + rng.random_range(0..=READ_SLOT_MS * u64::from(domain_size.max(1)))
--- a/crates/policy/src/switch.rs
+++ b/crates/policy/src/switch.rs
@@ -18,9 +18,9 @@
     /// A claim is granted only after its nonce was read back from the store.
     ClaimReadBack,
     /// The idempotency table lets a key be dispatched only once.
-    LedgerOnce,
+    DispatchOnce,
     /// A key evicted from the idempotency table counts as run.
-    ForgottenIsRun,
+    EvictedAsRun,
     /// An engine that announces its shutdown gets no new requests.
     DrainNotice,
     /// Only a newer list of VMs is accepted.
@@ -29,8 +29,8 @@
     RevisionOrder,
     /// A few standby nodes of a failure domain read the store if its planner sends no updates.
     Standbys,
-    /// The other nodes read the store in random turns.
-    RandomTurns,
+    /// The other nodes read the store after randomized waits.
+    RandomizedReads,
     /// A list confirmed earlier than the own one is not accepted from another source.
     ListAge,
     /// Time during which the VM was suspended counts.
@@ -46,13 +46,13 @@
         Mechanism::Evidence,
         Mechanism::NoRepeat,
         Mechanism::ClaimReadBack,
-        Mechanism::LedgerOnce,
-        Mechanism::ForgottenIsRun,
+        Mechanism::DispatchOnce,
+        Mechanism::EvictedAsRun,
         Mechanism::DrainNotice,
         Mechanism::ListOrder,
         Mechanism::RevisionOrder,
         Mechanism::Standbys,
-        Mechanism::RandomTurns,
+        Mechanism::RandomizedReads,
         Mechanism::ListAge,
         Mechanism::SuspendedTime,
     ];
--- a/crates/proof/tests/mechanisms.rs
+++ b/crates/proof/tests/mechanisms.rs
@@ -15,11 +15,11 @@
         | Mechanism::ExplicitEnd
         | Mechanism::Evidence
         | Mechanism::NoRepeat => World::Requests,
-        Mechanism::ClaimReadBack | Mechanism::LedgerOnce | Mechanism::ForgottenIsRun => World::Keys,
+        Mechanism::ClaimReadBack | Mechanism::DispatchOnce | Mechanism::EvictedAsRun => World::Keys,
         Mechanism::DrainNotice | Mechanism::ListOrder => World::Upstreams,
         Mechanism::RevisionOrder => World::Config,
         Mechanism::Standbys
-        | Mechanism::RandomTurns
+        | Mechanism::RandomizedReads
         | Mechanism::ListAge
         | Mechanism::SuspendedTime => World::Telling,
     }
