--- a/crates/heathpitchd/src/gateway/control/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -68,7 +68,7 @@
     pub(super) fn new_backpressure(&self, engine: &EngineEntry) -> Arc<Backpressure> {
         let backpressure = Backpressure::default();
         let (life, limits) = (incarnation_of(engine), self.limits.borrow());
-        if let Some((rate, at)) = limits.of(&life) {
+        if let Some((rate, at)) = limits.get(&life) {
             backpressure.limit().learn(Some(rate), at);
         }
         if limits.is_in_probes(&life) {
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -59,8 +59,8 @@
     let in_probes = |life: &EngineIncarnation| {
         backpressure.get(&life.engine).is_some_and(|b| b.limit().is_in_probes())
     };
-    let advertised = limits.named().filter(|(life, _)| own(life));
-    LimitRecord::of(advertised.map(|(life, rate)| {
+    let advertised = limits.in_force().filter(|(life, _)| own(life));
+    LimitRecord::new(advertised.map(|(life, rate)| {
         let limit = LimitEntry { rate, in_probes: in_probes(&life) };
         (life, limit)
     }))
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -118,7 +118,7 @@
         if !new {
             return;
         }
-        let Some((rate, at)) = self.limits.borrow().of(life) else { return };
+        let Some((rate, at)) = self.limits.borrow().get(life) else { return };
         let engine = life.engine.clone();
         let age_ms = now.saturating_sub(at);
         GatewayEvent::EngineLimited { engine, limit: Some(rate), age_ms, by: "the store" }.log();
@@ -147,7 +147,7 @@
     /// Whether demand for an engine has exceeded its limit for some time.
     pub(super) fn is_limited(&self, engine: &EngineEntry) -> bool {
         let life = incarnation_of(engine);
-        self.limits.borrow().of(&life).is_some() && self.rights.borrow().binds(&life)
+        self.limits.borrow().get(&life).is_some() && self.rights.borrow().is_binding(&life)
     }
 
     /// Issues rights to a node that requests them.
@@ -161,7 +161,7 @@
             engine: request.limit.engine.clone(),
             started_at: request.limit.started_at,
         };
-        let limit = self.limits.borrow().of(&life);
+        let limit = self.limits.borrow().get(&life);
         let Some((rate, _)) = limit else {
             // The engine has no limit any more, which the requester will learn from the feed.
             return RightsResponse { active: true, issued: request.requested, wait_ms: 0 };
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -43,7 +43,7 @@
 ///
 /// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: Some(17) };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
-/// let record = LimitRecord::of([(incarnation, limit)]);
+/// let record = LimitRecord::new([(incarnation, limit)]);
 /// assert_eq!(record.text(), "i-1 17 3.6 calls\n");
 /// let (read, unreadable) = LimitRecord::read("i-1 17 3.6 calls\ni-2 nonsense\n");
 /// assert_eq!((read, unreadable), (record, 1));
@@ -56,7 +56,7 @@
 
 impl LimitRecord {
     /// Builds a record of these limits.
-    pub fn of(limits: impl IntoIterator<Item = (EngineIncarnation, LimitEntry)>) -> Self {
+    pub fn new(limits: impl IntoIterator<Item = (EngineIncarnation, LimitEntry)>) -> Self {
         Self { limits: limits.into_iter().take(RECORD_MAX_ENGINES).collect() }
     }
 
@@ -123,7 +123,7 @@
 ///
 /// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: None };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
-/// let current = LimitRecord::of([(incarnation, limit)]);
+/// let current = LimitRecord::new([(incarnation, limit)]);
 /// let mut recorder = LimitRecorder::default();
 /// assert!(!recorder.is_due(&LimitRecord::default(), 0), "nothing to store");
 /// assert!(recorder.is_due(&current, 0));
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -101,12 +101,12 @@
     }
 
     /// Limit of an engine and the time it was observed, if there is one.
-    pub fn of(&self, incarnation: &EngineIncarnation) -> Option<(Rate, Millis)> {
+    pub fn get(&self, incarnation: &EngineIncarnation) -> Option<(Rate, Millis)> {
         self.known.get(incarnation).and_then(|k| Some((k.rate?, k.at)))
     }
 
     /// Engines with a limit in force.
-    pub fn named(&self) -> impl Iterator<Item = (EngineIncarnation, Rate)> {
+    pub fn in_force(&self) -> impl Iterator<Item = (EngineIncarnation, Rate)> {
         self.known.iter().filter_map(|(incarnation, k)| Some((incarnation.clone(), k.rate?)))
     }
 
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -123,7 +123,7 @@
     }
 
     /// Whether demand for an engine exceeded its limit for some time since the limit applies.
-    pub fn binds(&self, engine: &EngineIncarnation) -> bool {
+    pub fn is_binding(&self, engine: &EngineIncarnation) -> bool {
         self.engines.get(engine).is_some_and(|h| h.binding)
     }
 
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -209,9 +209,9 @@
 
     /// Writes the planner's record to the store if that is due.
     fn write_record(&mut self, now: u64) {
-        let record = LimitRecord::of(
+        let record = LimitRecord::new(
             self.limits
-                .named()
+                .in_force()
                 .map(|(incarnation, rate)| (incarnation, LimitEntry { rate, in_probes: false })),
         );
         if self.recorder.is_due(&record, now) {
@@ -228,7 +228,7 @@
             assert!(self.limits.restore(incarnation.clone(), limit, now));
         }
         self.recorder.stored(record, now);
-        let Some((rate, at)) = self.limits.of(&self.incarnation) else { return };
+        let Some((rate, at)) = self.limits.get(&self.incarnation) else { return };
         for backpressure in &self.signals {
             backpressure.limit().learn(Some(rate), at);
         }
