--- a/crates/core/src/engine_entry.rs
+++ b/crates/core/src/engine_entry.rs
@@ -10,7 +10,7 @@
     /// Accepts new requests.
     Ready,
     /// Finishes its open requests, then shuts down.
-    Leaving,
+    Draining,
 }
 
 /// An engine's entry; a restarted engine may register under its former id.
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -215,7 +215,7 @@
         let mut last = self.report.lock();
         let fresh = last.0.elapsed() < self.setup.lag;
         let held = self.held.lock().clone();
-        if !fresh || held.leaving != last.1.leaving {
+        if !fresh || held.leaving != last.1.draining {
             let running = self.open.lock().len() as u32;
             let serial = last.1.serial + 1;
             let next = report(&self.setup, self.life, &held, serial, running, self.slots.queued());
@@ -265,7 +265,7 @@
         layers: held.layers,
         epoch: held.epoch,
         role: held.role,
-        leaving: held.leaving,
+        draining: held.leaving,
         slots: setup.slots,
         running,
         queued,
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -107,7 +107,7 @@
             layers: LayerRange::new(0, 0),
             epoch: Epoch(0),
             role: EngineRole::Both,
-            leaving: self.faults.lock().leaving,
+            draining: self.faults.lock().leaving,
             slots: 64,
             running: 0,
             queued: 0,
--- a/crates/fakes/src/stage.rs
+++ b/crates/fakes/src/stage.rs
@@ -152,7 +152,7 @@
         let inside = held.layers.first <= hop.layers.first && hop.layers.end <= held.layers.end;
         match &held.model {
             _ if self.faults.lock().refuse => Err(RefusalKind::Busy),
-            _ if held.leaving => Err(RefusalKind::Leaving),
+            _ if held.leaving => Err(RefusalKind::Draining),
             _ if Instant::now() < held.ready => Err(RefusalKind::NotHeld),
             Some(model) if *model != open.model => Err(RefusalKind::NotHeld),
             None => Err(RefusalKind::NotHeld),
--- a/crates/heathpitchd/src/control/members.rs
+++ b/crates/heathpitchd/src/control/members.rs
@@ -14,7 +14,7 @@
     }
     control.next_heartbeat.set(now + control.shared.settings.timing.peer_ms);
     let state = match control.shared.draining.load(Relaxed) {
-        true => MemberState::Leaving,
+        true => MemberState::Draining,
         false => MemberState::Ready,
     };
     let config = control.replica.borrow().revision();
--- a/crates/heathpitchd/src/filters/attempt_event.rs
+++ b/crates/heathpitchd/src/filters/attempt_event.rs
@@ -20,7 +20,7 @@
         let (failure, engine, unavailable) = match error {
             SendError::Refused(refusal) => {
                 let unavailable =
-                    matches!(refusal.kind, RefusalKind::Leaving | RefusalKind::NotHeld);
+                    matches!(refusal.kind, RefusalKind::Draining | RefusalKind::NotHeld);
                 (
                     Broken::Refused,
                     Some(refusal.engine.clone()),
--- a/crates/heathpitchd/src/gateway/control/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -110,10 +110,10 @@
         GatewayEvent::EngineDraining { engine: life.engine.clone(), age_ms: age, by }.log();
         let listed = self.entries.borrow().get(&life.engine).cloned();
         let Some(entry) = listed.filter(|e| e.started_at == life.started_at) else { return false };
-        if entry.state == EntryState::Leaving {
+        if entry.state == EntryState::Draining {
             return false;
         }
-        let entry = EngineEntry { state: EntryState::Leaving, ..(*entry).clone() };
+        let entry = EngineEntry { state: EntryState::Draining, ..(*entry).clone() };
         self.entries.borrow_mut().insert(life.engine.clone(), Arc::new(entry));
         self.leaving.borrow_mut().insert(life.engine.clone(), self.now());
         true
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -142,9 +142,9 @@
     }
     let old = control.entries.borrow().get(&id).cloned();
     // Once announced, in an entry or a response, draining holds for the rest of the incarnation.
-    let left = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
+    let left = old.as_ref().is_some_and(|o| o.state == EntryState::Draining);
     let draining = left || control.drain_notices.borrow().is_draining(&incarnation_of(&entry));
-    let state = if draining { EntryState::Leaving } else { entry.state };
+    let state = if draining { EntryState::Draining } else { entry.state };
     let entry = EngineEntry { state, ..entry };
     control.mirror.borrow_mut().put(item.key.clone(), item.revision.0, item.clone());
     if old.as_deref() == Some(&entry) {
@@ -157,11 +157,11 @@
         control.last_join.set(control.now());
     }
     match entry.state {
-        EntryState::Leaving if !left => {
+        EntryState::Draining if !left => {
             control.leaving.borrow_mut().insert(id.clone(), control.now());
             control.drain_notices.borrow_mut().learn(incarnation_of(&entry), 0, control.now());
         }
-        EntryState::Leaving => {}
+        EntryState::Draining => {}
         // It is listed again after having been removed: streams stay on it.
         EntryState::Ready => {
             control.leaving.borrow_mut().remove(&id);
@@ -213,7 +213,7 @@
         engine: entry.id.clone(),
         service: entry.service.clone(),
         domain: entry.domain.clone(),
-        leaving: entry.state == EntryState::Leaving,
+        leaving: entry.state == EntryState::Draining,
         layers: entry.layers,
         started_at: entry.started_at,
     }
--- a/crates/heathpitchd/src/gateway/engine_table.rs
+++ b/crates/heathpitchd/src/gateway/engine_table.rs
@@ -48,7 +48,7 @@
     /// Whether at most backpressure keeps it from new requests: it is neither draining nor suspect.
     pub(crate) fn is_in_service(&self, now: Millis) -> bool {
         let draining =
-            self.entry.state == EntryState::Leaving || self.stats.backpressure().is_draining();
+            self.entry.state == EntryState::Draining || self.stats.backpressure().is_draining();
         !draining && !self.stats.gauge().is_suspect(now)
     }
 }
--- a/crates/heathpitchd/src/snapshot.rs
+++ b/crates/heathpitchd/src/snapshot.rs
@@ -61,7 +61,7 @@
             domain: m.domain.clone(),
             admin: m.admin.clone(),
             config: m.config,
-            leaving: m.state == MemberState::Leaving,
+            leaving: m.state == MemberState::Draining,
         }
     }
 }
@@ -72,7 +72,7 @@
             HealthStatus::Up => "up",
             HealthStatus::New => "new",
             HealthStatus::Down => "down",
-            HealthStatus::Leaving => "leaving",
+            HealthStatus::Draining => "leaving",
         };
         Self { name: name.clone(), status }
     }
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -18,7 +18,8 @@
     /// Its queue is full.
     Busy,
     /// It is draining.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
     /// It does not hold the requested layers or version, or is at another epoch.
     NotHeld,
     /// It could not parse the request.
--- a/crates/net/src/peer_codec.rs
+++ b/crates/net/src/peer_codec.rs
@@ -69,7 +69,7 @@
     to.set_peer(from.peer.as_str());
     to.set_caller(from.caller.as_str());
     to.set_admin(from.admin.as_str());
-    to.set_leaving(from.state == MemberState::Leaving);
+    to.set_leaving(from.state == MemberState::Draining);
     to.set_config(from.config.0);
     to.set_age(from.age);
 }
@@ -83,7 +83,7 @@
         peer: name(from.get_peer()?)?,
         caller: name(from.get_caller()?)?,
         admin: name(from.get_admin()?)?,
-        state: if from.get_leaving() { MemberState::Leaving } else { MemberState::Ready },
+        state: if from.get_leaving() { MemberState::Draining } else { MemberState::Ready },
         config: Revision(from.get_config()),
         age: from.get_age(),
     })
@@ -103,7 +103,7 @@
         EngineRole::Prefill => 1,
         EngineRole::Decode => 2,
     });
-    to.set_leaving(from.leaving);
+    to.set_leaving(from.draining);
     to.set_slots(from.slots);
     to.set_running(from.running);
     to.set_queued(from.queued);
@@ -130,7 +130,7 @@
             2 => EngineRole::Decode,
             _ => EngineRole::Both,
         },
-        leaving: from.get_leaving(),
+        draining: from.get_leaving(),
         slots: from.get_slots(),
         running: from.get_running(),
         queued: from.get_queued(),
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -37,8 +37,9 @@
     /// Phase it takes.
     #[serde(default)]
     pub role: EngineRole,
-    /// Whether it is about to stop.
-    pub leaving: bool,
+    /// Whether it is draining.
+    #[serde(rename = "leaving")]
+    pub draining: bool,
     /// Most requests in a batch.
     pub slots: u32,
     /// Requests in the batch.
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -42,8 +42,8 @@
     New,
     /// It does not report, or polls fail.
     Down,
-    /// It is about to stop.
-    Leaving,
+    /// It is draining.
+    Draining,
 }
 
 #[derive(Debug)]
@@ -211,8 +211,8 @@
 
     fn status(&self, now: Millis) -> HealthStatus {
         match &self.report {
-            _ if self.vm.state == VmState::Leaving => HealthStatus::Leaving,
-            Some(r) if r.leaving && on(Mechanism::DrainNotice) => HealthStatus::Leaving,
+            _ if self.vm.state == VmState::Leaving => HealthStatus::Draining,
+            Some(r) if r.draining && on(Mechanism::DrainNotice) => HealthStatus::Draining,
             None => HealthStatus::New,
             _ if self.fails >= MAX_FAILED_POLLS => HealthStatus::Down,
             _ if now.saturating_sub(self.seen) > SILENCE_MS => HealthStatus::Down,
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -23,7 +23,7 @@
     /// Accepts work.
     Ready,
     /// Draining.
-    Leaving,
+    Draining,
 }
 
 /// What a node announces about itself.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -38,7 +38,7 @@
         layers: LayerRange::new(first, end),
         epoch: Epoch(0),
         role: EngineRole::Both,
-        leaving: false,
+        draining: false,
         slots: 8,
         running: 0,
         queued: 0,
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -51,32 +51,32 @@
 #[test]
 fn either_source_is_enough_to_mark_an_engine_as_leaving() {
     let mut health = listed();
-    let mut leaving = report("e", 0, 4);
-    leaving.leaving = true;
-    health.on(HealthEvent::Polled(leaving), 10);
-    assert_eq!(health.status("e", 10), Some(HealthStatus::Leaving));
+    let mut draining = report("e", 0, 4);
+    draining.draining = true;
+    health.on(HealthEvent::Polled(draining), 10);
+    assert_eq!(health.status("e", 10), Some(HealthStatus::Draining));
 
     let mut health = listed();
     health.on(HealthEvent::Polled(report("e", 0, 4)), 10);
     let mut gone = vm("e");
     gone.state = VmState::Leaving;
     health.on(HealthEvent::Listed(Revision(2), vec![gone]), 20);
-    assert_eq!(health.status("e", 20), Some(HealthStatus::Leaving));
+    assert_eq!(health.status("e", 20), Some(HealthStatus::Draining));
     assert!(health.fleet(20).is_empty());
 }
 
 #[test]
 fn a_restarted_engine_comes_back_and_its_old_reports_are_ignored() {
     let mut health = listed();
-    let mut leaving = report("e", 0, 4);
-    leaving.leaving = true;
-    leaving.serial = 9;
-    health.on(HealthEvent::Polled(leaving.clone()), 10);
+    let mut draining = report("e", 0, 4);
+    draining.draining = true;
+    draining.serial = 9;
+    health.on(HealthEvent::Polled(draining.clone()), 10);
     let mut again = report("e", 0, 4);
     again.incarnation.0 = 2;
     health.on(HealthEvent::Polled(again), 20);
     assert_eq!(health.status("e", 20), Some(HealthStatus::Up));
-    health.on(HealthEvent::Relayed(leaving), 30);
+    health.on(HealthEvent::Relayed(draining), 30);
     assert_eq!(health.status("e", 30), Some(HealthStatus::Up));
 }
 
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -87,7 +87,7 @@
         layers,
         epoch: Epoch(1),
         role: EngineRole::Both,
-        leaving: false,
+        draining: false,
         slots: 32,
         running: (i * 7 % 32) as u32,
         queued: 0,
--- a/crates/proof/src/upstreams.rs
+++ b/crates/proof/src/upstreams.rs
@@ -110,7 +110,7 @@
     }
 
     fn hear(&mut self, at: usize, report: &EngineReport, tally: &mut Tally) {
-        let word = (report.incarnation.0, report.serial, report.leaving);
+        let word = (report.incarnation.0, report.serial, report.draining);
         let heard = &mut self.engines[at].heard;
         match heard {
             Some(old) if (old.0, old.1) >= (word.0, word.1) => tally.fault("older report"),
@@ -162,7 +162,7 @@
         layers: LayerRange::new(0, 4),
         epoch: Epoch(0),
         role: EngineRole::Both,
-        leaving: engine.leaving,
+        draining: engine.leaving,
         slots: 4,
         running: 0,
         queued: 0,
