--- a/crates/heathpitch/examples/claim_a_key.rs
+++ b/crates/heathpitch/examples/claim_a_key.rs
@@ -8,7 +8,7 @@
     let mut first = Claims::new("n1".parse()?, one);
     let mut second = Claims::new("n2".parse()?, two);
     let key = digest(&[b"memphis-desk", b"order-7"]);
-    let ask = |nonce| ClaimEvent::Ask { id: 1, digest: key.clone(), body: 9, nonce };
+    let ask = |nonce| ClaimEvent::Claim { id: 1, digest: key.clone(), body: 9, nonce };
 
     // Both read the page while it is empty, and both want to write it.
     let [ClaimAction::Read(page)] = first.on(ask(11), 0, 0)[..] else { return Err("read".into()) };
--- a/crates/heathpitchd/src/control/claims.rs
+++ b/crates/heathpitchd/src/control/claims.rs
@@ -23,7 +23,7 @@
     control.next_claim.set(id + 1);
     control.replies.borrow_mut().insert(id, reply);
     let nonce = control.rng.borrow_mut().random();
-    on(control, ClaimEvent::Ask { id, digest, body, nonce });
+    on(control, ClaimEvent::Claim { id, digest, body, nonce });
 }
 
 /// Advances the timers of pending claims.
@@ -85,7 +85,7 @@
     let event = match answer {
         Ok(revision) => ClaimEvent::Written(page, revision),
         Err(PutError::Conflict(_)) => ClaimEvent::Conflict(page),
-        Err(PutError::Refused(_) | PutError::Unknown(_)) => ClaimEvent::Unsure(page),
+        Err(PutError::Refused(_) | PutError::Unknown(_)) => ClaimEvent::WriteUnknown(page),
     };
     on(&control, event);
 }
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
     /// A request claims its key.
-    Ask {
+    Claim {
         /// Identifies the request in the answer.
         id: u64,
         /// Digest of client account and key.
@@ -45,7 +45,7 @@
     /// A write was rejected because the page had changed.
     Conflict(u32),
     /// A write may or may not have taken effect, or was refused.
-    Unsure(u32),
+    WriteUnknown(u32),
     /// Time passed.
     Tick,
 }
@@ -127,19 +127,19 @@
     pub fn on(&mut self, event: ClaimEvent, now: Millis, wall: Millis) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         match event {
-            ClaimEvent::Ask { id, digest, body, nonce } => {
-                self.ask(id, digest, body, nonce, now, wall, &mut actions);
+            ClaimEvent::Claim { id, digest, body, nonce } => {
+                self.claim(id, digest, body, nonce, now, wall, &mut actions);
             }
             ClaimEvent::Read(page, revision, content) => {
                 self.read(page, revision, content.unwrap_or_default(), &mut actions);
             }
             ClaimEvent::Written(page, revision) => self.written(page, revision, &mut actions),
             ClaimEvent::Conflict(page) => self.forget(page, Call::None),
-            ClaimEvent::Unsure(page) if !on(Mechanism::ClaimReadBack) => {
+            ClaimEvent::WriteUnknown(page) if !on(Mechanism::ClaimReadBack) => {
                 let revision = self.slots.get(&page).and_then(|s| s.known.as_ref()).map(|k| k.0);
                 self.written(page, revision.unwrap_or_default(), &mut actions);
             }
-            ClaimEvent::ReadFailed(page) | ClaimEvent::Unsure(page) => {
+            ClaimEvent::ReadFailed(page) | ClaimEvent::WriteUnknown(page) => {
                 self.forget(page, Call::Paused(now + RETRY_DELAY_MS));
             }
             ClaimEvent::Tick => self.expire(now, &mut actions),
@@ -150,7 +150,7 @@
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one event and its two times")]
-    fn ask(
+    fn claim(
         &mut self,
         id: u64,
         digest: Name,
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -64,13 +64,13 @@
 pub fn choose<'a>(
     engines: &'a [Upstream],
     admits: impl Fn(&Upstream) -> bool,
-    ask: &PathRequest<'_>,
+    request: &PathRequest<'_>,
     rng: &mut impl Rng,
 ) -> Result<(Path, f64), NoPath> {
     let usable = |u: &&Upstream| {
-        u.report.version == ask.model.version
-            && !ask.avoid.contains(&u.vm.name)
-            && (ask.allow_suspect || !u.gauge.is_suspect(ask.now))
+        u.report.version == request.model.version
+            && !request.avoid.contains(&u.vm.name)
+            && (request.allow_suspect || !u.gauge.is_suspect(request.now))
             && admits(u)
     };
     let mut groups: BTreeMap<LayerRange, Vec<&'a Upstream>> = BTreeMap::new();
@@ -81,19 +81,19 @@
         return Err(NoPath::NoEngine);
     }
     let picks: Vec<(LayerRange, Pick<'a>)> =
-        groups.iter().map(|(l, g)| (*l, pick(g, ask, rng))).collect();
-    join(&picks, ask.model).ok_or(NoPath::Incomplete)
+        groups.iter().map(|(l, g)| (*l, pick(g, request, rng))).collect();
+    join(&picks, request.model).ok_or(NoPath::Incomplete)
 }
 
-fn pick<'a>(group: &[&'a Upstream], ask: &PathRequest<'_>, rng: &mut impl Rng) -> Pick<'a> {
-    let with_cost = |u: &'a Upstream| (u, cost(u, ask));
+fn pick<'a>(group: &[&'a Upstream], request: &PathRequest<'_>, rng: &mut impl Rng) -> Pick<'a> {
+    let with_cost = |u: &'a Upstream| (u, cost(u, request));
     let least = |a: Pick<'a>, b: Pick<'a>| if b.1 < a.1 { b } else { a };
     let any = rng.random_range(0..group.len());
     let other = match group.len() {
         1 => any,
         n => (any + rng.random_range(1..n)) % n,
     };
-    match ask.strategy {
+    match request.strategy {
         Strategy::Random => with_cost(group[any]),
         Strategy::TwoChoices => least(with_cost(group[any]), with_cost(group[other])),
         Strategy::LeastReported => {
@@ -101,8 +101,8 @@
             with_cost(group.iter().min_by_key(reported).copied().unwrap_or(group[any]))
         }
         Strategy::Best => group.iter().map(|u| with_cost(u)).fold(with_cost(group[any]), least),
-        Strategy::Affinity => match ask.chain.first() {
-            Some(prefix) => pick_by_prefix(group, *prefix, ask, with_cost(group[any])),
+        Strategy::Affinity => match request.chain.first() {
+            Some(prefix) => pick_by_prefix(group, *prefix, request, with_cost(group[any])),
             None => least(with_cost(group[any]), with_cost(group[other])),
         },
     }
@@ -114,15 +114,15 @@
 fn pick_by_prefix<'a>(
     group: &[&'a Upstream],
     prefix: u64,
-    ask: &PathRequest<'_>,
+    request: &PathRequest<'_>,
     any: Pick<'a>,
 ) -> Pick<'a> {
     let rank = |u: &&&Upstream| mix(prefix, hash_name(&u.vm.name, 5));
-    let hit = |u: &&&Upstream| ask.prefixes.hit(u.vm.name.as_str(), ask.chain);
+    let hit = |u: &&&Upstream| request.prefixes.hit(u.vm.name.as_str(), request.chain);
     let assigned = group.iter().max_by_key(rank).copied();
-    let assigned = assigned.map(|u| (u, cost_with(u, ask, assumed_hit(u, ask))));
+    let assigned = assigned.map(|u| (u, cost_with(u, request, assumed_hit(u, request))));
     let holder = group.iter().filter(|u| hit(u) > 0).max_by_key(hit).copied();
-    let holder = holder.map(|u| (u, cost(u, ask)));
+    let holder = holder.map(|u| (u, cost(u, request)));
     let best = match (assigned, holder) {
         (Some(a), Some(h)) if h.1 <= a.1 => h,
         (Some(a), _) => a,
@@ -133,19 +133,19 @@
 
 /// Blocks assumed to be cached by the engine that a prefix is assigned to. It receives all prompts with
 /// that prefix, even if the index does not show them yet.
-fn assumed_hit(u: &Upstream, ask: &PathRequest<'_>) -> usize {
-    let known = ask.prefixes.hit(u.vm.name.as_str(), ask.chain);
-    known.max((ask.chain.len() as f64 * ASSUMED_HIT) as usize)
+fn assumed_hit(u: &Upstream, request: &PathRequest<'_>) -> usize {
+    let known = request.prefixes.hit(u.vm.name.as_str(), request.chain);
+    known.max((request.chain.len() as f64 * ASSUMED_HIT) as usize)
 }
 
 /// Predicted cost of an engine, less its known prefix hit.
-fn cost(u: &Upstream, ask: &PathRequest<'_>) -> f64 {
-    cost_with(u, ask, ask.prefixes.hit(u.vm.name.as_str(), ask.chain))
+fn cost(u: &Upstream, request: &PathRequest<'_>) -> f64 {
+    cost_with(u, request, request.prefixes.hit(u.vm.name.as_str(), request.chain))
 }
 
-fn cost_with(u: &Upstream, ask: &PathRequest<'_>, blocks: usize) -> f64 {
-    let tokens = ask.tokens.saturating_sub((blocks * BLOCK_TOKENS) as u32);
-    predict(u, &Need { tokens, domain: ask.domain, now: ask.now })
+fn cost_with(u: &Upstream, request: &PathRequest<'_>, blocks: usize) -> f64 {
+    let tokens = request.tokens.saturating_sub((blocks * BLOCK_TOKENS) as u32);
+    predict(u, &Need { tokens, domain: request.domain, now: request.now })
 }
 
 /// Joins the picked ranges into the cheapest path; a stage may run part of the layers its engine holds.
--- a/crates/proof/src/keys.rs
+++ b/crates/proof/src/keys.rs
@@ -155,7 +155,7 @@
         self.next += 1;
         let id = self.next;
         self.nodes[at].asks.insert(id, (number, idle, body));
-        let event = ClaimEvent::Ask { id, digest, body, nonce: id };
+        let event = ClaimEvent::Claim { id, digest, body, nonce: id };
         self.on(at, event, tally)
     }
 
@@ -254,7 +254,7 @@
             }
             Message::Write(page, ..)
             | Message::Answer(ClaimEvent::Written(page, _) | ClaimEvent::Conflict(page)) => {
-                ClaimEvent::Unsure(*page)
+                ClaimEvent::WriteUnknown(*page)
             }
             Message::Answer(_) => return Ok(()),
         };
