--- a/crates/net/src/backpressure.rs
+++ b/crates/net/src/backpressure.rs
@@ -4,8 +4,8 @@
 use hyper::HeaderMap;
 use hyper::header::RETRY_AFTER;
 
-/// Upper bound of a pause: one day. An engine that asks for more is faulty, or will have restarted by
-/// then.
+/// Upper bound of a pause: one day. An engine that asks for more is faulty, or will have restarted
+/// by then.
 const MAX_PAUSE_MS: Millis = 86_400_000;
 
 /// Backpressure signalled in one response.
@@ -22,8 +22,8 @@
 /// Rate limit over all nodes, as an engine advertises it in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdvertisedLimit {
-    /// No usable information: it cannot be parsed, or the response may come from another engine or be
-    /// arbitrarily old.
+    /// No usable information: it cannot be parsed, or the response may come from another engine or
+    /// be arbitrarily old.
     #[default]
     Unknown,
     /// The engine advertises no limit.
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -69,8 +69,8 @@
 
     /// Closes all idle connections.
     ///
-    /// After a request on one of them got no response, others may be dead as well, and each would cost
-    /// another call its whole timeout.
+    /// After a request on one of them got no response, others may be dead as well, and each would
+    /// cost another call its whole timeout.
     pub fn close_idle(&self) {
         *self.pooled.lock() = build(MAX_IDLE, self.idle_timeout);
     }
@@ -92,8 +92,8 @@
 impl Client {
     /// Sends a request and waits for the response head.
     ///
-    /// With `fresh`, a new connection is opened for the request, so that [`RpcError::Connect`] proves
-    /// that nothing was sent.
+    /// With `fresh`, a new connection is opened for the request, so that [`RpcError::Connect`]
+    /// proves that nothing was sent.
     ///
     /// # Errors
     ///
--- a/crates/net/src/dialect.rs
+++ b/crates/net/src/dialect.rs
@@ -1,4 +1,5 @@
-//! Interface of a platform adapter, other than the store: documents, headers of calls and control of engines.
+//! Interface of a platform adapter, other than the store: documents, headers of calls and control
+//! of engines.
 //!
 //! Only the adapter that implements these traits knows the names that the platform uses.
 
@@ -134,7 +135,8 @@
 }
 
 impl EngineStatus {
-    /// Tokens held by running requests, plus `typical` for each waiting one; none if it holds no layers.
+    /// Tokens held by running requests, plus `typical` for each waiting one; none if it holds no
+    /// layers.
     pub fn held_tokens(&self, typical: f64) -> Option<f64> {
         let layers = self.layers.filter(|l| l.count() > 0)?;
         let tokens = self.used as f64 / f64::from(layers.count());
@@ -156,7 +158,8 @@
 pub enum OrderOutcome {
     /// Accepted, completed, or already satisfied.
     Taken,
-    /// It conflicts with the state of the engine; holds the address of the engine in conflict, if stated.
+    /// It conflicts with the state of the engine; holds the address of the engine in conflict, if
+    /// stated.
     Conflict(Option<SocketAddr>),
     /// The engine at this address has another id or does not know the request.
     Unknown,
@@ -221,7 +224,8 @@
         path: &'a str,
     ) -> BoxFuture<'a, Result<EngineResponse<bool>, RpcError>>;
 
-    /// Orders an engine to hold `layers`, on condition that it has begun exactly `orders` orders so far.
+    /// Orders an engine to hold `layers`, on condition that it has begun exactly `orders` orders so
+    /// far.
     fn place<'a>(
         &'a self,
         engine: &'a EngineEntry,
--- a/crates/net/src/engine_http.rs
+++ b/crates/net/src/engine_http.rs
@@ -117,7 +117,8 @@
 
 /// Error for a response that is not 200.
 ///
-/// It counts as a refusal only if it can be parsed completely and states that the request did not start.
+/// It counts as a refusal only if it can be parsed completely and states that the request did not
+/// start.
 async fn refusal(status: u16, content: Incoming) -> SendError {
     let bytes = body::read(content, MAX_REFUSAL_BYTES).await.unwrap_or_default();
     match (serde_json::from_slice::<Refusal>(&bytes), serde_json::from_slice::<Fault>(&bytes)) {
--- a/crates/net/src/feed.rs
+++ b/crates/net/src/feed.rs
@@ -1,8 +1,8 @@
 //! Distribution of store contents from the nodes that read the store to the others, over capnp-rpc.
 //!
 //! A follower polls on a persistent connection. The server responds at once instead of waiting for
-//! changes, so that the reported age of the data stays correct. Client and server run on the control
-//! thread.
+//! changes, so that the reported age of the data stays correct. Client and server run on the
+//! control thread.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,8 +22,8 @@
 use crate::peer::{network, serve_rpc};
 use crate::{FeedRequest, FeedResponse, RightsRequest, RightsResponse, RpcError};
 
-/// Maximum number of concurrent connections: enough for all nodes of the largest fleet, each with one
-/// for polling and one for requesting rights.
+/// Maximum number of concurrent connections: enough for all nodes of the largest fleet, each with
+/// one for polling and one for requesting rights.
 const MAX_CONNECTIONS: usize = 1_024;
 /// Maximum duration of a connection; followers then open a new one.
 const MAX_CONNECTION_TIME: Duration = Duration::from_secs(120);
--- a/crates/net/src/feed_codec.rs
+++ b/crates/net/src/feed_codec.rs
@@ -16,7 +16,8 @@
     FeedRequest, FeedResponse, Item, NoticeCursor, RightsRequest, RightsResponse, RpcError,
 };
 
-/// Encodes and compresses a complete list of items: 100 engine entries take about 3 kB instead of 30 kB.
+/// Encodes and compresses a complete list of items: 100 engine entries take about 3 kB instead of
+/// 30 kB.
 ///
 /// # Errors
 ///
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -50,8 +50,8 @@
 impl Listener {
     /// Binds an address; port 0 selects a free port. Must be called within a runtime.
     ///
-    /// The accept queue is long: the usual 128 entries overflow in a burst, and the client retries a
-    /// dropped connection only after a second.
+    /// The accept queue is long: the usual 128 entries overflow in a burst, and the client retries
+    /// a dropped connection only after a second.
     ///
     /// # Errors
     ///
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -20,7 +20,8 @@
 use crate::client::error_chain;
 use crate::{Body, Response, RpcError};
 
-/// Timeout of a connection attempt, an order of magnitude above the latency between failure domains.
+/// Timeout of a connection attempt, an order of magnitude above the latency between failure
+/// domains.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which sent data may remain unacknowledged before the connection is closed.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -47,8 +48,8 @@
 pub enum Reuse {
     /// Any that is still open: a request lost with it can be retried.
     Idle,
-    /// Always a new connection: if the engine closed a reused one at the same moment, it would be unknown
-    /// whether it had received the request.
+    /// Always a new connection: if the engine closed a reused one at the same moment, it would be
+    /// unknown whether it had received the request.
     Never,
 }
 
@@ -102,8 +103,8 @@
 impl Pool {
     /// Takes an idle connection to `address` or opens a new one.
     ///
-    /// An idle connection to another `incarnation` of the process at this address is dead and is never
-    /// taken.
+    /// An idle connection to another `incarnation` of the process at this address is dead and is
+    /// never taken.
     ///
     /// # Errors
     ///
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Returns a connection after a complete response; it is kept for less than `keep_alive`, if the
-    /// engine states that time.
+    /// Returns a connection after a complete response; it is kept for less than `keep_alive`, if
+    /// the engine states that time.
     pub fn release(&self, connection: Connection, keep_alive: Option<Duration>) {
         let time =
             keep_alive.map_or(IDLE_TIMEOUT, |k| k.saturating_sub(IDLE_MARGIN).min(IDLE_TIMEOUT));
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -1,7 +1,7 @@
 //! Interface of the platform's key-value store.
 //!
-//! Each item has a revision that only increases. Writes are conditional on revisions. An item can be
-//! bound to a lease and is deleted when the lease ends or expires.
+//! Each item has a revision that only increases. Writes are conditional on revisions. An item can
+//! be bound to a lease and is deleted when the lease ends or expires.
 
 use std::sync::Arc;
 
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission control of a node: sheds the lowest priority first, and limits accounts to their share under load.
+//! Admission control of a node: sheds the lowest priority first, and limits accounts to their share
+//! under load.
 
 use std::collections::HashMap;
 
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Requests the account may have open, by its weight among all active accounts including itself.
+    /// Requests the account may have open, by its weight among all active accounts including
+    /// itself.
     fn share(&self, account: &Account, room: f64) -> u32 {
         let total = match self.usage.contains_key(&account.name) {
             true => self.weights,
--- a/crates/policy/src/backpressure.rs
+++ b/crates/policy/src/backpressure.rs
@@ -1,13 +1,14 @@
-//! Backpressure of one engine on this node: a pause, a drain, or a rate limit that covers all nodes.
+//! Backpressure of one engine on this node: a pause, a drain, or a rate limit that covers all
+//! nodes.
 //!
-//! This is the one place that decides whether a request that takes a slot may be sent to an engine: calls,
-//! retries, resumed streams and probes. A signal applies as soon as the head of the response that carries it is
-//! read, whichever call it came on, and outlives that call.
+//! This is the one place that decides whether a request that takes a slot may be sent to an engine:
+//! calls, retries, resumed streams and probes. A signal applies as soon as the head of the response
+//! that carries it is read, whichever call it came on, and outlives that call.
 //!
-//! A pause applies to this node only: shared with all nodes, it would leave slots unused. After a pause one
-//! request is admitted at first. Each response then admits one more, up to half of the requests that were open when
-//! the engine rejected one, and from there one more a round trip (slow start), so that neither this node's
-//! clients nor all nodes return at the same moment.
+//! A pause applies to this node only: shared with all nodes, it would leave slots unused. After a
+//! pause one request is admitted at first. Each response then admits one more, up to half of the
+//! requests that were open when the engine rejected one, and from there one more a round trip (slow
+//! start), so that neither this node's clients nor all nodes return at the same moment.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering::Relaxed};
@@ -16,13 +17,13 @@
 
 use crate::{EngineLimit, Right};
 
-/// Largest random extension of a pause, as a fraction of it, so that nodes rejected together do not return
-/// together.
+/// Largest random extension of a pause, as a fraction of it, so that nodes rejected together do not
+/// return together.
 const JITTER: f64 = 0.1;
 /// One request, in the fixed-point unit of the window.
 const ONE: u32 = 256;
-/// Time after a pause for which the window stays in force, milliseconds. It spans several pauses of the usual
-/// length, so that a lasting overload is not probed from scratch after each.
+/// Time after a pause for which the window stays in force, milliseconds. It spans several pauses of
+/// the usual length, so that a lasting overload is not probed from scratch after each.
 const WINDOW_TTL_MS: Millis = 10_000;
 
 /// Backpressure of one engine; shared between threads without a lock.
@@ -129,8 +130,8 @@
         self.is_draining() || self.pause_left(now).is_some()
     }
 
-    /// Admits a request about to be sent at `now`, and counts it as open until the returned guard is dropped.
-    /// An engine with a rate limit admits only a request with a right.
+    /// Admits a request about to be sent at `now`, and counts it as open until the returned guard
+    /// is dropped. An engine with a rate limit admits only a request with a right.
     pub fn admit(self: &Arc<Self>, right: Option<&mut Right>, now: Millis) -> Option<Admission> {
         (!self.is_draining()).then(|| self.admit_probe(right, now)).flatten()
     }
--- a/crates/policy/src/blocks.rs
+++ b/crates/policy/src/blocks.rs
@@ -9,8 +9,8 @@
 
 /// Hashes of the complete blocks of a prompt, each chained to the one before.
 ///
-/// The chain is seeded with the client account and the model, so that accounts never share a block. A
-/// prompt of `n` tokens can hit at most `n / 16` blocks, rounded down.
+/// The chain is seeded with the client account and the model, so that accounts never share a block.
+/// A prompt of `n` tokens can hit at most `n / 16` blocks, rounded down.
 ///
 /// # Examples
 ///
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -62,7 +62,8 @@
     }
 }
 
-/// Time after which a rejected client should retry: at least `least`, with jitter of up to the same amount.
+/// Time after which a rejected client should retry: at least `least`, with jitter of up to the same
+/// amount.
 pub fn retry_after(least: Millis, rng: &mut impl Rng) -> Millis {
     let base = least.clamp(RETRY_MIN_MS, RETRY_MAX_MS);
     base + rng.random_range(0..=base)
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -12,8 +12,8 @@
 
 /// Cost of one more stage: the delay inside a domain, milliseconds per token.
 pub(crate) const HOP_COST: f64 = 0.2;
-/// Cost in addition to the delay of starting in another domain and of returning answers from there, which
-/// carries text only; milliseconds per token.
+/// Cost in addition to the delay of starting in another domain and of returning answers from there,
+/// which carries text only; milliseconds per token.
 const REMOTE_COST: f64 = 1.5;
 /// Cost in addition to the delay of continuing in another domain, milliseconds per token.
 ///
@@ -36,7 +36,8 @@
     pub entry: Arc<EngineEntry>,
     /// Its card.
     pub card: Card,
-    /// Cost in addition to that of its layers, such as load or suspected failure; milliseconds per token.
+    /// Cost in addition to that of its layers, such as load or suspected failure; milliseconds per
+    /// token.
     pub penalty: f64,
     /// Cost of starting here: requests waiting for prefill; milliseconds per token.
     pub start_cost: f64,
--- a/crates/policy/src/claim_decision.rs
+++ b/crates/policy/src/claim_decision.rs
@@ -29,8 +29,8 @@
 
 /// Decides on a request by the verdict on its claim.
 ///
-/// `idle` is whether this incarnation's idempotency table knows that the key was never dispatched; `incarnation` is this
-/// incarnation, and `body` the digest of the request.
+/// `idle` is whether this incarnation's idempotency table knows that the key was never dispatched;
+/// `incarnation` is this incarnation, and `body` the digest of the request.
 ///
 /// # Examples
 ///
--- a/crates/policy/src/engine_limit.rs
+++ b/crates/policy/src/engine_limit.rs
@@ -1,16 +1,17 @@
-//! Rate limit that one engine states for all nodes together, and this node's rights to send requests under it.
+//! Rate limit that one engine states for all nodes together, and this node's rights to send
+//! requests under it.
 //!
-//! A limit applies as soon as the head of the response that states it is read. Responses may arrive out of order,
-//! so a response relaxes an earlier one only if its request was sent after that. A lower limit applies at
-//! once; a higher limit, or none, only under that condition; and a limit is lifted only by two responses without one,
-//! some time after the last that stated it. Keeping a limit slightly too long costs little, while ignoring one may
-//! overload the engine.
+//! A limit applies as soon as the head of the response that states it is read. Responses may arrive
+//! out of order, so a response relaxes an earlier one only if its request was sent after that. A
+//! lower limit applies at once; a higher limit, or none, only under that condition; and a limit is
+//! lifted only by two responses without one, some time after the last that stated it. Keeping a
+//! limit slightly too long costs little, while ignoring one may overload the engine.
 //!
-//! No node can enforce a limit on the sum over all nodes alone: each request needs a right, issued by the planner of
-//! the engine's failure domain ([`Rights`](crate::Rights)). Rights expire soon, so that a node resuming after a
-//! stall does not use old ones in addition to new ones. A node that cannot reach an issuer issues its own: all such
-//! nodes together at most a quarter of the limit, so that the rights issued to others in the meantime do not
-//! add up to more than the limit allows.
+//! No node can enforce a limit on the sum over all nodes alone: each request needs a right, issued
+//! by the planner of the engine's failure domain ([`Rights`](crate::Rights)). Rights expire soon,
+//! so that a node resuming after a stall does not use old ones in addition to new ones. A node that
+//! cannot reach an issuer issues its own: all such nodes together at most a quarter of the limit,
+//! so that the rights issued to others in the meantime do not add up to more than the limit allows.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -20,8 +21,8 @@
 use crate::Backpressure;
 use crate::rights::target_rate;
 
-/// Least age of the last response with a limit before two without one lift it, milliseconds: single responses may
-/// omit the limit.
+/// Least age of the last response with a limit before two without one lift it, milliseconds: single
+/// responses may omit the limit.
 const LIFT_DELAY_MS: Millis = 500;
 /// Lifetime of a right, milliseconds; connecting to an engine takes at most 400.
 pub(crate) const RIGHT_TTL_MS: Millis = 500;
@@ -31,7 +32,8 @@
 const SELF_ISSUED_TTL_MS: Millis = 1_000;
 /// Interval between attempts to find an issuer, milliseconds.
 const ISSUER_RETRY_MS: Millis = 300;
-/// Interval over which this node's requests are counted to size the next batch of rights, milliseconds.
+/// Interval over which this node's requests are counted to size the next batch of rights,
+/// milliseconds.
 const COUNT_INTERVAL_MS: Millis = 250;
 /// Largest batch of rights to request.
 const MAX_BATCH: u16 = 256;
@@ -72,14 +74,15 @@
     paused: AtomicU64,
     /// Time of the next self-issued right; 0 before the first.
     next_own: AtomicU64,
-    /// Number of the last counting interval with requests, their count, and that of the interval before.
+    /// Number of the last counting interval with requests, their count, and that of the interval
+    /// before.
     counts: AtomicU64,
 }
 
 /// # Observations
 impl EngineLimit {
-    /// Records a response received at `now` that states a limit, to a request sent at `sent`; returns whether the
-    /// limit changes.
+    /// Records a response received at `now` that states a limit, to a request sent at `sent`;
+    /// returns whether the limit changes.
     pub fn observe(&self, rate: Rate, sent: Millis, now: Millis) -> bool {
         self.stated.fetch_max(now, Relaxed);
         self.omitted.store(false, Relaxed);
@@ -104,14 +107,14 @@
         self.in_probes.store(true, Relaxed);
     }
 
-    /// Whether a probe response without a limit means that there is none. Engines that only serve later stages
-    /// of paths answer no calls, so for them probes are the only evidence.
+    /// Whether a probe response without a limit means that there is none. Engines that only serve
+    /// later stages of paths answer no calls, so for them probes are the only evidence.
     pub fn is_in_probes(&self) -> bool {
         self.in_probes.load(Relaxed)
     }
 
-    /// Applies what another node observed at `at`; returns whether the limit changes. The lifting of a limit is
-    /// ignored if it may be older than the last response to this node.
+    /// Applies what another node observed at `at`; returns whether the limit changes. The lifting
+    /// of a limit is ignored if it may be older than the last response to this node.
     pub fn learn(&self, rate: Option<Rate>, at: Millis) -> bool {
         let newer = at > self.changed.load(Relaxed);
         let current = rate.is_some() || at > self.stated.load(Relaxed);
@@ -143,8 +146,8 @@
         })
     }
 
-    /// Adds `count` rights issued to a request sent at `sent`, and takes one; `None` if they arrived too late or
-    /// another call took the last one.
+    /// Adds `count` rights issued to a request sent at `sent`, and takes one; `None` if they
+    /// arrived too late or another call took the last one.
     pub fn receive(
         backpressure: &Arc<Backpressure>,
         count: u16,
@@ -170,8 +173,8 @@
         let _ = self.stock.fetch_update(Relaxed, Relaxed, add);
     }
 
-    /// Returns a right that expires at `end` to the stock. It is dropped if the stock expires later, since it would
-    /// otherwise outlive its expiry.
+    /// Returns a right that expires at `end` to the stock. It is dropped if the stock expires
+    /// later, since it would otherwise outlive its expiry.
     fn put_back(&self, end: Millis) {
         let add = |stock: u64| match stock & COUNT_MASK {
             0 => Some((end << COUNT_BITS) | 1),
@@ -187,9 +190,9 @@
         self.paused.store(until, Relaxed);
     }
 
-    /// Issues this node a right of its own, since no issuer was found at `now` in a fleet of `nodes`; returns
-    /// whether one was due. None is due while the size of the fleet is unknown. `draw`, from 0 to 1, sets the time of
-    /// the next.
+    /// Issues this node a right of its own, since no issuer was found at `now` in a fleet of
+    /// `nodes`; returns whether one was due. None is due while the size of the fleet is unknown.
+    /// `draw`, from 0 to 1, sets the time of the next.
     pub fn self_issue(&self, nodes: Option<u32>, draw: f64, now: Millis) -> bool {
         let Some(rate) = self.rate() else { return true };
         self.pause_until(now + ISSUER_RETRY_MS);
--- a/crates/policy/src/engine_stats.rs
+++ b/crates/policy/src/engine_stats.rs
@@ -13,8 +13,8 @@
 const GAIN_EIGHTHS: u64 = 2;
 /// Age at which the moving average has decayed to nothing, milliseconds.
 const MEAN_TTL_MS: Millis = 2_500;
-/// Time for which an engine's report is valid, milliseconds: two poll intervals plus the delay of the report
-/// itself.
+/// Time for which an engine's report is valid, milliseconds: two poll intervals plus the delay of
+/// the report itself.
 pub(crate) const REPORT_TTL_MS: Millis = 2_500;
 /// Range that a reported slowdown is clamped to.
 const SLOWDOWN_RANGE: std::ops::RangeInclusive<f64> = 1.0..=50.0;
@@ -69,7 +69,8 @@
         self.load_at.store(now, Relaxed);
     }
 
-    /// Records the slowdown that the engine reported at `at`: its step time relative to that expected of its accelerator.
+    /// Records the slowdown that the engine reported at `at`: its step time relative to that
+    /// expected of its accelerator.
     pub fn record_slowdown(&self, slowdown: f64, at: Millis) {
         self.slowdown.store((slowdown * SLOWDOWN_SCALE) as u64, Relaxed);
         self.reported_at.store(at, Relaxed);
--- a/crates/policy/src/followers.rs
+++ b/crates/policy/src/followers.rs
@@ -56,7 +56,8 @@
         *self = Self::default();
     }
 
-    /// Selects the standbys: nodes that can run a planner first, then the previous standbys, then by name.
+    /// Selects the standbys: nodes that can run a planner first, then the previous standbys, then
+    /// by name.
     ///
     /// The selection changes as little as possible, so that all followers know the same standbys.
     pub fn standbys(&mut self, now: Millis) -> Vec<Source> {
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -76,16 +76,21 @@
 /// use heathpitch_core::{Card, LayerRange, LayeredModel};
 /// use heathpitch_policy::{Worker, plan_layout};
 ///
-/// let card = Card { name: "small".parse()?, memory_mb: 10_000.0, step_factor: 1.0, prefill_factor: 1.0 };
+/// let name = "small".parse()?;
+/// let card = Card { name, memory_mb: 10_000.0, step_factor: 1.0, prefill_factor: 1.0 };
 /// let model = LayeredModel {
 ///     layers: 8, layer_mb: 1_000.0, token_bytes: 8_000.0, slots: 8, step_ms: 1.0,
 ///     request_ms: 0.005, context_ms: 0.000_006,
-///     prefill_rate: 1_000.0, load_ms: 1_000, parallel_loads: 2, report_lag_ms: 200, typical_prompt: 100.0, typical_answer: 100.0,
+///     prefill_rate: 1_000.0, load_ms: 1_000, parallel_loads: 2, report_lag_ms: 200,
+///     typical_prompt: 100.0, typical_answer: 100.0,
 ///     cards: vec![card.clone()], delays: vec![],
 /// };
 /// let worker = |name: &str| -> Result<Worker, heathpitch_core::NameError> {
 ///     let layers = LayerRange::new(0, 0);
-///     Ok(Worker { engine: name.parse()?, card: card.clone(), layers, assignable: true, open_requests: 0, held_tokens: 0.0, limited: false, is_new: false })
+///     Ok(Worker {
+///         engine: name.parse()?, card: card.clone(), layers, assignable: true,
+///         open_requests: 0, held_tokens: 0.0, limited: false, is_new: false,
+///     })
 /// };
 /// let plan = plan_layout(&model, &[worker("a")?, worker("b")?]);
 /// let held: Vec<_> = plan.iter().map(|a| a.layers.to_string()).collect();
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -1,9 +1,9 @@
 //! Rate limits of engines, persisted in the store for the case that all nodes restart at once.
 //!
-//! Such nodes have no peer to ask, and until the limit in an engine's first responses has reached all nodes, each
-//! would send without a limit. The planner of a failure domain stores one record for the engines of its domain. A
-//! record fills in what a node does not know and never overrides what it does: responses of the engine lift a
-//! limit that is out of date.
+//! Such nodes have no peer to ask, and until the limit in an engine's first responses has reached
+//! all nodes, each would send without a limit. The planner of a failure domain stores one record
+//! for the engines of its domain. A record fills in what a node does not know and never overrides
+//! what it does: responses of the engine lift a limit that is out of date.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -12,7 +12,8 @@
 
 use crate::EngineIncarnation;
 
-/// Least interval between writes while the stored record is less strict than the current limits, milliseconds.
+/// Least interval between writes while the stored record is less strict than the current limits,
+/// milliseconds.
 const TIGHTEN_INTERVAL_MS: Millis = 1_000;
 /// The same while the stored record is stricter: responses of the engines correct that.
 const LOOSEN_INTERVAL_MS: Millis = 5_000;
@@ -28,8 +29,8 @@
 pub struct LimitEntry {
     /// Requests per second over all nodes.
     pub rate: Rate,
-    /// Whether probe responses state the limit, as those to calls do. Only they can lift the limit of an engine that
-    /// answers no calls, and a node that has just started has seen none.
+    /// Whether probe responses state the limit, as those to calls do. Only they can lift the limit
+    /// of an engine that answers no calls, and a node that has just started has seen none.
     pub in_probes: bool,
 }
 
@@ -68,8 +69,8 @@
         (Self { limits }, unreadable)
     }
 
-    /// Formats the record: one line per engine with its start time (0 if unknown), its limit in requests per
-    /// second, and which responses state the limit.
+    /// Formats the record: one line per engine with its start time (0 if unknown), its limit in
+    /// requests per second, and which responses state the limit.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (incarnation, LimitEntry { rate, in_probes }) in &self.limits {
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -1,8 +1,9 @@
 //! Rate limits of engines, as exchanged between nodes.
 //!
-//! A limit covers the requests of all nodes together, and a node that never sent an engine a request, or has
-//! restarted, does not know it. The newest update applies. Transmission adds an unknown delay to an update's age, so
-//! the lifting of a limit is dated as early, and a limit as late, as the delay permits.
+//! A limit covers the requests of all nodes together, and a node that never sent an engine a
+//! request, or has restarted, does not know it. The newest update applies. Transmission adds an
+//! unknown delay to an update's age, so the lifting of a limit is dated as early, and a limit as
+//! late, as the delay permits.
 
 use std::collections::{HashMap, HashSet};
 
@@ -10,7 +11,8 @@
 
 use crate::{EngineIncarnation, LimitEntry, notices};
 
-/// Time for which the lifting of a limit is announced, milliseconds; all reachable nodes know of it by then.
+/// Time for which the lifting of a limit is announced, milliseconds; all reachable nodes know of it
+/// by then.
 const LIFTED_TTL_MS: Millis = 10_000;
 /// Most limits kept, about a hundred bytes each; more than the engines of the largest fleet.
 const MAX_LIMITS: usize = 2_048;
@@ -80,7 +82,8 @@
 
     /// Applies the limit of an engine from a stored record; returns whether the engine was unknown.
     ///
-    /// The age of the record is unknown, so it counts as older than any update that nodes still announce.
+    /// The age of the record is unknown, so it counts as older than any update that nodes still
+    /// announce.
     pub fn restore(
         &mut self,
         incarnation: EngineIncarnation,
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -1,9 +1,10 @@
 //! Memory at an engine held by the requests of this node and of all others.
 //!
-//! A node knows at once what its own requests hold. What the requests of all nodes held it learns from the engine's
-//! report, some hundred milliseconds late. The current total is estimated as the reported one, scaled with
-//! the change of this node's own requests since. A node's own count alone is a poor estimate: clients are spread by a
-//! hash, and a node with a third of a domain's clients would take a full engine for two thirds full.
+//! A node knows at once what its own requests hold. What the requests of all nodes held it learns
+//! from the engine's report, some hundred milliseconds late. The current total is estimated as the
+//! reported one, scaled with the change of this node's own requests since. A node's own count alone
+//! is a poor estimate: clients are spread by a hash, and a node with a third of a domain's clients
+//! would take a full engine for two thirds full.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -86,7 +86,8 @@
 /// let model = Model::new("m".parse()?, "v1".parse()?, 4);
 /// let wanted = [ModelDemand { model, demand: 1.0, allowed: None }];
 /// let engine = |name: &str| -> Result<PlacementEngine, heathpitch_core::NameError> {
-///     Ok(PlacementEngine { engine: name.parse()?, memory: 1_000, layer: 100, link: 10, holding: None })
+///     let engine = name.parse()?;
+///     Ok(PlacementEngine { engine, memory: 1_000, layer: 100, link: 10, holding: None })
 /// };
 /// let moves = plan_placement(&wanted, &[engine("a")?, engine("b")?]);
 /// let ends: Vec<_> = moves.iter().map(|m| m.holding.layers.to_string()).collect();
--- a/crates/policy/src/predict.rs
+++ b/crates/policy/src/predict.rs
@@ -24,7 +24,8 @@
 
 /// Predicted milliseconds that `stage` adds to the first token.
 ///
-/// The reported load of other nodes decays with the report's age; this node's open requests are counted exactly.
+/// The reported load of other nodes decays with the report's age; this node's open requests are
+/// counted exactly.
 pub fn predict(stage: &Upstream, need: &Need<'_>) -> f64 {
     let r = &stage.report;
     let age = need.now.saturating_sub(stage.seen) as f64;
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -1,7 +1,8 @@
-//! Index of the prompt blocks cached by each engine, built from delayed and incomplete cache events.
+//! Index of the prompt blocks cached by each engine, built from delayed and incomplete cache
+//! events.
 //!
-//! The entries of an engine are discarded when its events have a gap or it restarts, until its whole
-//! content has been read again.
+//! The entries of an engine are discarded when its events have a gap or it restarts, until its
+//! whole content has been read again.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -113,7 +114,8 @@
 
 /// # Reading
 impl PrefixIndex {
-    /// Sequence number of the newest event applied for this incarnation; 0 requests the whole content.
+    /// Sequence number of the newest event applied for this incarnation; 0 requests the whole
+    /// content.
     pub fn position(&self, engine: &str, incarnation: Incarnation) -> u64 {
         self.engines.get(engine).filter(|h| h.incarnation == incarnation).map_or(0, |h| h.serial)
     }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -2,10 +2,10 @@
 //!
 //! An engine that terminates cuts off every request that runs there, so a single termination says
 //! little about any one of them. What counts is which request was running in repeated terminations,
-//! over all nodes and under whatever ids the request comes: nodes send each [`EngineExit`] to each other,
-//! and each node derives the same verdict from them. A verdict blames the fewest requests that
-//! explain the terminations ([`Quarantine::verdict`]), so that requests which were rerouted from
-//! engine to engine along with the faulty one are not quarantined with it.
+//! over all nodes and under whatever ids the request comes: nodes send each [`EngineExit`] to each
+//! other, and each node derives the same verdict from them. A verdict blames the fewest requests
+//! that explain the terminations ([`Quarantine::verdict`]), so that requests which were rerouted
+//! from engine to engine along with the faulty one are not quarantined with it.
 //!
 //! The state of an exit changes in one direction only: it may be renewed, or cleared. So nodes
 //! agree whether updates arrive out of order, twice or late.
@@ -93,7 +93,8 @@
 ///
 /// let mut quarantine = Quarantine::default();
 /// let (fatal, moved) = (RequestFingerprint(1), RequestFingerprint(2));
-/// let incarnation = |engine: &str| EngineIncarnation { engine: engine.parse().unwrap(), started_at: None };
+/// let incarnation =
+///     |id: &str| EngineIncarnation { engine: id.parse().unwrap(), started_at: None };
 /// for engine in ["e1", "e2", "e3", "e4"] {
 ///     quarantine.record_exit(fatal, incarnation(engine), 0, 10);
 /// }
@@ -203,8 +204,8 @@
         new
     }
 
-    /// Evicts the least important exit if there are too many: cleared exits first, those of quarantined
-    /// requests last, and the oldest of each kind first.
+    /// Evicts the least important exit if there are too many: cleared exits first, those of
+    /// quarantined requests last, and the oldest of each kind first.
     fn make_room(&mut self) {
         if self.exits.len() <= MAX_EXITS {
             return;
@@ -262,10 +263,10 @@
     ///
     /// The request under which most engines terminated is blamed first and explains all of these
     /// exits; each further one must have an exit that no request blamed before it explains. If the
-    /// same three engines terminated under two requests, neither is blamed: the next exit distinguishes them
-    /// In 32 minutes of the model in this module's tests, 13 of 96 000 harmless requests
-    /// were quarantined along with a fatal one without the two rules and none with both, and no
-    /// more engines terminated.
+    /// same three engines terminated under two requests, neither is blamed: the next exit
+    /// distinguishes them. In 32 minutes of the model in this module's tests, 13 of 96 000 harmless
+    /// requests were quarantined along with a fatal one without the two rules and none with both,
+    /// and no more engines terminated.
     fn verdict(&self) -> BTreeSet<RequestFingerprint> {
         let suspects = self.suspects();
         let mut explained: BTreeSet<&EngineIncarnation> = BTreeSet::new();
--- a/crates/policy/src/relay.rs
+++ b/crates/policy/src/relay.rs
@@ -1,7 +1,7 @@
 //! Attempts of one request, from the first dispatch to the final response.
 //!
-//! The relay lets only one attempt at a time emit tokens, drops frames of earlier attempts, resumes at
-//! the first token not yet sent, and reports only an outcome that its evidence proves.
+//! The relay lets only one attempt at a time emit tokens, drops frames of earlier attempts, resumes
+//! at the first token not yet sent, and reports only an outcome that its evidence proves.
 
 use heathpitch_core::{Attempt, Evidence, Invariant, Name, Outcome, Path, check};
 
@@ -278,7 +278,8 @@
         }
     }
 
-    /// Abandons the attempt and avoids the unresponsive engines, or the whole path if none was found.
+    /// Abandons the attempt and avoids the unresponsive engines, or the whole path if none was
+    /// found.
     fn stalled(&mut self, silent: Vec<Name>) -> Vec<RelayAction> {
         let stages = self.path.iter().flat_map(|p| p.stages()).map(|s| s.engine.clone());
         let left = if silent.is_empty() { stages.collect() } else { silent };
--- a/crates/policy/src/retry_schedule.rs
+++ b/crates/policy/src/retry_schedule.rs
@@ -1,19 +1,20 @@
 //! Retry times for clients rejected for lack of capacity.
 //!
-//! A client that retries during the same overload is rejected again and has waited in vain. So clients
-//! get staggered retry times, at the rate at which capacity becomes free beyond what new requests
-//! take, and none earlier than an overload usually lasts.
+//! A client that retries during the same overload is rejected again and has waited in vain. So
+//! clients get staggered retry times, at the rate at which capacity becomes free beyond what new
+//! requests take, and none earlier than an overload usually lasts.
 
 use heathpitch_core::Millis;
 use rand::Rng;
 
-/// Shortest retry time, milliseconds: loading the layers of a lost engine, and a burst of requests, take
-/// two to four seconds.
+/// Shortest retry time, milliseconds: loading the layers of a lost engine, and a burst of requests,
+/// take two to four seconds.
 const MIN_DELAY_MS: Millis = 2_000;
 /// Rate of retries as a fraction of the current admission rate: about the spare capacity of a fleet
 /// under its usual load.
 const RETRY_SHARE: f64 = 0.25;
-/// Largest fraction of a client's remaining time to wait before the retry; the rest is left for serving it.
+/// Largest fraction of a client's remaining time to wait before the retry; the rest is left for
+/// serving it.
 const MAX_WAIT_SHARE: f64 = 0.3;
 /// Time constant of the admission rate, milliseconds.
 const RATE_WINDOW_MS: f64 = 2_000.0;
@@ -51,7 +52,8 @@
         self.admitted += 1.0;
     }
 
-    /// Time after which a client rejected at `now`, with `left` milliseconds remaining, should retry.
+    /// Time after which a client rejected at `now`, with `left` milliseconds remaining, should
+    /// retry.
     pub fn refuse(&mut self, left: Millis, now: Millis, rng: &mut impl Rng) -> Millis {
         self.refuse_for(MIN_DELAY_MS, left, now, rng)
     }
--- a/crates/policy/src/retry_window.rs
+++ b/crates/policy/src/retry_window.rs
@@ -6,13 +6,14 @@
 
 /// Buckets that a window is divided into.
 const BUCKETS: u64 = 20;
-/// Fraction of the agreed limit that is used, because calls and retries reach an engine later than they are counted here.
+/// Fraction of the agreed limit that is used, because calls and retries reach an engine later than
+/// they are counted here.
 const MARGIN: f64 = 0.85;
-/// Windows for which a node keeps its rounding: a window in which it changes may contain the retries allowed by both
-/// values.
+/// Windows for which a node keeps its rounding: a window in which it changes may contain the
+/// retries allowed by both values.
 const ROUNDING_WINDOWS: u64 = 6;
-/// Factor that spreads the seeds of nodes that change their rounding at about the same time, so that they do not all
-/// round up together.
+/// Factor that spreads the seeds of nodes that change their rounding at about the same time, so
+/// that they do not all round up together.
 const SEED_SPREAD: f64 = 4_096.0;
 /// Fractional parts of its multiples are evenly distributed over 0 to 1.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
@@ -31,12 +32,13 @@
 impl RetryShare {
     /// One node's share at `now` of the limit for a fleet of `nodes`.
     ///
-    /// A node's slack is a whole number of retries. Always rounding down would leave most of the limit unused when the
-    /// share is one or two, and at least one for each node would exceed the limit in a large fleet. So a node rounds
-    /// up or down at random, depending on `seed` (0 to 1), and keeps the choice for some windows: the shares of
-    /// all nodes add up to the limit.
+    /// A node's slack is a whole number of retries. Always rounding down would leave most of the
+    /// limit unused when the share is one or two, and at least one for each node would exceed the
+    /// limit in a large fleet. So a node rounds up or down at random, depending on `seed` (0 to 1),
+    /// and keeps the choice for some windows: the shares of all nodes add up to the limit.
     ///
-    /// If the size of the fleet is unknown a node gets no slack, since no assumed size is safe for every fleet.
+    /// If the size of the fleet is unknown a node gets no slack, since no assumed size is safe for
+    /// every fleet.
     pub fn of_node(&self, nodes: Option<u32>, seed: f64, now: Millis) -> Self {
         let slack = nodes.map_or(0.0, |nodes| self.slack * MARGIN / f64::from(nodes.max(1)));
         let slack = (slack + self.rounding(seed, now)).floor();
@@ -53,8 +55,8 @@
 
 /// Limits one node's retries to its share in every window.
 ///
-/// Calls are counted over one bucket less than a window, and retries over one bucket more, so that no window of
-/// the agreed length contains more retries, wherever it starts.
+/// Calls are counted over one bucket less than a window, and retries over one bucket more, so that
+/// no window of the agreed length contains more retries, wherever it starts.
 ///
 /// # Examples
 ///
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -1,9 +1,11 @@
-//! Rights to send requests to rate-limited engines, issued by the planner of an engine's failure domain.
+//! Rights to send requests to rate-limited engines, issued by the planner of an engine's failure
+//! domain.
 //!
-//! Each request needs one right, and rights are issued at the rate of the limit. So the sum over all nodes stays
-//! within it, whatever their number and however clients are spread over them. A node that becomes the issuer does
-//! not know the rights issued before, so it starts with a nearly empty bucket. A node that gets no right learns when
-//! to ask again, such that all nodes together ask at a bounded rate.
+//! Each request needs one right, and rights are issued at the rate of the limit. So the sum over
+//! all nodes stays within it, whatever their number and however clients are spread over them. A
+//! node that becomes the issuer does not know the rights issued before, so it starts with a nearly
+//! empty bucket. A node that gets no right learns when to ask again, such that all nodes together
+//! ask at a bounded rate.
 
 use std::collections::HashMap;
 
@@ -11,23 +13,24 @@
 
 use crate::{Bucket, EngineIncarnation};
 
-/// Least rate, requests per second: an engine with a limit near 0 still gets a request now and then, which shows whether
-/// the limit still applies.
+/// Least rate, requests per second: an engine with a limit near 0 still gets a request now and
+/// then, which shows whether the limit still applies.
 const MIN_RATE: f64 = 0.25;
-/// Burst of rights, as seconds of the rate plus a number. Together with the rights issued before they are used, it
-/// stays within half of the rate plus five over four seconds.
+/// Burst of rights, as seconds of the rate plus a number. Together with the rights issued before
+/// they are used, it stays within half of the rate plus five over four seconds.
 const BURST_S: f64 = 0.3;
 const BURST: f64 = 3.0;
 /// Rights available to a new issuer, as seconds of the rate; at a high rate no request has to wait.
 const INITIAL_S: f64 = 0.1;
-/// Least interval between failing requests for rights, all nodes together, milliseconds: about a percent of a small VM.
+/// Least interval between failing requests for rights, all nodes together, milliseconds: about a
+/// percent of a small VM.
 const REQUEST_INTERVAL_MS: Millis = 10;
 /// Time for which a node counts as requesting rights, milliseconds.
 const REQUESTER_TTL_MS: Millis = 1_500;
 /// Largest random extension of a wait, as a fraction of it.
 const JITTER: f64 = 0.3;
-/// Time of excess demand after which a limit counts as binding, milliseconds: longer than a burst of calls, shorter
-/// than a load of layers.
+/// Time of excess demand after which a limit counts as binding, milliseconds: longer than a burst
+/// of calls, shorter than a load of layers.
 const BINDING_DELAY_MS: Millis = 1_000;
 /// Time without a request after which excess demand is measured anew, milliseconds.
 const SHORTAGE_GAP_MS: Millis = 2_000;
@@ -83,7 +86,8 @@
 }
 
 impl Rights {
-    /// Issues up to `wanted` rights for an engine to a node; `draw`, from 0 to 1, adds jitter to the wait.
+    /// Issues up to `wanted` rights for an engine to a node; `draw`, from 0 to 1, adds jitter to
+    /// the wait.
     pub fn issue(
         &mut self,
         engine: &EngineIncarnation,
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -108,7 +108,8 @@
     }
 }
 
-/// Picks the engine that the prefix is assigned to, or that caches most of it, unless `any` is clearly cheaper.
+/// Picks the engine that the prefix is assigned to, or that caches most of it, unless `any` is
+/// clearly cheaper.
 ///
 /// Assignment uses rendezvous hashing, so that all nodes agree on it without communication.
 fn pick_by_prefix<'a>(
@@ -131,8 +132,8 @@
     if best.1 <= any.1 * (1.0 + AFFINITY_TOLERANCE) { best } else { any }
 }
 
-/// Blocks assumed to be cached by the engine that a prefix is assigned to. It receives all prompts with
-/// that prefix, even if the index does not show them yet.
+/// Blocks assumed to be cached by the engine that a prefix is assigned to. It receives all prompts
+/// with that prefix, even if the index does not show them yet.
 fn assumed_hit(u: &Upstream, request: &PathRequest<'_>) -> usize {
     let known = request.prefixes.hit(u.vm.name.as_str(), request.chain);
     known.max((request.chain.len() as f64 * ASSUMED_HIT) as usize)
@@ -148,7 +149,8 @@
     predict(u, &Need { tokens, domain: request.domain, now: request.now })
 }
 
-/// Joins the picked ranges into the cheapest path; a stage may run part of the layers its engine holds.
+/// Joins the picked ranges into the cheapest path; a stage may run part of the layers its engine
+/// holds.
 fn join(picks: &[(LayerRange, Pick<'_>)], model: &Model) -> Option<(Path, f64)> {
     let ends = picks.iter().flat_map(|(l, _)| [l.first, l.end]);
     let mut cuts: Vec<u32> = ends.filter(|c| *c <= model.layers).chain([0]).collect();
--- a/crates/policy/src/split.rs
+++ b/crates/policy/src/split.rs
@@ -27,11 +27,12 @@
     pub slowest: u64,
 }
 
-/// Partitions `layers` over the fewest engines that can hold them, minimising the time of the slowest stage.
+/// Partitions `layers` over the fewest engines that can hold them, minimizing the time of the
+/// slowest stage.
 ///
-/// Fewer stages mean fewer hops for each token, and leave engines free for complete replicas, which add
-/// the same throughput. The result is exact for up to ten engines; beyond that only the fastest and the
-/// largest engines are tried.
+/// Fewer stages mean fewer hops for each token, and leave engines free for complete replicas, which
+/// add the same throughput. The result is exact for up to ten engines; beyond that only the fastest
+/// and the largest engines are tried.
 ///
 /// # Examples
 ///
--- a/crates/policy/src/stall_detector.rs
+++ b/crates/policy/src/stall_detector.rs
@@ -31,8 +31,8 @@
 }
 
 impl StallDetector {
-    /// Creates a detector for a stream dispatched at `now`. The first token may take `first`; after it,
-    /// silence shorter than `floor` never counts as a stall.
+    /// Creates a detector for a stream dispatched at `now`. The first token may take `first`; after
+    /// it, silence shorter than `floor` never counts as a stall.
     pub fn new(floor: Millis, first: Millis, now: Millis) -> Self {
         Self { floor, first, expected: first, last: now, mean: 0.0, dev: 0.0, tokens: 0 }
     }
@@ -61,8 +61,8 @@
         self.last = now;
     }
 
-    /// Time at which to probe the engines if the stream stays silent: half-way to a stall, or earlier
-    /// if the first token was predicted earlier.
+    /// Time at which to probe the engines if the stream stays silent: half-way to a stall, or
+    /// earlier if the first token was predicted earlier.
     pub fn warns_at(&self) -> Millis {
         let span = self.stalls_at().saturating_sub(self.last);
         match self.tokens {
--- a/crates/policy/src/switch.rs
+++ b/crates/policy/src/switch.rs
@@ -1,4 +1,5 @@
-//! Switches that disable single safety mechanisms, so that tests can show which guarantee depends on each.
+//! Switches that disable single safety mechanisms, so that tests can show which guarantee depends
+//! on each.
 //!
 //! Without the `switches` feature every mechanism is enabled, and the switches have no cost.
 
--- a/crates/policy/tests/backpressure.rs
+++ b/crates/policy/tests/backpressure.rs
@@ -45,7 +45,8 @@
     let before: Vec<_> = (0..8).filter_map(|_| backpressure.admit(None, 0)).collect();
     backpressure.pause(1_000, 0.0, 10);
     drop(before);
-    // The window doubles up to half of the requests open at the rejection, then grows by one per round trip.
+    // The window doubles up to half of the requests open at the rejection, then grows by one per
+    // round trip.
     for (round, room) in [1, 2, 4, 5, 6].into_iter().enumerate() {
         let now = 1_010 + round as u64 * 30;
         let open: Vec<_> = std::iter::from_fn(|| backpressure.admit(None, now)).take(20).collect();
@@ -85,7 +86,8 @@
 }
 
 proptest! {
-    /// Whatever the responses and their order, nothing is admitted during a pause that any of them asked for.
+    /// Whatever the responses and their order, nothing is admitted during a pause that any of them
+    /// asked for.
     #[test]
     fn no_pause_is_cut_short(
         steps in prop::collection::vec((0_u64..400, 0_u64..2_000, 0_u8..4), 1..200),
--- a/crates/policy/tests/engine_limit.rs
+++ b/crates/policy/tests/engine_limit.rs
@@ -33,7 +33,8 @@
     assert_eq!((limit.rate(), limit.age(250)), (Some(rate(5.0)), 50));
 }
 
-/// Such a limit restricts nobody, but it is stored like any other: repeated responses with it change nothing.
+/// Such a limit restricts nobody, but it is stored like any other: repeated responses with it
+/// change nothing.
 #[test]
 fn a_huge_or_infinite_limit_is_stored() {
     for requests in [1e300, f64::INFINITY] {
@@ -58,7 +59,8 @@
     assert!(limit.observe_none(1_200, 1_400));
 }
 
-/// An update from another node may be older than it seems, and must not lift a limit that this node has observed since.
+/// An update from another node may be older than it seems, and must not lift a limit that this node
+/// has observed since.
 #[test]
 fn updates_of_other_nodes_are_ordered_by_age() {
     let backpressure = limited(3.0);
@@ -80,7 +82,8 @@
     assert!(limits.since(0, 8, 20_000).0.is_empty());
 }
 
-/// A right is rejected if it has expired, was issued under another limit or for another engine, or was used before.
+/// A right is rejected if it has expired, was issued under another limit or for another engine, or
+/// was used before.
 #[test]
 fn a_right_is_used_once_and_in_time() {
     let backpressure = limited(3.0);
@@ -137,9 +140,9 @@
 }
 
 proptest! {
-/// An engine alternates between limits and none; its responses arrive up to half a second late and out of order. While
-/// it states limits, a node never applies a higher one than it stated recently, and once its state is constant
-/// the node applies that.
+/// An engine alternates between limits and none; its responses arrive up to half a second late and
+/// out of order. While it states limits, a node never applies a higher one than it stated recently,
+/// and once its state is constant the node applies that.
 #[test]
     fn limits_converge_whatever_order_responses_arrive_in(
         states in prop::collection::vec((prop::option::of(1_u64..9), 200_u64..3_000), 1..6),
--- a/crates/policy/tests/fleet_retries.rs
+++ b/crates/policy/tests/fleet_retries.rs
@@ -1,7 +1,8 @@
-//! Retries of a whole fleet, at sizes at which each node's share of the slack is less than one retry.
+//! Retries of a whole fleet, at sizes at which each node's share of the slack is less than one
+//! retry.
 //!
-//! Load is thin: a node has one call in four seconds, and one in a minute for a single service. All engines of a
-//! service fail at once, so that every node uses up its retries for minutes.
+//! Load is thin: a node has one call in four seconds, and one in a minute for a single service. All
+//! engines of a service fail at once, so that every node uses up its retries for minutes.
 
 use heathpitch_policy::{RetryShare, RetryWindow};
 use rand::rngs::SmallRng;
@@ -58,7 +59,8 @@
     }
 }
 
-/// One retry for each node would exceed the limit once there are more nodes than the slack has retries.
+/// One retry for each node would exceed the limit once there are more nodes than the slack has
+/// retries.
 #[test]
 fn a_fleet_of_any_size_keeps_to_its_retry_limit_and_uses_it() {
     for (nodes, seed) in [(250, 1), (500, 2), (985, 3), (985, 4), (1_970, 5), (1_970, 6)] {
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -1,10 +1,12 @@
-//! Simulation of a rate-limited engine under overload: the load it gets from all nodes together, and the effect on clients.
+//! Simulation of a rate-limited engine under overload: the load it gets from all nodes together,
+//! and the effect on clients.
 //!
-//! A service of two engines gets more requests than both accept. One states a limit, a sixth below its actual
-//! capacity; the other rejects what exceeds its part. The reference case is a recorded overload: an engine that
-//! gets about ten requests per second states a limit of 3.6. Clients are spread over nodes as by a hash, all use one
-//! node, or move from node to node each second. The issuer of rights dies, stalls or is unreachable; nodes
-//! restart. Limits are 3.6, nearly 0 and 100 per second; fleets have 7, 70 and 300 nodes; eight seeds each.
+//! A service of two engines gets more requests than both accept. One states a limit, a sixth below
+//! its actual capacity; the other rejects what exceeds its part. The reference case is a recorded
+//! overload: an engine that gets about ten requests per second states a limit of 3.6. Clients are
+//! spread over nodes as by a hash, all use one node, or move from node to node each second. The
+//! issuer of rights dies, stalls or is unreachable; nodes restart. Limits are 3.6, nearly 0 and 100
+//! per second; fleets have 7, 70 and 300 nodes; eight seeds each.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -34,7 +36,8 @@
 const SHARED_MS: u64 = 1_000;
 /// Response time of a request, milliseconds.
 const RESPONSE_MS: u64 = 100;
-/// Time of the fault, and the time without an issuer after it, milliseconds: a lease plus the pause of a new planner.
+/// Time of the fault, and the time without an issuer after it, milliseconds: a lease plus the pause
+/// of a new planner.
 const FAULT_AT_MS: u64 = 12_000;
 const NO_ISSUER_MS: u64 = 4_500;
 /// Interval at which the planner checks whether the stored record is up to date, milliseconds.
@@ -368,7 +371,8 @@
     }
 }
 
-/// Equal shares stay unused at nodes without clients: with 300 nodes, each share is one request in a minute and a half.
+/// Equal shares stay unused at nodes without clients: with 300 nodes, each share is one request in
+/// a minute and a half.
 #[test]
 fn rights_serve_more_clients_than_equal_shares_or_no_limit() {
     for load in loads(&[3.6], Fault::None) {
@@ -384,7 +388,8 @@
     }
 }
 
-/// Guards against a change of the issuer that issues rights twice, and against self-issued rights that exceed the limit.
+/// Guards against a change of the issuer that issues rights twice, and against self-issued rights
+/// that exceed the limit.
 #[test]
 fn no_fault_of_nodes_breaks_a_limit() {
     let faults = [Fault::IssuerLost, Fault::Partition, Fault::Restart, Fault::Joins];
@@ -397,9 +402,9 @@
     }
 }
 
-/// The demand is 15 times the limit, and all nodes lose their knowledge of it: from responses alone a node would
-/// learn it only after the first one had been shared. The agreed bound exempts nodes that have just started and do not
-/// know the limit; here all nodes count.
+/// The demand is 15 times the limit, and all nodes lose their knowledge of it: from responses alone
+/// a node would learn it only after the first one had been shared. The agreed bound exempts nodes
+/// that have just started and do not know the limit; here all nodes count.
 #[test]
 fn a_very_low_limit_is_kept_when_all_nodes_restart() {
     for load in loads(&[0.4], Fault::Restart) {
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -18,7 +18,8 @@
 const REPORT_DELAY_MS: u64 = 200;
 const REPORT_INTERVAL_MS: u64 = 650;
 
-/// Peak occupancy, and mean occupancy over the last ten seconds, under a load of `times` the capacity.
+/// Peak occupancy, and mean occupancy over the last ten seconds, under a load of `times` the
+/// capacity.
 fn simulate(shares: &[f64], times: f64, reports: bool) -> (f64, f64) {
     let nodes: Vec<Occupancy> = shares.iter().map(|_| Occupancy::default()).collect();
     let node_count = nodes.len() as u32;
--- a/crates/policy/tests/pause_load.rs
+++ b/crates/policy/tests/pause_load.rs
@@ -1,12 +1,14 @@
-//! Simulation of engines that ask for pauses under load: the effect on clients of different policies.
+//! Simulation of engines that ask for pauses under load: the effect on clients of different
+//! policies.
 //!
-//! There are three loads. In the first, a service has three engines, one per failure domain, and one of them rejects all
-//! requests for nine seconds and asks for a pause of three seconds each time. The load is six times that of the
-//! deployment where this was observed: 57 calls per second at seven nodes, 30 ms of work each, 6 slots. In the others,
-//! a service of six engines with 295 nodes, and one of three engines with seven, get 1.6 times their capacity for
-//! four seconds; engines with a full queue ask for a pause of one second. Clients retry once, after the
-//! given time but within a third of their remaining time. A call tries two engines at most, the second within a retry
-//! budget of a fifth. Sixteen seeds each.
+//! There are three loads. In the first, a service has three engines, one per failure domain, and
+//! one of them rejects all requests for nine seconds and asks for a pause of three seconds each
+//! time. The load is six times that of the deployment where this was observed: 57 calls per second
+//! at seven nodes, 30 ms of work each, 6 slots. In the others, a service of six engines with 295
+//! nodes, and one of three engines with seven, get 1.6 times their capacity for four seconds;
+//! engines with a full queue ask for a pause of one second. Clients retry once, after the given
+//! time but within a third of their remaining time. A call tries two engines at most, the second
+//! within a retry budget of a fifth. Sixteen seeds each.
 
 mod common;
 
@@ -24,7 +26,8 @@
 const DEADLINE_MS: u64 = 1_500;
 /// Retry time if no pause is known, milliseconds.
 const DEFAULT_RETRY_MS: u64 = 400;
-/// Time for which other engines are preferred to one that rejected a call without a retry time, milliseconds.
+/// Time for which other engines are preferred to one that rejected a call without a retry time,
+/// milliseconds.
 const DEPRIORITIZED_MS: u64 = 600;
 
 /// Policy of the nodes for a requested pause.
--- a/crates/policy/tests/retry_schedule.rs
+++ b/crates/policy/tests/retry_schedule.rs
@@ -7,7 +7,8 @@
 /// Time that a client has left, milliseconds.
 const LEFT_MS: u64 = 20_000;
 
-/// A burst of 1.7 times the usual load of 20 a second, for three seconds, at a node with capacity for 1.2 times that load.
+/// A burst of 1.7 times the usual load of 20 a second, for three seconds, at a node with capacity
+/// for 1.2 times that load.
 #[test]
 fn clients_rejected_in_a_burst_do_not_retry_together() {
     let mut rng = StdRng::seed_from_u64(1);
