--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -241,7 +241,7 @@
                 held.epoch = order.epoch;
             }
             OrderKind::Role(role) => held.role = role,
-            OrderKind::Leave => held.leaving = true,
+            OrderKind::Drain => held.leaving = true,
         }
         Ok(())
     }
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -67,7 +67,7 @@
                 .or_insert_with(|| self.new_backpressure(entry));
             let engine_stats = stats.entry(entry.id.clone());
             let tally =
-                engine_stats.or_insert_with(|| Arc::new(EngineStats::of(signals.clone()))).clone();
+                engine_stats.or_insert_with(|| Arc::new(EngineStats::new(signals.clone()))).clone();
             let main = primaries.contains(&entry.id);
             let view = EngineView { entry: entry.clone(), card, stats: tally, is_primary: main };
             services.entry(entry.service.clone()).or_default().push(view);
--- a/crates/net/src/order.rs
+++ b/crates/net/src/order.rs
@@ -22,7 +22,8 @@
     /// Serve another phase of requests.
     Role(EngineRole),
     /// Drain: accept no new requests and stop once the running ones have finished.
-    Leave,
+    #[serde(rename = "leave")]
+    Drain,
 }
 
 /// An order with the epoch of the planner that issued it.
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -160,7 +160,7 @@
         wall: Millis,
         actions: &mut Vec<ClaimAction>,
     ) {
-        let slot = self.slots.entry(ClaimPage::of(&digest)).or_default();
+        let slot = self.slots.entry(ClaimPage::page_number(&digest)).or_default();
         slot.used = now;
         let existing = match (slot.call, &slot.known) {
             (Call::Writing, _) | (_, None) => None,
--- a/crates/policy/src/claims_page.rs
+++ b/crates/policy/src/claims_page.rs
@@ -42,7 +42,7 @@
 
 impl ClaimPage {
     /// Page number for the digest of a key.
-    pub fn of(digest: &Name) -> u32 {
+    pub fn page_number(digest: &Name) -> u32 {
         let head = digest.as_str().get(..4).and_then(|h| u32::from_str_radix(h, 16).ok());
         head.unwrap_or(0) % PAGES
     }
--- a/crates/policy/src/engine_stats.rs
+++ b/crates/policy/src/engine_stats.rs
@@ -44,7 +44,7 @@
 /// # Construction
 impl EngineStats {
     /// Creates empty statistics of an engine with this backpressure.
-    pub fn of(backpressure: Arc<Backpressure>) -> Self {
+    pub fn new(backpressure: Arc<Backpressure>) -> Self {
         Self { backpressure, ..Self::default() }
     }
 }
