--- a/crates/core/src/path.rs
+++ b/crates/core/src/path.rs
@@ -58,20 +58,20 @@
         engine: Name,
     },
     /// A stage does not start where the one before it ended.
-    #[error("stage {engine} starts at layer {found}, expected {wanted}")]
+    #[error("stage {engine} starts at layer {found}, expected {expected}")]
     Gap {
         /// The stage's engine.
         engine: Name,
         /// Layer at which the stage should start.
-        wanted: u32,
+        expected: u32,
         /// Layer at which it starts.
         found: u32,
     },
     /// The path does not end at the model's last layer.
-    #[error("the path ends at layer {found} of {wanted}")]
+    #[error("the path ends at layer {found} of {expected}")]
     Incomplete {
         /// Number of layers of the model.
-        wanted: u32,
+        expected: u32,
         /// Layer at which the path ends.
         found: u32,
     },
@@ -96,7 +96,7 @@
             let engine = stage.engine.clone();
             match stage.layers {
                 l if l.first != at => {
-                    return Err(PathError::Gap { engine, wanted: at, found: l.first });
+                    return Err(PathError::Gap { engine, expected: at, found: l.first });
                 }
                 l if l.count() == 0 => return Err(PathError::NoLayers { engine }),
                 _ if stages[..i].iter().any(|s| s.engine == engine) => {
@@ -108,7 +108,7 @@
         match at {
             _ if stages.is_empty() => Err(PathError::Empty),
             end if end != model.layers => {
-                Err(PathError::Incomplete { wanted: model.layers, found: end })
+                Err(PathError::Incomplete { expected: model.layers, found: end })
             }
             _ => Ok(Self {
                 model: model.name.clone(),
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -87,7 +87,7 @@
     keys: usize,
     entries: HashMap<Name, Entry>,
     order: VecDeque<Name>,
-    ended: VecDeque<(Millis, Name)>,
+    finished: VecDeque<(Millis, Name)>,
     bytes: usize,
     /// Whether any key was evicted for lack of capacity.
     evicted: bool,
@@ -108,8 +108,8 @@
 
     /// An empty table with a capacity of `keys` keys.
     pub fn with_capacity(keys: usize) -> Self {
-        let (entries, order, ended) = Default::default();
-        Self { keys, entries, order, ended, bytes: 0, evicted: false }
+        let (entries, order, finished) = Default::default();
+        Self { keys, entries, order, finished, bytes: 0, evicted: false }
     }
 
     /// Number of keys kept.
@@ -203,18 +203,18 @@
         check(Invariant::AtMostOnce, matches!(e.state, State::Dispatched));
         self.bytes += record.body.len();
         e.state = State::Finished(record);
-        self.ended.push_back((now, key.clone()));
+        self.finished.push_back((now, key.clone()));
         self.evict_answers(now);
     }
 
     /// Drops expired answers, and the oldest ones beyond the memory bound.
     pub fn evict_answers(&mut self, now: Millis) {
         let is_expired = |at: Millis| now.saturating_sub(at) > ANSWER_TTL_MS;
-        while let Some((at, key)) = self.ended.front().cloned() {
+        while let Some((at, key)) = self.finished.front().cloned() {
             if !is_expired(at) && self.bytes <= MAX_ANSWER_BYTES {
                 return;
             }
-            self.ended.pop_front();
+            self.finished.pop_front();
             self.drop_answer(&key);
         }
     }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -84,18 +84,18 @@
 /// use heathpitch_policy::{PlacementEngine, ModelDemand, plan_placement};
 ///
 /// let model = Model::new("m".parse()?, "v1".parse()?, 4);
-/// let wanted = [ModelDemand { model, demand: 1.0, allowed: None }];
+/// let demands = [ModelDemand { model, demand: 1.0, allowed: None }];
 /// let engine = |name: &str| -> Result<PlacementEngine, heathpitch_core::NameError> {
 ///     let engine = name.parse()?;
 ///     Ok(PlacementEngine { engine, memory: 1_000, layer: 100, link: 10, holding: None })
 /// };
-/// let moves = plan_placement(&wanted, &[engine("a")?, engine("b")?]);
+/// let moves = plan_placement(&demands, &[engine("a")?, engine("b")?]);
 /// let ends: Vec<_> = moves.iter().map(|m| m.holding.layers.to_string()).collect();
 /// assert_eq!(ends, ["0..2", "2..4"]);
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
-pub fn plan_placement(wanted: &[ModelDemand], engines: &[PlacementEngine]) -> Vec<Move> {
-    let mut planner = Planner { wanted, engines: engines.to_vec(), moves: Vec::new() };
+pub fn plan_placement(demands: &[ModelDemand], engines: &[PlacementEngine]) -> Vec<Move> {
+    let mut planner = Planner { demands, engines: engines.to_vec(), moves: Vec::new() };
     planner.cover();
     planner.use_idle();
     if planner.moves.is_empty() {
@@ -105,7 +105,7 @@
 }
 
 struct Planner<'a> {
-    wanted: &'a [ModelDemand],
+    demands: &'a [ModelDemand],
     engines: Vec<PlacementEngine>,
     moves: Vec<Move>,
 }
@@ -114,7 +114,7 @@
 impl Planner<'_> {
     /// Closes the gaps of models that lack layers, in order of demand.
     fn cover(&mut self) {
-        let mut order: Vec<&ModelDemand> = self.wanted.iter().collect();
+        let mut order: Vec<&ModelDemand> = self.demands.iter().collect();
         order.sort_by(|a, b| b.demand.total_cmp(&a.demand).then(a.model.name.cmp(&b.model.name)));
         for w in order {
             for gap in model_gaps(&self.engines, &w.model) {
@@ -155,7 +155,7 @@
                     && idle.iter().any(|i| capable(&self.engines[*i], w).room > 0)
             };
             let Some(w) = self
-                .wanted
+                .demands
                 .iter()
                 .filter(served)
                 .min_by(|a, b| self.headroom(a).total_cmp(&self.headroom(b)))
@@ -178,7 +178,7 @@
         let by_headroom =
             |a: &&ModelDemand, b: &&ModelDemand| self.headroom(a).total_cmp(&self.headroom(b));
         let (Some(poor), Some(rich)) =
-            (self.wanted.iter().min_by(by_headroom), self.wanted.iter().max_by(by_headroom))
+            (self.demands.iter().min_by(by_headroom), self.demands.iter().max_by(by_headroom))
         else {
             return;
         };
@@ -208,14 +208,14 @@
     fn is_idle(&self, engine: &PlacementEngine) -> bool {
         let Some(h) = &engine.holding else { return true };
         let same = |w: &ModelDemand| w.model.name == h.model && w.model.version == h.version;
-        !self.wanted.iter().any(same)
+        !self.demands.iter().any(same)
     }
 
     /// An engine that its model can spare, from the model with the most headroom.
     fn next_spare(&self, taken: &[usize], w: &ModelDemand) -> Option<usize> {
         let headroom = |i: &usize| {
             let name = self.engines[*i].holding.as_ref().map(|h| &h.model);
-            let of = self.wanted.iter().find(|w| Some(&w.model.name) == name);
+            let of = self.demands.iter().find(|w| Some(&w.model.name) == name);
             of.map_or(f64::INFINITY, |w| self.headroom(w))
         };
         let usable = |i: &usize| {
@@ -227,7 +227,7 @@
 
     fn can_spare(&self, at: usize) -> bool {
         let Some(holding) = &self.engines[at].holding else { return true };
-        let Some(w) = self.wanted.iter().find(|w| w.model.name == holding.model) else {
+        let Some(w) = self.demands.iter().find(|w| w.model.name == holding.model) else {
             return true;
         };
         let mut without = self.engines.clone();
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -86,14 +86,14 @@
 }
 
 impl Rights {
-    /// Issues up to `wanted` rights for an engine to a node; `draw`, from 0 to 1, adds jitter to
+    /// Issues up to `requested` rights for an engine to a node; `draw`, from 0 to 1, adds jitter to
     /// the wait.
     pub fn issue(
         &mut self,
         engine: &EngineIncarnation,
         limit: Rate,
         node: &Name,
-        wanted: u16,
+        requested: u16,
         draw: f64,
         now: Millis,
     ) -> Grant {
@@ -110,7 +110,7 @@
         }
         issued.at = now;
         issued.requesters.insert(node.clone(), now);
-        for count in 0..wanted {
+        for count in 0..requested {
             if let Err(next) = issued.bucket.take(now) {
                 let since = *issued.shortage.get_or_insert(now);
                 issued.binding |= now >= since + BINDING_DELAY_MS;
@@ -118,7 +118,7 @@
                 return Grant { issued: count, wait };
             }
         }
-        Grant { issued: wanted, wait: 0 }
+        Grant { issued: requested, wait: 0 }
     }
 
     /// Removes all engines; called when this node becomes or stops being the issuer.
