--- a/crates/heathpitchd/src/gateway/call/rights.rs
+++ b/crates/heathpitchd/src/gateway/call/rights.rs
@@ -131,7 +131,7 @@
     if let Some(retry_after) = limit.wait_left(now) {
         return Err(none(retry_after));
     }
-    let grant = request(traffic, view, limit.wanted(now)).await;
+    let grant = request(traffic, view, limit.batch_size(now)).await;
     let now = shared.now();
     match grant {
         RightsGrant::Issued(count, sent) => {
--- a/crates/policy/src/engine_limit.rs
+++ b/crates/policy/src/engine_limit.rs
@@ -210,7 +210,7 @@
     }
 
     /// Number of rights to request: the requests sent in the last complete interval.
-    pub fn wanted(&self, now: Millis) -> u16 {
+    pub fn batch_size(&self, now: Millis) -> u16 {
         let (interval, count, before) = unpack_counts(self.counts.load(Relaxed));
         let last = match (now / COUNT_INTERVAL_MS).saturating_sub(interval) {
             0 => before,
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -307,7 +307,7 @@
                 .then(|| Right::self_issued(backpressure, now));
         }
         self.outcome.right_requests += 1.0;
-        let wanted = limit.wanted(now);
+        let wanted = limit.batch_size(now);
         let grant =
             self.rights.issue(&self.incarnation, rate, &self.names[node], wanted, draw, now);
         if grant.issued == 0 {
