--- a/crates/fakes/examples/cost.rs
+++ b/crates/fakes/examples/cost.rs
@@ -99,7 +99,7 @@
         priority: Priority::Normal,
         prompt: prompt.to_owned(),
         resumed: vec![],
-        wanted: TOKENS,
+        max_tokens: TOKENS,
         options: serde_json::Value::Null,
         hops: vec![Hop {
             engine: "e".parse()?,
--- a/crates/fakes/src/engine_http.rs
+++ b/crates/fakes/src/engine_http.rs
@@ -160,7 +160,7 @@
         let mut held = None;
         loop {
             let position = self.tokens.len() - start;
-            if position >= self.call.wanted as usize {
+            if position >= self.call.max_tokens as usize {
                 return self.end(false, lose).await;
             }
             let inputs = (from..self.tokens.len()).map(|i| embed(self.tokens[i], i as u32));
--- a/crates/heathpitch/examples/resume.rs
+++ b/crates/heathpitch/examples/resume.rs
@@ -5,7 +5,7 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let model = Model::new("tickets".parse()?, "v1".parse()?, 4);
-    let plan = RelayPlan { wanted: 2, layers: 4, attempts: 3, repeat: Repeat::Allowed };
+    let plan = RelayPlan { max_tokens: 2, layers: 4, attempts: 3, repeat: Repeat::Allowed };
     let mut relay = Relay::new(plan);
 
     let first = Path::new(&model, vec![stage("a", 0, 2)?, stage("b", 2, 4)?])?;
--- a/crates/heathpitch/src/lib.rs
+++ b/crates/heathpitch/src/lib.rs
@@ -9,7 +9,7 @@
 //! use heathpitch::core::Outcome;
 //! use heathpitch::policy::{Relay, RelayAction, RelayEvent, RelayPlan, Repeat};
 //!
-//! let plan = RelayPlan { wanted: 8, layers: 4, attempts: 3, repeat: Repeat::Allowed };
+//! let plan = RelayPlan { max_tokens: 8, layers: 4, attempts: 3, repeat: Repeat::Allowed };
 //! let mut relay = Relay::new(plan);
 //! assert_eq!(relay.on(RelayEvent::NoPath), [RelayAction::GiveUp(Outcome::NotRun)]);
 //! ```
--- a/crates/heathpitchd/src/filters/run/attempt.rs
+++ b/crates/heathpitchd/src/filters/run/attempt.rs
@@ -137,7 +137,7 @@
             priority: self.request.priority,
             prompt: self.request.prompt.clone(),
             resumed: self.relay.sent().to_vec(),
-            wanted: self.request.max_tokens,
+            max_tokens: self.request.max_tokens,
             options: self.request.options.clone(),
             hops: path.stages().iter().map(hop).collect(),
         }
--- a/crates/heathpitchd/src/filters/run/mod.rs
+++ b/crates/heathpitchd/src/filters/run/mod.rs
@@ -97,7 +97,7 @@
     ) -> Self {
         let has_key = matches!(job.reservation, Reservation::Keyed(_));
         let plan = RelayPlan {
-            wanted: job.request.max_tokens,
+            max_tokens: job.request.max_tokens,
             layers: job.route.model.layers,
             attempts: job.route.route.settings.attempts,
             repeat: raw.idempotency.repeat(),
--- a/crates/net/src/frame.rs
+++ b/crates/net/src/frame.rs
@@ -36,7 +36,8 @@
     /// Tokens of the completion already sent to the caller.
     pub resumed: Vec<u32>,
     /// Maximum length of the completion in tokens, including those resumed.
-    pub wanted: u32,
+    #[serde(rename = "wanted")]
+    pub max_tokens: u32,
     /// Options of the caller passed on unchanged, such as `temperature`.
     #[serde(default)]
     pub options: serde_json::Value,
--- a/crates/policy/src/relay.rs
+++ b/crates/policy/src/relay.rs
@@ -41,8 +41,8 @@
 /// Limits of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayPlan {
-    /// Tokens requested.
-    pub wanted: u32,
+    /// Maximum length of the answer in tokens.
+    pub max_tokens: u32,
     /// Layers that every token must run.
     pub layers: u32,
     /// Most attempts.
@@ -132,7 +132,7 @@
 /// use heathpitch_policy::{Relay, RelayAction, RelayEvent, RelayPlan, Repeat};
 /// use heathpitch_core::Outcome;
 ///
-/// let plan = RelayPlan { wanted: 8, layers: 4, attempts: 3, repeat: Repeat::Allowed };
+/// let plan = RelayPlan { max_tokens: 8, layers: 4, attempts: 3, repeat: Repeat::Allowed };
 /// let mut relay = Relay::new(plan);
 /// assert_eq!(relay.on(RelayEvent::NoPath), vec![RelayAction::GiveUp(Outcome::NotRun)]);
 /// ```
@@ -250,7 +250,7 @@
         self.evidence.started();
         let due = self.sent.len() as u32;
         match position {
-            p if (p == due && due < self.plan.wanted && layers == self.plan.layers)
+            p if (p == due && due < self.plan.max_tokens && layers == self.plan.layers)
                 || !on(Mechanism::Positions) =>
             {
                 self.sent.push(token);
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -20,7 +20,7 @@
     Model { layer_mb: 100, ..Model::new(name(text), name("v1"), layers) }
 }
 
-fn wanted(text: &str, layers: u32, demand: f64) -> ModelDemand {
+fn model_demand(text: &str, layers: u32, demand: f64) -> ModelDemand {
     ModelDemand { model: model(text, layers), demand, allowed: None }
 }
 
@@ -75,7 +75,7 @@
 fn a_lost_stage_moves_to_an_idle_engine_and_nothing_else_moves() {
     let engines =
         [engine(0, 1_000, Some(("m", 0, 4))), engine(2, 1_000, None), engine(3, 1_000, None)];
-    let moves = plan_placement(&[wanted("m", 8, 1.0)], &engines);
+    let moves = plan_placement(&[model_demand("m", 8, 1.0)], &engines);
     assert_eq!(moves[0].holding.layers, LayerRange::new(4, 8));
     assert_eq!(moves[0].reason, MoveReason::Uncovered);
     assert_eq!(moves[0].megabytes, 400);
@@ -89,7 +89,8 @@
         engine(1, 1_000, Some(("rich", 0, 4))),
         engine(2, 1_000, Some(("rich", 0, 4))),
     ];
-    let moves = plan_placement(&[wanted("rich", 4, 1.0), wanted("poor", 4, 1.0)], &engines);
+    let moves =
+        plan_placement(&[model_demand("rich", 4, 1.0), model_demand("poor", 4, 1.0)], &engines);
     assert_eq!(moves.len(), 1);
     assert_eq!(moves[0].holding.model, name("poor"));
     let rich = model("rich", 4);
@@ -99,7 +100,10 @@
 #[test]
 fn the_last_holder_of_a_layer_is_never_moved() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4)))];
-    assert_eq!(plan_placement(&[wanted("m", 4, 0.1), wanted("other", 4, 100.0)], &engines), vec![]);
+    assert_eq!(
+        plan_placement(&[model_demand("m", 4, 0.1), model_demand("other", 4, 100.0)], &engines),
+        vec![]
+    );
 }
 
 #[test]
@@ -109,14 +113,15 @@
         engine(1, 1_000, Some(("busy", 0, 4))),
         engine(2, 1_000, None),
     ];
-    let moves = plan_placement(&[wanted("quiet", 4, 1.0), wanted("busy", 4, 9.0)], &engines);
+    let moves =
+        plan_placement(&[model_demand("quiet", 4, 1.0), model_demand("busy", 4, 9.0)], &engines);
     assert_eq!((moves.len(), &moves[0].holding.model), (1, &name("busy")));
 }
 
 #[test]
 fn engines_that_routes_do_not_allow_are_not_used() {
     let engines = [engine(0, 1_000, None), engine(1, 1_000, None)];
-    let mut w = wanted("m", 4, 1.0);
+    let mut w = model_demand("m", 4, 1.0);
     w.allowed = Some([name("e1")].into());
     let moves = plan_placement(&[w], &engines);
     assert!(!moves.is_empty());
@@ -126,7 +131,7 @@
 #[test]
 fn a_complete_placement_is_not_changed() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4))), engine(1, 1_000, Some(("m", 4, 8)))];
-    assert_eq!(plan_placement(&[wanted("m", 8, 5.0)], &engines), vec![]);
+    assert_eq!(plan_placement(&[model_demand("m", 8, 5.0)], &engines), vec![]);
 }
 
 proptest! {
@@ -169,7 +174,7 @@
             .enumerate().map(|(i, m)| engine(i, *m, None))
             .collect();
         engines.push(engine(99, 2_000, Some(("held", 0, 4))));
-        let both = [wanted("held", 4, 1.0), wanted("new", layers, 1.0)];
+        let both = [model_demand("held", 4, 1.0), model_demand("new", layers, 1.0)];
     let moves = plan_placement(&both, &engines);
         let then = after(&engines, &moves);
         prop_assert!(model_gaps(&then, &both[0].model).is_empty());
@@ -184,7 +189,7 @@
 #[test]
 fn a_spare_replica_closes_a_gap_of_its_own_model() {
     let engines = [engine(0, 1_000, Some(("m", 0, 4))), engine(1, 1_000, Some(("m", 0, 4)))];
-    let moves = plan_placement(&[wanted("m", 8, 1.0)], &engines);
+    let moves = plan_placement(&[model_demand("m", 8, 1.0)], &engines);
     assert_eq!(moves.len(), 1);
     assert_eq!(moves[0].holding.layers, LayerRange::new(4, 8));
 }
--- a/crates/proof/src/matrix.rs
+++ b/crates/proof/src/matrix.rs
@@ -139,7 +139,7 @@
 /// The [`Breach`] found.
 pub fn run_cell(cell: Cell) -> Result<Verdict, Breach> {
     let repeat = if cell.never { Repeat::Never } else { Repeat::Allowed };
-    let plan = RelayPlan { wanted: TOKENS, layers: LAYERS, attempts: 4, repeat };
+    let plan = RelayPlan { max_tokens: TOKENS, layers: LAYERS, attempts: 4, repeat };
     let (sent, executions) = (Vec::new(), 0);
     let mut run =
         Run { cell, relay: Relay::new(plan), sent, executions, attempt: None, outcome: None };
--- a/crates/proof/src/requests.rs
+++ b/crates/proof/src/requests.rs
@@ -76,7 +76,7 @@
     fn new(number: usize, draw: &mut Draw) -> Self {
         let repeat = if draw.below(2) == 0 { Repeat::Allowed } else { Repeat::Never };
         let wanted = 1 + draw.below(6) as u32;
-        let plan = RelayPlan { wanted, layers: LAYERS, attempts: 4, repeat };
+        let plan = RelayPlan { max_tokens: wanted, layers: LAYERS, attempts: 4, repeat };
         // Some answers end before the wanted length.
         let length = if draw.below(3) == 0 { wanted / 2 } else { wanted };
         Self {
