--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -141,7 +141,7 @@
     listeners: Listeners,
     stop: &watch::Receiver<bool>,
 ) {
-    let bounds = Bounds { connections: PROBE_CONNECTIONS, ..Bounds::default() };
+    let bounds = Bounds { max_connections: PROBE_CONNECTIONS, ..Bounds::default() };
     let s = shared.clone();
     tokio::spawn(serve(listeners.ready, bounds, stop.clone(), move |request| {
         let response = ready(&s, ready_path, &request);
--- a/crates/heathpitchd/src/gateway/mod.rs
+++ b/crates/heathpitchd/src/gateway/mod.rs
@@ -117,8 +117,11 @@
             shared: shared.clone(),
             edges,
         });
-        let bounds =
-            Bounds { connections: MAX_CONNECTIONS, head: MAX_HEAD_BYTES, head_time: HEAD_TIMEOUT };
+        let bounds = Bounds {
+            max_connections: MAX_CONNECTIONS,
+            max_head_bytes: MAX_HEAD_BYTES,
+            head_timeout: HEAD_TIMEOUT,
+        };
         let served = runtime.spawn(serve(listener, bounds, traffic_stopped, move |request| {
             call::handle(traffic.clone(), request)
         }));
--- a/crates/heathpitchd/src/node.rs
+++ b/crates/heathpitchd/src/node.rs
@@ -89,13 +89,14 @@
         let control = control::spawn(shared.clone(), clients, addresses, peers, inbox, stopped)?;
 
         let traffic = Arc::new(Traffic::new(shared.clone(), engine, client));
-        let bounds = Bounds { connections: shared.settings.max_connections, ..Bounds::default() };
+        let bounds =
+            Bounds { max_connections: shared.settings.max_connections, ..Bounds::default() };
         let served = runtime.spawn(serve(callers, bounds, traffic_stopped, move |request| {
             traffic::handle(traffic.clone(), request)
         }));
         let drain = Arc::new(Notify::new());
         let (s, d) = (shared.clone(), drain.clone());
-        let bounds = Bounds { connections: MAX_ADMIN_CONNECTIONS, ..Bounds::default() };
+        let bounds = Bounds { max_connections: MAX_ADMIN_CONNECTIONS, ..Bounds::default() };
         runtime.spawn(serve(operators, bounds, control_stopped, move |request| {
             let response = admin::handle(&s, &d, &request);
             async move { response }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -27,16 +27,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Concurrent connections; further ones wait to be accepted.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Size of a request head, bytes.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Time for a request head to arrive.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
-        Self { connections: 20_000, head: 32 << 10, head_time: Duration::from_secs(10) }
+        Self {
+            max_connections: 20_000,
+            max_head_bytes: 32 << 10,
+            head_timeout: Duration::from_secs(10),
+        }
     }
 }
 
@@ -109,7 +113,7 @@
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    let slots = Arc::new(Semaphore::new(bounds.connections));
+    let slots = Arc::new(Semaphore::new(bounds.max_connections));
     let graceful = GracefulShutdown::new();
     loop {
         let accepted = tokio::select! {
@@ -127,8 +131,8 @@
             async move { Ok::<_, Infallible>(response.await) }
         });
         let mut builder = hyper::server::conn::http1::Builder::new();
-        builder.timer(TokioTimer::new()).header_read_timeout(bounds.head_time);
-        builder.max_buf_size(bounds.head);
+        builder.timer(TokioTimer::new()).header_read_timeout(bounds.head_timeout);
+        builder.max_buf_size(bounds.max_head_bytes);
         let watched = graceful.watch(builder.serve_connection(TokioIo::new(socket), service));
         tokio::spawn(async move {
             // An error ends the connection and its requests; nobody is left to report it to.
