--- a/crates/core/src/gateway_settings.rs
+++ b/crates/core/src/gateway_settings.rs
@@ -65,7 +65,7 @@
 pub struct PlatformBounds {
     /// Time after the accepted removal of a key by which no node may accept it.
     pub revoke_ms: Millis,
-    /// Time for which a leaving engine may still be sent requests.
+    /// Time for which a draining engine may still be sent requests.
     pub drain_ms: Millis,
     /// Time from SIGTERM to SIGKILL, seconds.
     pub grace_s: f64,
