--- a/crates/fakes/examples/cost.rs
+++ b/crates/fakes/examples/cost.rs
@@ -105,7 +105,7 @@
         priority: Priority::Normal,
         prompt: prompt.to_owned(),
         resumed: vec![],
-        wanted: TOKENS,
+        max_tokens: TOKENS,
         options: serde_json::Value::Null,
         hops: vec![Hop {
             engine: "e".parse()?,
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -214,7 +214,7 @@
         let mut last = self.report.lock();
         let fresh = last.0.elapsed() < self.config.report_lag;
         let state = self.state.lock().clone();
-        if !fresh || state.draining != last.1.leaving {
+        if !fresh || state.draining != last.1.draining {
             let running = self.sequences.lock().len() as u32;
             let serial = last.1.serial + 1;
             let next = report(
@@ -247,7 +247,7 @@
                 state.epoch = order.epoch;
             }
             OrderKind::Role(role) => state.role = role,
-            OrderKind::Leave => state.draining = true,
+            OrderKind::Drain => state.draining = true,
         }
         Ok(())
     }
@@ -264,14 +264,14 @@
     let loaded = Instant::now() >= state.ready_at;
     EngineReport {
         engine: config.name.clone(),
-        life: incarnation,
+        incarnation,
         serial,
         model: state.model.clone().filter(|_| loaded),
         version: state.version.clone(),
         layers: state.layers,
         epoch: state.epoch,
         role: state.role,
-        leaving: state.draining,
+        draining: state.draining,
         slots: config.slots,
         running,
         queued,
--- a/crates/fakes/src/stage.rs
+++ b/crates/fakes/src/stage.rs
@@ -5,7 +5,7 @@
 
 use heathpitch_core::{Attempt, LayerRange, Name, Priority};
 use heathpitch_net::{Hop, Refusal, RefusalKind, RpcError};
-use heathpitch_policy::BLOCK;
+use heathpitch_policy::BLOCK_TOKENS;
 use hyper::Method;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -158,7 +158,7 @@
         let inside = state.layers.first <= hop.layers.first && hop.layers.end <= state.layers.end;
         match &state.model {
             _ if self.faults.lock().refuse => Err(RefusalKind::Busy),
-            _ if state.draining => Err(RefusalKind::Leaving),
+            _ if state.draining => Err(RefusalKind::Draining),
             _ if Instant::now() < state.ready_at => Err(RefusalKind::NotHeld),
             Some(model) if *model != open.model => Err(RefusalKind::NotHeld),
             None => Err(RefusalKind::NotHeld),
@@ -172,7 +172,7 @@
 
     /// Refusal stating that this engine did not start the request.
     pub(crate) fn refusal(&self, kind: RefusalKind) -> Refusal {
-        Refusal { started: false, kind, engine: self.config.name.clone(), back: 200 }
+        Refusal { started: false, kind, engine: self.config.name.clone(), retry_after: 200 }
     }
 
     /// Restores the state at the end of the skipped blocks from the cache.
@@ -183,7 +183,7 @@
         match self.cache.lock().get(*block, sequence.layers) {
             Some(digests) if sequence.position == 0 => {
                 sequence.kv.digests = digests;
-                sequence.position = (blocks * BLOCK) as u32;
+                sequence.position = (blocks * BLOCK_TOKENS) as u32;
                 true
             }
             _ => false,
@@ -196,8 +196,10 @@
             outputs.push(sequence.kv.run(*input));
             sequence.position += 1;
             let position = sequence.position as usize;
-            if position.is_multiple_of(BLOCK) && position / BLOCK <= sequence.blocks.len() {
-                let block = sequence.blocks[position / BLOCK - 1];
+            if position.is_multiple_of(BLOCK_TOKENS)
+                && position / BLOCK_TOKENS <= sequence.blocks.len()
+            {
+                let block = sequence.blocks[position / BLOCK_TOKENS - 1];
                 let digests = sequence.kv.digests.clone();
                 self.cache.lock().put(block, sequence.layers, digests);
             }
--- a/crates/heathpitchd/src/control/members.rs
+++ b/crates/heathpitchd/src/control/members.rs
@@ -14,11 +14,11 @@
     }
     control.next_heartbeat.set(now + control.shared.settings.timing.peer_ms);
     let state = match control.shared.draining.load(Relaxed) {
-        true => MemberState::Leaving,
+        true => MemberState::Draining,
         false => MemberState::Ready,
     };
     let config = control.replica.borrow().revision();
     let mut members = control.members.borrow_mut();
     members.announce(state, config);
-    members.beat(now);
+    members.heartbeat(now);
 }
--- a/crates/heathpitchd/src/control/state.rs
+++ b/crates/heathpitchd/src/control/state.rs
@@ -61,8 +61,8 @@
         let settings = &shared.settings;
         let me = Member {
             node: settings.node.clone(),
-            life: shared.incarnation,
-            beat: 0,
+            incarnation: shared.incarnation,
+            heartbeat: 0,
             domain: settings.domain.clone(),
             peer: addresses.peer,
             caller: addresses.caller,
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use heathpitch_core::{EngineEntry, Millis, Name, RequestFingerprint, Revision};
 use heathpitch_net::{FeedExit, Item, StoreError, Write};
-use heathpitch_policy::{End, EngineIncarnation, just_started};
+use heathpitch_policy::{EngineExit, EngineIncarnation, just_started};
 
 use super::reachability;
 use super::state::Control;
@@ -79,7 +79,7 @@
         let mut new = false;
         for call in lost.iter().filter(recorded) {
             let mut quarantine = self.quarantine.borrow_mut();
-            new |= quarantine.record_end(call.fingerprint, life.clone(), call.events, now);
+            new |= quarantine.record_exit(call.fingerprint, life.clone(), call.events, now);
         }
         self.avoid(&life);
         if new {
@@ -110,7 +110,11 @@
 
     /// Avoids an engine that has exited, if it is still listed.
     fn avoid(&self, life: &EngineIncarnation) {
-        let listed = self.entries.borrow().get(&life.engine).is_some_and(|e| e.born == life.born);
+        let listed = self
+            .entries
+            .borrow()
+            .get(&life.engine)
+            .is_some_and(|e| e.started_at == life.started_at);
         if listed && !self.is_unreachable(&life.engine) {
             reachability::mark_unreachable(self, &life.engine, "engine exited");
         }
@@ -123,12 +127,12 @@
     pub(super) fn exits_since(&self, serial: u64) -> (Vec<FeedExit>, u64) {
         let (ends, upto) = self.quarantine.borrow().since(serial, MAX_EXITS, self.now());
         let exits = ends.into_iter().map(|(end, age_ms)| FeedExit {
-            fingerprint: end.print,
-            engine: end.life.engine,
-            born: end.life.born,
+            fingerprint: end.fingerprint,
+            engine: end.incarnation.engine,
+            started_at: end.incarnation.started_at,
             events: end.events,
             renewed: end.renewed,
-            cleared: end.void,
+            cleared: end.cleared,
             age_ms,
         });
         (exits.collect(), upto)
@@ -138,13 +142,14 @@
     pub(super) fn receive_exits(&self, exits: &[FeedExit], sent: Millis, by: &Name) {
         let mut new = 0;
         for exit in exits {
-            let life = EngineIncarnation { engine: exit.engine.clone(), born: exit.born };
-            let end = End {
-                print: exit.fingerprint,
-                life: life.clone(),
+            let life =
+                EngineIncarnation { engine: exit.engine.clone(), started_at: exit.started_at };
+            let end = EngineExit {
+                fingerprint: exit.fingerprint,
+                incarnation: life.clone(),
                 events: exit.events,
                 renewed: exit.renewed,
-                void: exit.cleared,
+                cleared: exit.cleared,
             };
             let now = self.now();
             let age = now.saturating_sub(sent) + exit.age_ms;
@@ -187,7 +192,7 @@
         };
         let held: HashMap<_, _> = quarantine.held().map(held).collect();
         self.shared.metrics.held.set(held.len() as i64);
-        let (counts, ended) = (quarantine.counts(), quarantine.ended_engines());
+        let (counts, ended) = (quarantine.counts(), quarantine.exited_engines());
         self.shared.quarantine.store(Arc::new(QuarantineSnapshot { counts, held, ended }));
     }
 }
@@ -275,7 +280,7 @@
     now: Millis,
 ) -> Bytes {
     let line = |(life, events, _): (&EngineIncarnation, u32, Millis)| {
-        format!("{} {} {events}\n", life.engine, life.born.unwrap_or(0))
+        format!("{} {} {events}\n", life.engine, life.started_at.unwrap_or(0))
     };
     let lines = quarantine.evidence(print, now).take(MAX_ENTRY_ENGINES).map(line);
     lines.collect::<String>().into()
@@ -303,12 +308,18 @@
     }
 }
 
-fn parse_line(print: RequestFingerprint, line: &str) -> Option<End> {
+fn parse_line(print: RequestFingerprint, line: &str) -> Option<EngineExit> {
     let mut fields = line.split(' ');
     let engine = fields.next()?.parse().ok()?;
-    let born = fields.next()?.parse().ok().filter(|born| *born > 0);
+    let started_at = fields.next()?.parse().ok().filter(|started_at| *started_at > 0);
     let events = fields.next()?.parse().ok()?;
-    Some(End { print, life: EngineIncarnation { engine, born }, events, renewed: 0, void: false })
+    Some(EngineExit {
+        fingerprint: print,
+        incarnation: EngineIncarnation { engine, started_at },
+        events,
+        renewed: 0,
+        cleared: false,
+    })
 }
 
 /// Releases the request of an entry that was deleted by an operator or has expired.
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -18,7 +18,8 @@
     /// Its queue is full.
     Busy,
     /// It is draining.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
     /// It does not hold the requested layers or version, or is at another epoch.
     NotHeld,
     /// It could not parse the request.
@@ -35,8 +36,8 @@
     /// Engine that refused: the head of the path or a later stage.
     pub engine: Name,
     /// Time after which to retry, milliseconds.
-    #[serde(default)]
-    pub back: Millis,
+    #[serde(default, rename = "back")]
+    pub retry_after: Millis,
 }
 
 /// Error of sending a request.
--- a/crates/net/src/feed_message.rs
+++ b/crates/net/src/feed_message.rs
@@ -16,7 +16,7 @@
     /// Address at which it can be polled itself.
     pub address: SocketAddr,
     /// Whether its VM has the capacity for a planner's feed.
-    pub able: bool,
+    pub can_plan: bool,
     /// Revision of its configuration; 0 for none.
     pub revision: Revision,
     /// The operator's version of its configuration; 0 for none.
@@ -65,7 +65,7 @@
     /// The engine.
     pub engine: Name,
     /// Unix time of its start in milliseconds, if known.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Its limit; `None` if it no longer advertises one.
     pub rate: Option<Rate>,
     /// Time since the engine signalled it.
@@ -100,7 +100,7 @@
     /// The engine.
     pub engine: Name,
     /// Unix time of its start in milliseconds, if known.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Time since the engine signalled it.
     pub age_ms: Millis,
 }
@@ -113,7 +113,7 @@
     /// The engine.
     pub engine: Name,
     /// Unix time of the engine's start in milliseconds, if known.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Events of the response before the engine ended.
     pub events: u32,
     /// How often the request was seen again much later.
@@ -176,19 +176,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedEngines {
     /// All entries, encoded by [`pack`](crate::pack).
-    Whole(Bytes),
+    Full(Bytes),
     /// Changes since the serial given in the poll.
     Changes {
         /// New and changed entries.
         items: Vec<Item>,
         /// Keys of deleted entries.
-        gone: Vec<Arc<str>>,
+        removed: Vec<Arc<str>>,
     },
 }
 
 impl Default for FeedEngines {
     fn default() -> Self {
-        Self::Changes { items: Vec::new(), gone: Vec::new() }
+        Self::Changes { items: Vec::new(), removed: Vec::new() }
     }
 }
 
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -22,7 +22,8 @@
     /// Name of the engine.
     pub engine: Name,
     /// Incarnation; grows with each start.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Sequence number of the report within the incarnation.
     pub serial: u64,
     /// Model held, if any.
@@ -36,8 +37,9 @@
     /// Phase it takes.
     #[serde(default)]
     pub role: EngineRole,
-    /// Whether it is about to stop.
-    pub leaving: bool,
+    /// Whether it is draining.
+    #[serde(rename = "leaving")]
+    pub draining: bool,
     /// Most requests in a batch.
     pub slots: u32,
     /// Requests in the batch.
@@ -61,6 +63,6 @@
 impl EngineReport {
     /// Whether this report is newer than `other` of the same engine.
     pub fn is_newer_than(&self, other: &EngineReport) -> bool {
-        (self.life, self.serial) > (other.life, other.serial)
+        (self.incarnation, self.serial) > (other.incarnation, other.serial)
     }
 }
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -74,12 +74,12 @@
 /// use heathpitch_policy::{IdempotencyTable, KeyState};
 ///
 /// let key: heathpitch_core::Name = "k".parse()?;
-/// let mut ledger = IdempotencyTable::new();
-/// assert_eq!(ledger.start(&key, 1), KeyState::New);
-/// assert!(ledger.dispatch(&key));
-/// assert!(!ledger.dispatch(&key));
-/// assert_eq!(ledger.start(&key, 1), KeyState::Running);
-/// assert_eq!(ledger.start(&key, 2), KeyState::Mismatch);
+/// let mut table = IdempotencyTable::new();
+/// assert_eq!(table.start(&key, 1), KeyState::New);
+/// assert!(table.dispatch(&key));
+/// assert!(!table.dispatch(&key));
+/// assert_eq!(table.start(&key, 1), KeyState::Running);
+/// assert_eq!(table.start(&key, 2), KeyState::Mismatch);
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Debug)]
@@ -87,7 +87,7 @@
     keys: usize,
     entries: HashMap<Name, Entry>,
     order: VecDeque<Name>,
-    ended: VecDeque<(Millis, Name)>,
+    finished: VecDeque<(Millis, Name)>,
     bytes: usize,
     /// Whether any key was evicted for lack of capacity.
     evicted: bool,
@@ -108,8 +108,8 @@
 
     /// An empty table with a capacity of `keys` keys.
     pub fn with_capacity(keys: usize) -> Self {
-        let (entries, order, ended) = Default::default();
-        Self { keys, entries, order, ended, bytes: 0, evicted: false }
+        let (entries, order, finished) = Default::default();
+        Self { keys, entries, order, finished, bytes: 0, evicted: false }
     }
 
     /// Number of keys kept.
@@ -132,7 +132,7 @@
         match self.entries.get_mut(key) {
             Some(e) if e.body.is_some_and(|b| b != body) => KeyState::Mismatch,
             Some(Entry { state: State::Claiming { .. } | State::Dispatched, .. })
-                if on(Mechanism::LedgerOnce) =>
+                if on(Mechanism::DispatchOnce) =>
             {
                 KeyState::Running
             }
@@ -171,7 +171,7 @@
             Some(e) if matches!(e.state, State::Claiming { unused: true }) => {
                 e.state = State::NotDispatched
             }
-            Some(e) if !on(Mechanism::ForgottenIsRun) => e.state = State::NotDispatched,
+            Some(e) if !on(Mechanism::EvictedAsRun) => e.state = State::NotDispatched,
             _ => self.forget(key),
         }
     }
@@ -203,18 +203,18 @@
         check(Invariant::AtMostOnce, matches!(e.state, State::Dispatched));
         self.bytes += record.body.len();
         e.state = State::Finished(record);
-        self.ended.push_back((now, key.clone()));
+        self.finished.push_back((now, key.clone()));
         self.evict_answers(now);
     }
 
     /// Drops expired answers, and the oldest ones beyond the memory bound.
     pub fn evict_answers(&mut self, now: Millis) {
         let is_expired = |at: Millis| now.saturating_sub(at) > ANSWER_TTL_MS;
-        while let Some((at, key)) = self.ended.front().cloned() {
+        while let Some((at, key)) = self.finished.front().cloned() {
             if !is_expired(at) && self.bytes <= MAX_ANSWER_BYTES {
                 return;
             }
-            self.ended.pop_front();
+            self.finished.pop_front();
             self.drop_answer(&key);
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -58,7 +58,7 @@
 pub use account_limiter::{AccountLimiter, LimitExceeded};
 pub use admission::{AdmissionControl, Shed};
 pub use backpressure::{Admission, Backpressure};
-pub use blocks::{BLOCK, blocks, prompt_tokens};
+pub use blocks::{BLOCK_TOKENS, blocks, prompt_tokens};
 pub use bucket::Bucket;
 pub use budget::{RetryBudget, retry_after};
 pub use chain::{ChainEngine, ChainQuery, find_chain, find_local_chain};
@@ -92,7 +92,7 @@
 pub use predict::{Need, predict};
 pub use prefix::{BlockEvent, PrefixIndex};
 pub use probes::{ProbeResult, suspects};
-pub use quarantine::{End, EngineIncarnation, Quarantine, just_started};
+pub use quarantine::{EngineExit, EngineIncarnation, Quarantine, just_started};
 pub use relay::{Broken, EndReason, Relay, RelayAction, RelayEvent, RelayPlan, Repeat};
 pub use replica::{Adoption, Replica};
 pub use retry_schedule::RetrySchedule;
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -31,14 +31,14 @@
 pub(crate) fn report(engine: &str, first: u32, end: u32) -> EngineReport {
     EngineReport {
         engine: name(engine),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         serial: 1,
         model: Some(name("m")),
         version: name("v1"),
         layers: LayerRange::new(first, end),
         epoch: Epoch(0),
         role: EngineRole::Both,
-        leaving: false,
+        draining: false,
         slots: 8,
         running: 0,
         queued: 0,
--- a/crates/proof/examples/slopes.rs
+++ b/crates/proof/examples/slopes.rs
@@ -80,14 +80,14 @@
 fn report(i: usize, model: &Name, layers: LayerRange) -> EngineReport {
     EngineReport {
         engine: name(&format!("engine-{i}")),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         serial: 1,
         model: Some(model.clone()),
         version: name("v1"),
         layers,
         epoch: Epoch(1),
         role: EngineRole::Both,
-        leaving: false,
+        draining: false,
         slots: 32,
         running: (i * 7 % 32) as u32,
         queued: 0,
@@ -196,8 +196,8 @@
 fn member(i: usize) -> Member {
     Member {
         node: name(&format!("node-{i}")),
-        life: Incarnation(1),
-        beat: 1,
+        incarnation: Incarnation(1),
+        heartbeat: 1,
         domain: name(&format!("d{}", i % 6)),
         peer: name("10.0.0.1:7000"),
         caller: name("10.0.0.1:8000"),
@@ -217,10 +217,10 @@
 fn membership() {
     for nodes in [8, 100, 200, 410] {
         let mut table = members(nodes);
-        let mut beat = 2;
+        let mut heartbeat = 2;
         let ns = time_ns(200, || {
-            beat += 1;
-            let fresh = (1..17).map(|i| Member { beat, ..member(i * 6) }).collect();
+            heartbeat += 1;
+            let fresh = (1..17).map(|i| Member { heartbeat, ..member(i * 6) }).collect();
             table.merge(fresh, 1_000);
             black_box(table.freshest(16, 1_000));
         });
@@ -335,7 +335,13 @@
         let mut page = ClaimPage::default();
         for i in 0..claims as u64 {
             let (node, life) = (name("node-1"), Incarnation(u64::MAX / 3));
-            let entry = ClaimEntry { node, life, nonce: i * 7, at: 1_700_000_000_000, body: i };
+            let entry = ClaimEntry {
+                node,
+                incarnation: life,
+                nonce: i * 7,
+                at: 1_700_000_000_000,
+                body: i,
+            };
             page.entries.insert(digest(&[&i.to_le_bytes()]), entry);
         }
         let text = serde_json::to_string(&page).unwrap_or_default();
--- a/crates/proof/src/keys.rs
+++ b/crates/proof/src/keys.rs
@@ -163,7 +163,7 @@
         self.last_id += 1;
         let id = self.last_id;
         self.nodes[at].pending.insert(id, (number, not_dispatched, body));
-        let event = ClaimEvent::Ask { id, digest, body, nonce: id };
+        let event = ClaimEvent::Claim { id, digest, body, nonce: id };
         self.on(at, event, stats)
     }
 
@@ -264,7 +264,7 @@
             }
             Message::Write(page, ..)
             | Message::Response(ClaimEvent::Written(page, _) | ClaimEvent::Conflict(page)) => {
-                ClaimEvent::Unsure(*page)
+                ClaimEvent::WriteUnknown(*page)
             }
             Message::Response(_) => return Ok(()),
         };
--- a/crates/proof/src/matrix.rs
+++ b/crates/proof/src/matrix.rs
@@ -18,60 +18,60 @@
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum $name { $($(#[$item])* $value,)* }
 
-        impl $name {
-            /// Every variant.
-            pub const ALL: &'static [$name] = &[$($name::$value,)*];
+impl $name {
+/// Every variant.
+pub const ALL: &'static [$name] = &[$($name::$value,)*];
         }
     };
-}
+        }
 
 listed_enum! {
-    /// Step of an attempt at which a fault is injected.
-    Step {
-        /// A path is being selected.
-        Choosing,
-        /// The request was sent; no engine has started.
-        Sent,
-        /// The engines have started; no token has arrived.
-        Started,
-        /// Some tokens have arrived.
-        Decoding,
-        /// Every token has arrived, the end of the stream has not.
-        Ending,
+/// Step of an attempt at which a fault is injected.
+Step {
+/// A path is being selected.
+Choosing,
+/// The request was sent; no engine has started.
+Sent,
+/// The engines have started; no token has arrived.
+Started,
+/// Some tokens have arrived.
+Decoding,
+/// Every token has arrived, the end of the stream has not.
+Ending,
     }
-}
+        }
 
 listed_enum! {
-    /// Fault to inject.
-    Fault {
-        /// No path is available.
-        NoPath,
-        /// The connection could not be opened.
-        NoConnection,
-        /// The engine refuses and states that it did not start.
-        Refused,
-        /// The connection is lost.
-        Lost,
-        /// A stage fails and the engine reports it.
-        StageFailed,
-        /// No more frames arrive.
-        Silence,
-        /// The stream ends with too few tokens.
-        CutShort,
-        /// A token arrives twice.
-        TokenTwice,
-        /// A token is skipped.
-        TokenSkipped,
-        /// A token has run too few layers.
-        LayerSkipped,
-        /// A frame of an earlier attempt arrives.
-        OldFrame,
-        /// The client disconnects.
-        CallerGone,
-        /// The deadline of the request passes.
-        Deadline,
+/// Fault to inject.
+Fault {
+/// No path is available.
+NoPath,
+/// The connection could not be opened.
+NoConnection,
+/// The engine refuses and states that it did not start.
+Refused,
+/// The connection is lost.
+Lost,
+/// A stage fails and the engine reports it.
+StageFailed,
+/// No more frames arrive.
+Silence,
+/// The stream ends with too few tokens.
+CutShort,
+/// A token arrives twice.
+TokenTwice,
+/// A token is skipped.
+TokenSkipped,
+/// A token has run too few layers.
+LayerSkipped,
+/// A frame of an earlier attempt arrives.
+OldFrame,
+/// The client disconnects.
+CallerGone,
+/// The deadline of the request passes.
+Deadline,
     }
-}
+        }
 
 /// One cell of the matrix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -140,7 +140,7 @@
 /// Returns the [`Violation`] found.
 pub fn run_cell(cell: Cell) -> Result<CellResult, Violation> {
     let repeat = if cell.at_most_once { Repeat::Never } else { Repeat::Allowed };
-    let plan = RelayPlan { wanted: TOKENS, layers: LAYERS, attempts: 4, repeat };
+    let plan = RelayPlan { max_tokens: TOKENS, layers: LAYERS, attempts: 4, repeat };
     let (sent, executions) = (Vec::new(), 0);
     let mut run =
         Run { cell, relay: Relay::new(plan), sent, executions, attempt: None, outcome: None };
