--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -223,7 +223,7 @@
             .is_none_or(|events| quarantine.allows_retry(events, || self.call.fingerprint()))
     }
 
-    /// Tells the control thread that the attempt's connection was lost: its engine may have exited.
+    /// Notifies the control thread that the attempt's connection was lost: its engine may have exited.
     fn notify_lost(&mut self) {
         let Some((engine, before)) = self.started.take() else { return };
         let events = self.events.count().saturating_sub(before).min(u32::MAX.into()) as u32;
--- a/crates/heathpitchd/src/gateway/control/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -67,11 +67,11 @@
     /// Initial backpressure of an engine: the limit that it advertised to other nodes.
     pub(super) fn new_backpressure(&self, engine: &EngineEntry) -> Arc<Backpressure> {
         let backpressure = Backpressure::default();
-        let (life, limits) = (incarnation_of(engine), self.limits.borrow());
-        if let Some((rate, at)) = limits.of(&life) {
+        let (incarnation, limits) = (incarnation_of(engine), self.limits.borrow());
+        if let Some((rate, at)) = limits.of(&incarnation) {
             backpressure.limit().learn(Some(rate), at);
         }
-        if limits.is_in_probes(&life) {
+        if limits.is_in_probes(&incarnation) {
             backpressure.limit().set_in_probes();
         }
         Arc::new(backpressure)
@@ -95,27 +95,27 @@
     }
 
     /// Records an engine's drain notice to this node.
-    pub(super) fn engine_draining(&self, life: &EngineIncarnation) {
-        if self.learn_drain(life, 0, "engine response") {
+    pub(super) fn engine_draining(&self, incarnation: &EngineIncarnation) {
+        if self.learn_drain(incarnation, 0, "engine response") {
             self.publish();
         }
     }
 
     /// Learns a drain notice of `age` ago from `by`, and returns whether it made a listed engine
     /// draining.
-    fn learn_drain(&self, life: &EngineIncarnation, age: Millis, by: &'static str) -> bool {
-        if !self.drain_notices.borrow_mut().learn(life.clone(), age, self.now()) {
+    fn learn_drain(&self, incarnation: &EngineIncarnation, age: Millis, by: &'static str) -> bool {
+        if !self.drain_notices.borrow_mut().learn(incarnation.clone(), age, self.now()) {
             return false;
         }
-        GatewayEvent::EngineDraining { engine: life.engine.clone(), age_ms: age, by }.log();
-        let listed = self.entries.borrow().get(&life.engine).cloned();
-        let Some(entry) = listed.filter(|e| e.born == life.born) else { return false };
+        GatewayEvent::EngineDraining { engine: incarnation.engine.clone(), age_ms: age, by }.log();
+        let listed = self.entries.borrow().get(&incarnation.engine).cloned();
+        let Some(entry) = listed.filter(|e| e.born == incarnation.born) else { return false };
         if entry.state == EntryState::Leaving {
             return false;
         }
         let entry = EngineEntry { state: EntryState::Leaving, ..(*entry).clone() };
-        self.entries.borrow_mut().insert(life.engine.clone(), Arc::new(entry));
-        self.leaving.borrow_mut().insert(life.engine.clone(), self.now());
+        self.entries.borrow_mut().insert(incarnation.engine.clone(), Arc::new(entry));
+        self.leaving.borrow_mut().insert(incarnation.engine.clone(), self.now());
         true
     }
 }
@@ -125,9 +125,9 @@
     /// Drain notices learned after `serial`, and the serial of the last one returned.
     pub(super) fn drains_since(&self, serial: u64) -> (Vec<FeedDrain>, u64) {
         let (new, upto) = self.drain_notices.borrow().since(serial, MAX_DRAINS, self.now());
-        let drains = new.into_iter().map(|(life, age_ms)| FeedDrain {
-            engine: life.engine,
-            born: life.born,
+        let drains = new.into_iter().map(|(incarnation, age_ms)| FeedDrain {
+            engine: incarnation.engine,
+            born: incarnation.born,
             age_ms,
         });
         (drains.collect(), upto)
@@ -138,8 +138,8 @@
         let transit_ms = self.now().saturating_sub(sent);
         let mut changed = false;
         for drain in drains {
-            let life = EngineIncarnation { engine: drain.engine.clone(), born: drain.born };
-            changed |= self.learn_drain(&life, drain.age_ms + transit_ms, "another node");
+            let incarnation = EngineIncarnation { engine: drain.engine.clone(), born: drain.born };
+            changed |= self.learn_drain(&incarnation, drain.age_ms + transit_ms, "another node");
         }
         if changed {
             self.publish();
@@ -153,17 +153,17 @@
         tokio::time::sleep(RECHECK_INTERVAL).await;
         control.drain_notices.borrow_mut().expire(control.now());
         let due = control.drain_notices.borrow().due_for_recheck(control.now());
-        for life in due {
-            recheck(&control, &life).await;
+        for incarnation in due {
+            recheck(&control, &incarnation).await;
         }
     }
 }
 
 /// Checks whether an engine that the store lists as ready is still draining, which every response
 /// shows.
-async fn recheck(control: &Control, life: &EngineIncarnation) {
-    let entry = control.entries.borrow().get(&life.engine).cloned();
-    let Some(entry) = entry.filter(|e| e.born == life.born) else { return };
+async fn recheck(control: &Control, incarnation: &EngineIncarnation) {
+    let entry = control.entries.borrow().get(&incarnation.engine).cloned();
+    let Some(entry) = entry.filter(|e| e.born == incarnation.born) else { return };
     if !engines::is_listed_ready(control, &entry.id) {
         return;
     }
@@ -173,7 +173,7 @@
         Some(Ok(_)) | None => return,
         Some(Err(e)) => return log::info!("health check of engine {} failed: {e}", entry.id),
     }
-    control.drain_notices.borrow_mut().cancel(life, control.now());
+    control.drain_notices.borrow_mut().cancel(incarnation, control.now());
     control.backpressure_of(&entry).cancel_drain();
     let ready = EngineEntry { state: EntryState::Ready, ..(*entry).clone() };
     control.entries.borrow_mut().insert(entry.id.clone(), Arc::new(ready));
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -282,7 +282,7 @@
         let request = FeedRequest {
             node: settings.node.clone(),
             address: self.shared.peer.unwrap_or(settings.listen),
-            able: nodes::is_able(&settings),
+            able: nodes::is_eligible(&settings),
             revision: self.revision(),
             version: self.version(),
             digest: self.mirror.borrow().digest(),
@@ -298,16 +298,16 @@
     pub(super) fn notices_since(&self, known: NoticeCursor) -> (FeedNotices, NoticeCursor) {
         let known =
             if known.incarnation == self.incarnation { known } else { NoticeCursor::default() };
-        let (ends, ended) = self.exits_since(known.exits);
-        let (leaves, left) = self.drains_since(known.drains);
-        let (limits, limited) = self.limits_since(known.limits);
-        let mark = NoticeCursor {
+        let (exits, exits_cursor) = self.exits_since(known.exits);
+        let (drains, drains_cursor) = self.drains_since(known.drains);
+        let (limits, limits_cursor) = self.limits_since(known.limits);
+        let cursor = NoticeCursor {
             incarnation: self.incarnation,
-            exits: ended,
-            drains: left,
-            limits: limited,
+            exits: exits_cursor,
+            drains: drains_cursor,
+            limits: limits_cursor,
         };
-        (FeedNotices { exits: ends, drains: leaves, limits }, mark)
+        (FeedNotices { exits, drains, limits }, cursor)
     }
 
     /// Records notices of another node from a message sent at `sent` or later.
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -53,16 +53,17 @@
 /// Current limits of the engines of this failure domain.
 fn current(control: &Control) -> LimitRecord {
     let (domain, entries) = (control.domain(), control.entries.borrow());
-    let own =
-        |life: &EngineIncarnation| entries.get(&life.engine).is_some_and(|e| e.domain == domain);
+    let own = |incarnation: &EngineIncarnation| {
+        entries.get(&incarnation.engine).is_some_and(|e| e.domain == domain)
+    };
     let (limits, backpressure) = (control.limits.borrow(), control.backpressure.borrow());
-    let in_probes = |life: &EngineIncarnation| {
-        backpressure.get(&life.engine).is_some_and(|b| b.limit().is_in_probes())
+    let in_probes = |incarnation: &EngineIncarnation| {
+        backpressure.get(&incarnation.engine).is_some_and(|b| b.limit().is_in_probes())
     };
-    let advertised = limits.named().filter(|(life, _)| own(life));
-    LimitRecord::of(advertised.map(|(life, rate)| {
-        let limit = LimitEntry { rate, in_probes: in_probes(&life) };
-        (life, limit)
+    let advertised = limits.named().filter(|(incarnation, _)| own(incarnation));
+    LimitRecord::of(advertised.map(|(incarnation, rate)| {
+        let limit = LimitEntry { rate, in_probes: in_probes(&incarnation) };
+        (incarnation, limit)
     }))
 }
 
@@ -107,7 +108,7 @@
     if invalid > 0 {
         log::warn!("{invalid} invalid lines in record {} of engine limits", item.key);
     }
-    record.limits().for_each(|(life, limit)| control.restore_limit(life, limit));
+    record.limits().for_each(|(incarnation, limit)| control.restore_limit(incarnation, limit));
     if *item.key == *key(&control.domain()) {
         keep(control, record, item.revision);
     }
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -124,11 +124,11 @@
             Notice::LayerMismatch(engine) => engines::refresh_layers(&control, &engine),
             Notice::Refused(engine) => reachability::check_refusal(&control, &engine),
             Notice::ConnectionLost(lost) => engine_exits::record_lost(&control, lost),
-            Notice::Answered(print) => control.clear_request(print),
-            Notice::EngineAlive(life) => control.engine_alive(&life),
-            Notice::Draining(life) => control.engine_draining(&life),
-            Notice::HeldBack(print) => control.renew_request(print),
-            Notice::Limited(life) => control.record_limit(&life),
+            Notice::Answered(fingerprint) => control.clear_request(fingerprint),
+            Notice::EngineAlive(incarnation) => control.engine_alive(&incarnation),
+            Notice::Draining(incarnation) => control.engine_draining(&incarnation),
+            Notice::HeldBack(fingerprint) => control.renew_request(fingerprint),
+            Notice::Limited(incarnation) => control.record_limit(&incarnation),
             Notice::RightsWanted(wanted) => rights::spawn_request(&control, wanted),
         }
     }
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -51,7 +51,7 @@
 const MAX_RETRY: Duration = Duration::from_millis(4_000);
 
 /// Whether the VM is large enough for a planner.
-pub(super) fn is_able(settings: &GatewaySettings) -> bool {
+pub(super) fn is_eligible(settings: &GatewaySettings) -> bool {
     settings.vm.link_mbps >= MIN_LINK_MBPS && settings.vm.cpu_share >= MIN_CPU_SHARE
 }
 
@@ -59,11 +59,11 @@
 pub(super) async fn follow(control: Rc<Control>) {
     let key = planner_key(&control.domain());
     let mut retry = RETRY;
-    let (first_start, able) = {
+    let (first_start, eligible) = {
         let settings = control.shared.settings.load();
-        (settings.first_start, is_able(&settings))
+        (settings.first_start, is_eligible(&settings))
     };
-    let start = FleetStart { first_start, able, seeded: !control.seeds.is_empty() };
+    let start = FleetStart { first_start, able: eligible, seeded: !control.seeds.is_empty() };
     control.sources.borrow_mut().schedule_first_lookup(start, control.now(), &mut rand::rng());
     let mut seen = None;
     loop {
@@ -75,19 +75,19 @@
             continue;
         };
         retry = RETRY;
-        let mut holder = None;
+        let mut planner = None;
         for item in &listing.items {
-            apply_entry(&control, &key, &mut holder, item);
+            apply_entry(&control, &key, &mut planner, item);
         }
         // A planner found for the first time is polled before its entry is watched.
-        let found = holder.as_ref().map(|item| item.revision);
-        if found.is_some() && found != seen && !is_own(&control, holder.as_ref()) {
+        let found = planner.as_ref().map(|item| item.revision);
+        if found.is_some() && found != seen && !is_own(&control, planner.as_ref()) {
             seen = found;
             control.defer_claim();
             continue;
         }
         // The watch's connection may be dead, and the planner with it.
-        let watched = watch(&control, &key, holder, listing.at);
+        let watched = watch(&control, &key, planner, listing.at);
         let watched = tokio::select! {
             watched = control.until_store_change(watched) => watched,
             () = control.wait_until_no_claim() => None,
@@ -99,8 +99,8 @@
 }
 
 /// Whether an entry is this node's own, from a previous run.
-fn is_own(control: &Control, holder: Option<&Item>) -> bool {
-    holder.and_then(read_entry).is_some_and(|s| s.node == control.node())
+fn is_own(control: &Control, planner: Option<&Item>) -> bool {
+    planner.and_then(read_entry).is_some_and(|s| s.node == control.node())
 }
 
 /// How a watch of planners ended.
@@ -113,16 +113,16 @@
 }
 
 /// Watches the entry of this failure domain's planner, or all entries while this node is planner.
-async fn watch(control: &Control, key: &str, holder: Option<Item>, from: Revision) -> WatchEnd {
-    let mut holder = holder;
+async fn watch(control: &Control, key: &str, planner: Option<Item>, from: Revision) -> WatchEnd {
+    let mut planner = planner;
     let mut at = from;
     while control.may_claim() {
-        let free = match &holder {
+        let free = match &planner {
             _ if control.is_planner() || control.stopping() => false,
             None => true,
             Some(item) => is_own(control, Some(item)),
         };
-        let own = holder.as_ref().filter(|_| free).map(|item| item.revision);
+        let own = planner.as_ref().filter(|_| free).map(|item| item.revision);
         if own.is_some() && contend(control, own).await {
             return WatchEnd::BecamePlanner;
         }
@@ -134,8 +134,8 @@
         };
         for change in &watched.changes {
             match change {
-                ItemChange::Put(item) => apply_entry(control, key, &mut holder, item),
-                ItemChange::Deleted(deleted) if &**deleted == key => holder = None,
+                ItemChange::Put(item) => apply_entry(control, key, &mut planner, item),
+                ItemChange::Deleted(deleted) if &**deleted == key => planner = None,
                 // Planners of other failure domains are polled until they have a successor.
                 ItemChange::Deleted(deleted) => {
                     quarantine::entry_deleted(control, deleted);
@@ -144,7 +144,7 @@
             }
         }
         at = watched.at;
-        if free && holder.is_none() && contend(control, None).await {
+        if free && planner.is_none() && contend(control, None).await {
             return WatchEnd::BecamePlanner;
         }
     }
@@ -258,10 +258,10 @@
     }
 }
 
-/// Records an entry of the store, and keeps that of this failure domain's planner as `holder`.
-fn apply_entry(control: &Control, key: &str, holder: &mut Option<Item>, item: &Item) {
+/// Records an entry of the store, and keeps that of this failure domain's planner in `planner`.
+fn apply_entry(control: &Control, key: &str, planner: &mut Option<Item>, item: &Item) {
     if &*item.key == key {
-        *holder = Some(item.clone());
+        *planner = Some(item.clone());
     }
     record_entry(control, item);
 }
@@ -283,7 +283,7 @@
 /// Random delay in milliseconds before this node contends for a free lease.
 fn stagger(settings: &GatewaySettings) -> Millis {
     let wait = rand::rng().random_range(1..MAX_STAGGER_MS);
-    if is_able(settings) { wait } else { SMALL_VM_DELAY_MS + 2 * wait }
+    if is_eligible(settings) { wait } else { SMALL_VM_DELAY_MS + 2 * wait }
 }
 
 /// Key of a failure domain's planner.
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -10,7 +10,7 @@
 use crate::gateway::engine_table::{EngineTable, EngineView};
 
 /// Engine, its step factor, and the layers that it holds.
-type Holder<'a> = (&'a Name, f64, LayerRange);
+type LayerHolder<'a> = (&'a Name, f64, LayerRange);
 
 /// # Publishing
 impl Control {
@@ -19,7 +19,7 @@
         let Some(catalog) = self.shared.catalog.load_full() else { return HashSet::new() };
         let entries = self.entries.borrow();
         // Holders by service and failure domain.
-        let mut holders: HashMap<(&Name, &Name), Vec<Holder<'_>>> = HashMap::new();
+        let mut holders: HashMap<(&Name, &Name), Vec<LayerHolder<'_>>> = HashMap::new();
         for e in entries.values() {
             let holds = e.state == EntryState::Ready && e.layers.count() > 0;
             let model = catalog.services.get(&e.service).and_then(|s| s.model.as_ref());
@@ -65,18 +65,18 @@
             let signals = backpressure
                 .entry(entry.id.clone())
                 .or_insert_with(|| self.new_backpressure(entry));
-            let engine_stats = stats.entry(entry.id.clone());
-            let tally =
-                engine_stats.or_insert_with(|| Arc::new(EngineStats::of(signals.clone()))).clone();
-            let main = primaries.contains(&entry.id);
-            let view = EngineView { entry: entry.clone(), card, stats: tally, is_primary: main };
+            let slot = stats.entry(entry.id.clone());
+            let engine_stats =
+                slot.or_insert_with(|| Arc::new(EngineStats::of(signals.clone()))).clone();
+            let is_primary = primaries.contains(&entry.id);
+            let view = EngineView { entry: entry.clone(), card, stats: engine_stats, is_primary };
             services.entry(entry.service.clone()).or_default().push(view);
         }
         self.shared.metrics.engines.set(entries.len() as i64);
-        let nodes = self.fleet.get().map(|f| f.nodes);
-        self.shared.metrics.nodes.set(i64::from(nodes.unwrap_or(0)));
-        let beside = self.fleet.get().map_or(1, |f| f.domain_size.max(1));
-        let table = EngineTable { services, domain_size: beside, fleet_size: nodes };
+        let fleet_size = self.fleet.get().map(|f| f.nodes);
+        self.shared.metrics.nodes.set(i64::from(fleet_size.unwrap_or(0)));
+        let domain_size = self.fleet.get().map_or(1, |f| f.domain_size.max(1));
+        let table = EngineTable { services, domain_size, fleet_size };
         self.shared.table.store(Arc::new(table));
     }
 }
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -5,7 +5,7 @@
 //! response of the feed, in both directions, whether or not the store is reachable, and planners
 //! exchange them across failure domains: followers poll every 0.4 s and planners every 0.25 s, so
 //! every connected node knows an exit within [`PROPAGATION_MS`]. Planners write quarantined
-//! requests to the store, for nodes that start when no running node could tell them; an operator
+//! requests to the store, for nodes that start while no running node can inform them; an operator
 //! who deletes such an entry releases the request.
 
 use std::collections::HashMap;
@@ -73,46 +73,50 @@
     /// recorded without weight, so that other nodes learn of the exit three seconds before the
     /// engine's entry expires.
     pub(super) fn record_engine_exit(&self, engine: &EngineEntry, lost: &[LostAttempt]) {
-        let (now, life) = (self.now(), incarnation_of(engine));
+        let (now, incarnation) = (self.now(), incarnation_of(engine));
         let youngest = lost.iter().map(|call| call.events).min().unwrap_or(0);
         let recorded = |call: &&LostAttempt| call.events == youngest || just_started(call.events);
         let mut new = false;
         for call in lost.iter().filter(recorded) {
             let mut quarantine = self.quarantine.borrow_mut();
-            new |= quarantine.record_end(call.fingerprint, life.clone(), call.events, now);
+            new |= quarantine.record_end(call.fingerprint, incarnation.clone(), call.events, now);
         }
-        self.avoid(&life);
+        self.avoid(&incarnation);
         if new {
             self.update_held("an engine exited under calls of this node");
         }
     }
 
     /// Clears a suspected request after a complete response.
-    pub(super) fn clear_request(&self, print: RequestFingerprint) {
-        if self.quarantine.borrow_mut().clear_request(print) {
+    pub(super) fn clear_request(&self, fingerprint: RequestFingerprint) {
+        if self.quarantine.borrow_mut().clear_request(fingerprint) {
             self.update_held("the request was answered");
         }
     }
 
     /// Withdraws a reported exit of an engine that has responded since.
-    pub(super) fn engine_alive(&self, life: &EngineIncarnation) {
-        if self.quarantine.borrow_mut().engine_alive(life) {
+    pub(super) fn engine_alive(&self, incarnation: &EngineIncarnation) {
+        if self.quarantine.borrow_mut().engine_alive(incarnation) {
             self.update_held("an engine reported as exited responds");
         }
     }
 
     /// Extends the quarantine of a request that was received again.
-    pub(super) fn renew_request(&self, print: RequestFingerprint) {
-        if self.quarantine.borrow_mut().renew(print, self.now()) {
+    pub(super) fn renew_request(&self, fingerprint: RequestFingerprint) {
+        if self.quarantine.borrow_mut().renew(fingerprint, self.now()) {
             self.update_held("the request was received again");
         }
     }
 
     /// Avoids an engine that has exited, if it is still listed.
-    fn avoid(&self, life: &EngineIncarnation) {
-        let listed = self.entries.borrow().get(&life.engine).is_some_and(|e| e.born == life.born);
-        if listed && !self.is_unreachable(&life.engine) {
-            reachability::mark_unreachable(self, &life.engine, "engine exited");
+    fn avoid(&self, incarnation: &EngineIncarnation) {
+        let listed = self
+            .entries
+            .borrow()
+            .get(&incarnation.engine)
+            .is_some_and(|e| e.born == incarnation.born);
+        if listed && !self.is_unreachable(&incarnation.engine) {
+            reachability::mark_unreachable(self, &incarnation.engine, "engine exited");
         }
     }
 }
@@ -138,10 +142,10 @@
     pub(super) fn receive_exits(&self, exits: &[FeedExit], sent: Millis, by: &Name) {
         let mut new = 0;
         for exit in exits {
-            let life = EngineIncarnation { engine: exit.engine.clone(), born: exit.born };
+            let incarnation = EngineIncarnation { engine: exit.engine.clone(), born: exit.born };
             let end = End {
                 print: exit.fingerprint,
-                life: life.clone(),
+                life: incarnation.clone(),
                 events: exit.events,
                 renewed: exit.renewed,
                 void: exit.cleared,
@@ -153,7 +157,7 @@
             }
             new += 1;
             if !exit.cleared && age < AVOID_WITHIN_MS {
-                self.avoid(&life);
+                self.avoid(&incarnation);
             }
         }
         if new > 0 {
@@ -170,20 +174,21 @@
         let now = self.now();
         let mut quarantine = self.quarantine.borrow_mut();
         let (new, over) = quarantine.decide();
-        for print in new {
+        for fingerprint in new {
             let ends: Vec<_> = quarantine
-                .evidence(print, now)
+                .evidence(fingerprint, now)
                 .map(|(l, events, age)| (l.engine.clone(), events, age))
                 .collect();
-            GatewayEvent::RequestHeldBack { fingerprint: print, ends, why }.log();
+            GatewayEvent::RequestHeldBack { fingerprint, ends, why }.log();
         }
-        for print in over {
-            GatewayEvent::RequestLetThrough { fingerprint: print, why }.log();
+        for fingerprint in over {
+            GatewayEvent::RequestLetThrough { fingerprint, why }.log();
         }
-        let held = |print| {
-            let engines = quarantine.evidence(print, now).map(|(l, ..)| l.engine.clone()).collect();
-            let until = now + quarantine.remaining(print, now);
-            (print, HeldBack { engines, until })
+        let held = |fingerprint| {
+            let engines =
+                quarantine.evidence(fingerprint, now).map(|(l, ..)| l.engine.clone()).collect();
+            let until = now + quarantine.remaining(fingerprint, now);
+            (fingerprint, HeldBack { engines, until })
         };
         let held: HashMap<_, _> = quarantine.held().map(held).collect();
         self.shared.metrics.held.set(held.len() as i64);
@@ -215,9 +220,9 @@
 
 /// Writes quarantined requests whose store entries are missing or outdated.
 async fn write_due(control: &Control) {
-    for print in due(control) {
-        if let Err(e) = write(control, print).await {
-            log::warn!("could not write quarantined request {print} to the store: {e}");
+    for fingerprint in due(control) {
+        if let Err(e) = write(control, fingerprint).await {
+            log::warn!("could not write quarantined request {fingerprint} to the store: {e}");
             return;
         }
     }
@@ -228,22 +233,22 @@
     let own = control.domain();
     let first = control.sources.borrow().planners().all(|(domain, _)| own <= *domain);
     let now = control.now();
-    let wanted = |print: &RequestFingerprint| {
-        let known = entries.known.get(print).map(|e| e.renewed);
-        let age_ms = quarantine.evidence(*print, now).map(|(.., age)| age).min().unwrap_or(0);
-        known.is_none_or(|known| known < quarantine.renewed(*print))
+    let wanted = |fingerprint: &RequestFingerprint| {
+        let known = entries.known.get(fingerprint).map(|e| e.renewed);
+        let age_ms = quarantine.evidence(*fingerprint, now).map(|(.., age)| age).min().unwrap_or(0);
+        known.is_none_or(|known| known < quarantine.renewed(*fingerprint))
             && (first || age_ms >= WRITE_DELAY_MS)
     };
     quarantine.held().filter(wanted).collect()
 }
 
-async fn write(control: &Control, print: RequestFingerprint) -> Result<(), StoreError> {
+async fn write(control: &Control, fingerprint: RequestFingerprint) -> Result<(), StoreError> {
     let lease = control.call("grant", control.edges.store.grant(ENTRY_TTL_MS)).await?;
-    let key = format!("{PREFIX}{print}");
-    let known = control.stored_quarantine.borrow().known.get(&print).copied();
+    let key = format!("{PREFIX}{fingerprint}");
+    let known = control.stored_quarantine.borrow().known.get(&fingerprint).copied();
     let (value, renewed) = {
         let quarantine = control.quarantine.borrow();
-        (entry_value(&quarantine, print, control.now()), quarantine.renewed(print))
+        (entry_value(&quarantine, fingerprint, control.now()), quarantine.renewed(fingerprint))
     };
     let write = Write {
         conditions: vec![(key.clone(), known.map_or(Revision(0), |k| k.revision))],
@@ -253,14 +258,14 @@
     match control.call("quarantine", control.edges.store.write(write)).await {
         Ok(revision) => {
             let entry = Entry { revision, renewed };
-            control.stored_quarantine.borrow_mut().known.insert(print, entry);
+            control.stored_quarantine.borrow_mut().known.insert(fingerprint, entry);
             Ok(())
         }
         // Another planner wrote first; the unused lease expires by itself.
         Err(StoreError::Conflict(items)) => {
             match items.first() {
                 Some(item) => load_entry(control, item),
-                None => release_deleted(control, print),
+                None => release_deleted(control, fingerprint),
             }
             Ok(())
         }
@@ -271,56 +276,63 @@
 /// Value of an entry: one line for each engine, with its start time and the events of the request.
 fn entry_value(
     quarantine: &heathpitch_policy::Quarantine,
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     now: Millis,
 ) -> Bytes {
-    let line = |(life, events, _): (&EngineIncarnation, u32, Millis)| {
-        format!("{} {} {events}\n", life.engine, life.born.unwrap_or(0))
+    let line = |(incarnation, events, _): (&EngineIncarnation, u32, Millis)| {
+        format!("{} {} {events}\n", incarnation.engine, incarnation.born.unwrap_or(0))
     };
-    let lines = quarantine.evidence(print, now).take(MAX_ENTRY_ENGINES).map(line);
+    let lines = quarantine.evidence(fingerprint, now).take(MAX_ENTRY_ENGINES).map(line);
     lines.collect::<String>().into()
 }
 
 /// Loads an entry of the store.
 pub(super) fn load_entry(control: &Control, item: &Item) {
-    let print = item.key.strip_prefix(PREFIX).and_then(|p| p.parse::<RequestFingerprint>().ok());
-    let (Some(print), Ok(text)) = (print, std::str::from_utf8(&item.value)) else {
+    let fingerprint =
+        item.key.strip_prefix(PREFIX).and_then(|p| p.parse::<RequestFingerprint>().ok());
+    let (Some(fingerprint), Ok(text)) = (fingerprint, std::str::from_utf8(&item.value)) else {
         return log::warn!("quarantine entry {} cannot be parsed", item.key);
     };
     let now = control.now();
     let mut new = false;
     for line in text.lines() {
-        match parse_line(print, line) {
+        match parse_line(fingerprint, line) {
             Some(end) => new |= control.quarantine.borrow_mut().learn(end, 0, now),
             None => log::warn!("line of quarantine entry {} cannot be parsed: {line}", item.key),
         }
     }
-    let renewed = control.quarantine.borrow().renewed(print);
+    let renewed = control.quarantine.borrow().renewed(fingerprint);
     let entry = Entry { revision: item.revision, renewed };
-    control.stored_quarantine.borrow_mut().known.insert(print, entry);
+    control.stored_quarantine.borrow_mut().known.insert(fingerprint, entry);
     if new {
         control.update_held("the store has an entry of the request");
     }
 }
 
-fn parse_line(print: RequestFingerprint, line: &str) -> Option<End> {
+fn parse_line(fingerprint: RequestFingerprint, line: &str) -> Option<End> {
     let mut fields = line.split(' ');
     let engine = fields.next()?.parse().ok()?;
     let born = fields.next()?.parse().ok().filter(|born| *born > 0);
     let events = fields.next()?.parse().ok()?;
-    Some(End { print, life: EngineIncarnation { engine, born }, events, renewed: 0, void: false })
+    Some(End {
+        print: fingerprint,
+        life: EngineIncarnation { engine, born },
+        events,
+        renewed: 0,
+        void: false,
+    })
 }
 
 /// Releases the request of an entry that was deleted by an operator or has expired.
 pub(super) fn entry_deleted(control: &Control, key: &str) {
-    if let Some(print) = key.strip_prefix(PREFIX).and_then(|p| p.parse().ok()) {
-        release_deleted(control, print);
+    if let Some(fingerprint) = key.strip_prefix(PREFIX).and_then(|p| p.parse().ok()) {
+        release_deleted(control, fingerprint);
     }
 }
 
-fn release_deleted(control: &Control, print: RequestFingerprint) {
-    let known = control.stored_quarantine.borrow_mut().known.remove(&print).is_some();
-    if known && control.quarantine.borrow_mut().clear_request(print) {
+fn release_deleted(control: &Control, fingerprint: RequestFingerprint) {
+    let known = control.stored_quarantine.borrow_mut().known.remove(&fingerprint).is_some();
+    if known && control.quarantine.borrow_mut().clear_request(fingerprint) {
         control.update_held("its store entry was deleted");
     }
 }
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -171,12 +171,12 @@
     };
     let changed = (report.slowdown - control.slowdown(engine)).abs() > SLOWDOWN_CHANGE;
     if changed {
-        GatewayEvent::EngineSlowdown { engine: engine.clone(), pace: report.slowdown }.log();
+        GatewayEvent::EngineSlowdown { engine: engine.clone(), slowdown: report.slowdown }.log();
     }
     control.reports.borrow_mut().insert(engine.clone(), report);
-    if let Some(tally) = control.engine_stats.borrow().get(engine) {
-        tally.record_slowdown(report.slowdown, report.at);
-        tally.occupancy().report(report.held_tokens as u64, report.at);
+    if let Some(stats) = control.engine_stats.borrow().get(engine) {
+        stats.record_slowdown(report.slowdown, report.at);
+        stats.occupancy().report(report.held_tokens as u64, report.at);
     }
     changed
 }
--- a/crates/heathpitchd/src/gateway/control/rights.rs
+++ b/crates/heathpitchd/src/gateway/control/rights.rs
@@ -51,29 +51,30 @@
 /// # Limits that engines advertise and nodes exchange
 impl Control {
     /// Records that an engine advertised a new limit to this node, or stopped advertising one.
-    pub(super) fn record_limit(&self, life: &EngineIncarnation) {
-        let Some(backpressure) = self.backpressure.borrow().get(&life.engine).cloned() else {
+    pub(super) fn record_limit(&self, incarnation: &EngineIncarnation) {
+        let Some(backpressure) = self.backpressure.borrow().get(&incarnation.engine).cloned()
+        else {
             return;
         };
         let (now, limit) = (self.now(), backpressure.limit());
         let at = now.saturating_sub(limit.age(now));
-        self.learn_limit(life, limit.rate(), at, "engine response");
+        self.learn_limit(incarnation, limit.rate(), at, "engine response");
     }
 
     fn learn_limit(
         &self,
-        life: &EngineIncarnation,
+        incarnation: &EngineIncarnation,
         rate: Option<Rate>,
         at: Millis,
         by: &'static str,
     ) -> bool {
-        let new = self.limits.borrow_mut().learn(life.clone(), rate, at);
+        let new = self.limits.borrow_mut().learn(incarnation.clone(), rate, at);
         if new {
             if rate.is_none() {
-                self.rights.borrow_mut().remove(life);
+                self.rights.borrow_mut().remove(incarnation);
             }
             let age_ms = self.now().saturating_sub(at);
-            let engine = life.engine.clone();
+            let engine = incarnation.engine.clone();
             GatewayEvent::EngineLimited { engine, limit: rate, age_ms, by }.log();
         }
         new
@@ -82,9 +83,9 @@
     /// Limits learned after `serial`, and the serial of the last one returned.
     pub(super) fn limits_since(&self, serial: u64) -> (Vec<FeedLimit>, u64) {
         let (new, upto) = self.limits.borrow().since(serial, MAX_LIMITS, self.now());
-        let feed_limit = |LimitUpdate { life, rate, age }| FeedLimit {
-            engine: life.engine,
-            born: life.born,
+        let feed_limit = |LimitUpdate { life: incarnation, rate, age }| FeedLimit {
+            engine: incarnation.engine,
+            born: incarnation.born,
             rate,
             age_ms: age,
         };
@@ -94,40 +95,40 @@
     /// Learns limits that another node reported in a message sent at `sent` or later.
     pub(super) fn receive_limits(&self, limits: &[FeedLimit], sent: Millis) {
         for limit in limits {
-            let life = EngineIncarnation { engine: limit.engine.clone(), born: limit.born };
+            let incarnation = EngineIncarnation { engine: limit.engine.clone(), born: limit.born };
             // The transit time of the message is unknown: a limit counts as young as it can be, and
             // its end as old as it can be, so that a limit is kept rather than dropped.
             let from = if limit.rate.is_some() { self.now() } else { sent };
             let at = from.saturating_sub(limit.age_ms);
-            if self.learn_limit(&life, limit.rate, at, "another node") {
-                self.apply_limit(&life, limit.rate, at);
+            if self.learn_limit(&incarnation, limit.rate, at, "another node") {
+                self.apply_limit(&incarnation, limit.rate, at);
             }
         }
     }
 
     /// Restores a limit from a record in the store.
-    pub(super) fn restore_limit(&self, life: &EngineIncarnation, limit: LimitEntry) {
+    pub(super) fn restore_limit(&self, incarnation: &EngineIncarnation, limit: LimitEntry) {
         let now = self.now();
-        let new = self.limits.borrow_mut().restore(life.clone(), limit, now);
+        let new = self.limits.borrow_mut().restore(incarnation.clone(), limit, now);
         if limit.in_probes
-            && let Some(backpressure) = self.backpressure.borrow().get(&life.engine)
+            && let Some(backpressure) = self.backpressure.borrow().get(&incarnation.engine)
         {
             backpressure.limit().set_in_probes();
         }
         if !new {
             return;
         }
-        let Some((rate, at)) = self.limits.borrow().of(life) else { return };
-        let engine = life.engine.clone();
+        let Some((rate, at)) = self.limits.borrow().of(incarnation) else { return };
+        let engine = incarnation.engine.clone();
         let age_ms = now.saturating_sub(at);
         GatewayEvent::EngineLimited { engine, limit: Some(rate), age_ms, by: "the store" }.log();
-        self.apply_limit(life, Some(rate), at);
+        self.apply_limit(incarnation, Some(rate), at);
     }
 
     /// Makes a limit learned at `at` take effect for requests.
-    fn apply_limit(&self, life: &EngineIncarnation, rate: Option<Rate>, at: Millis) {
-        let entry = self.entries.borrow().get(&life.engine).cloned();
-        if let Some(entry) = entry.filter(|e| e.born == life.born) {
+    fn apply_limit(&self, incarnation: &EngineIncarnation, rate: Option<Rate>, at: Millis) {
+        let entry = self.entries.borrow().get(&incarnation.engine).cloned();
+        if let Some(entry) = entry.filter(|e| e.born == incarnation.born) {
             self.backpressure_of(&entry).limit().learn(rate, at);
         }
     }
@@ -145,8 +146,8 @@
 
     /// Whether demand for an engine has exceeded its limit for some time.
     pub(super) fn is_limited(&self, engine: &EngineEntry) -> bool {
-        let life = incarnation_of(engine);
-        self.limits.borrow().of(&life).is_some() && self.rights.borrow().binds(&life)
+        let incarnation = incarnation_of(engine);
+        self.limits.borrow().of(&incarnation).is_some() && self.rights.borrow().binds(&incarnation)
     }
 
     /// Issues rights to a node that requests them.
@@ -156,16 +157,16 @@
         if !self.issues_rights() {
             return RightsResponse::default();
         }
-        let life =
+        let incarnation =
             EngineIncarnation { engine: request.limit.engine.clone(), born: request.limit.born };
-        let limit = self.limits.borrow().of(&life);
+        let limit = self.limits.borrow().of(&incarnation);
         let Some((rate, _)) = limit else {
             // The engine has no limit any more, which the requester will learn from the feed.
             return RightsResponse { active: true, issued: request.requested, wait_ms: 0 };
         };
         let draw = rand::rng().random_range(0.0..1.0);
         let mut rights = self.rights.borrow_mut();
-        let grant = rights.issue(&life, rate, &request.node, request.requested, draw, now);
+        let grant = rights.issue(&incarnation, rate, &request.node, request.requested, draw, now);
         RightsResponse { active: true, issued: grant.given, wait_ms: grant.wait }
     }
 }
@@ -303,8 +304,9 @@
             continue;
         }
         let backpressure = control.backpressure.borrow();
-        let kept = |life: &EngineIncarnation| {
-            entries.contains_key(&life.engine) || backpressure.contains_key(&life.engine)
+        let kept = |incarnation: &EngineIncarnation| {
+            entries.contains_key(&incarnation.engine)
+                || backpressure.contains_key(&incarnation.engine)
         };
         control.limits.borrow_mut().retain(kept, now);
     }
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -217,7 +217,7 @@
         self.shared.now()
     }
 
-    /// Whether this node was told to stop.
+    /// Whether this node was asked to stop.
     pub(super) fn stopping(&self) -> bool {
         self.shared.stopping.load(Relaxed)
     }
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -108,8 +108,8 @@
         };
         for engine in &gone {
             let born = self.incarnations.borrow().born(engine);
-            let life = EngineIncarnation { engine: engine.clone(), born };
-            self.drain_notices.borrow_mut().learn(life, 0, self.now());
+            let incarnation = EngineIncarnation { engine: engine.clone(), born };
+            self.drain_notices.borrow_mut().learn(incarnation, 0, self.now());
         }
         self.stored_quarantine.borrow_mut().forget();
         self.stored_limits.borrow_mut().forget();
@@ -137,8 +137,8 @@
         };
         self.shared.metrics.store.with_label_values(&[call, label]).inc();
         if !reachable {
-            let (now, beside) = (self.now(), self.domain_size());
-            self.sources.borrow_mut().store_unavailable(now, beside, &mut rand::rng());
+            let (now, domain_size) = (self.now(), self.domain_size());
+            self.sources.borrow_mut().store_unavailable(now, domain_size, &mut rand::rng());
         }
         if reachable == self.reachable.get() || (!reachable && sent < self.reachable_since.get()) {
             return;
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -319,7 +319,8 @@
         /// Engine.
         engine: Name,
         /// The factor; 1 is the card's speed.
-        pace: f64,
+        #[serde(rename = "pace")]
+        slowdown: f64,
     },
     /// The planner has planned which engines of its failure domain should hold other layers.
     LayoutPlanned {
--- a/crates/heathpitchd/src/gateway/live.rs
+++ b/crates/heathpitchd/src/gateway/live.rs
@@ -41,7 +41,7 @@
     /// When it got its current path.
     pub(crate) routed: AtomicU64,
     /// When its last event or its head was received.
-    pub(crate) heard: AtomicU64,
+    pub(crate) last_received: AtomicU64,
     /// Events relayed by this attempt.
     pub(crate) events: AtomicU64,
     abandoned: AtomicBool,
@@ -65,7 +65,7 @@
             tokens,
             max_silence: max_silence(max_pause_ms),
             routed: AtomicU64::new(now),
-            heard: AtomicU64::new(now),
+            last_received: AtomicU64::new(now),
             events: AtomicU64::new(0),
             abandoned: AtomicBool::new(false),
             notify: Notify::new(),
@@ -78,18 +78,18 @@
         self.routed.store(now, Relaxed);
     }
 
-    /// Records events received, or only a sign of life if there are none.
+    /// Records events received, or only that the engine responds if there are none.
     pub(crate) fn record_events(&self, events: u64, now: Millis) {
         self.events.fetch_add(events, Relaxed);
-        self.heard.store(now, Relaxed);
+        self.last_received.store(now, Relaxed);
     }
 
     /// Time since anything was received.
     pub(crate) fn silence(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.heard.load(Relaxed))
+        now.saturating_sub(self.last_received.load(Relaxed))
     }
 
-    /// Tells the traffic thread that the first engine of the path is lost.
+    /// Notifies the traffic thread that the first engine of the path is lost.
     pub(crate) fn abandon(&self) {
         self.abandoned.store(true, Relaxed);
         self.notify.notify_waiters();
