--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -63,7 +63,7 @@
     received: Millis,
 ) -> Result<Call, Refused> {
     let (parts, body) = request.into_parts();
-    let head = match traffic.edges.dialect.call(&parts) {
+    let head = match traffic.clients.dialect.call(&parts) {
         Ok(head) => head,
         Err(e) => return Err(Refused::unsent(RefusedKind::BadHead, "", e.to_string())),
     };
--- a/crates/heathpitchd/src/gateway/call/mod.rs
+++ b/crates/heathpitchd/src/gateway/call/mod.rs
@@ -30,13 +30,13 @@
 pub(crate) use retry_budgets::RetryBudgets;
 pub(crate) use retry_schedules::RetrySchedules;
 
-use super::shared::{Edges, Shared};
+use super::shared::{Clients, Shared};
 use open::OpenCall;
 
 /// State of the traffic thread.
 pub(crate) struct Traffic {
     pub(crate) shared: Arc<Shared>,
-    pub(crate) edges: Edges,
+    pub(crate) clients: Clients,
     pub(crate) pool: Pool,
     pub(crate) retry_budgets: RetryBudgets,
     pub(crate) retry_schedules: RetrySchedules,
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -147,7 +147,7 @@
         .target
         .parse()
         .map_err(|_| Failure::Unsent("the path is not valid".to_owned()))?;
-    *request.headers_mut() = traffic.edges.dialect.headers(&call.body.headers, &dispatch);
+    *request.headers_mut() = traffic.clients.dialect.headers(&call.body.headers, &dispatch);
     // The engine may have sent backpressure while the connection was opened.
     let admission =
         rights.admit(backpressure, traffic.shared.now()).ok_or(Failure::Backpressure)?;
@@ -160,7 +160,7 @@
         SendFailure::Lost(why) => Failure::Lost(why),
     })?;
     let (parts, body) = answer.into_parts();
-    let head = traffic.edges.dialect.answer(&call.head.id, &parts);
+    let head = traffic.clients.dialect.answer(&call.head.id, &parts);
     drop(admission);
     let status = parts.status.as_u16();
     let response = ResponseInfo { engine: &view.entry, of: &call.head.id, status, sent };
--- a/crates/heathpitchd/src/gateway/control/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -87,7 +87,7 @@
         let mut right = rights::acquire(self, engine).await.ok()?;
         let admission = self.backpressure_of(engine).admit_probe(right.as_mut(), self.now())?;
         let sent = self.now();
-        let response = self.edges.orders.healthy(engine, path).await;
+        let response = self.clients.engines.healthy(engine, path).await;
         drop(admission);
         Some(response.inspect(|response| {
             self.record_response(engine, "check", sent, *response);
--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -59,8 +59,8 @@
 /// Reads the configuration and returns the revision to watch from.
 pub(super) async fn read(control: &Control) -> Option<Revision> {
     let sent = control.now();
-    let key = control.edges.dialect.config_key();
-    match control.call("get", control.edges.store.get(key)).await {
+    let key = control.clients.dialect.config_key();
+    match control.call("get", control.clients.store.get(key)).await {
         Ok(GetResponse { item: Some(item), at }) => {
             if adopt(control, &item) {
                 record_proof(&control.shared.config_freshness, sent);
@@ -72,8 +72,8 @@
 }
 
 async fn watch(control: &Control, from: Revision) {
-    let prefix = control.edges.dialect.config_prefix();
-    let key = control.edges.dialect.config_key();
+    let prefix = control.clients.dialect.config_prefix();
+    let key = control.clients.dialect.config_key();
     let mut at = from;
     loop {
         let answer = control.watch("configuration", prefix, at, WATCH_MS);
@@ -109,10 +109,10 @@
         return false;
     };
     let sent = control.now();
-    let key = control.edges.dialect.config_key().to_owned();
+    let key = control.clients.dialect.config_key().to_owned();
     let conditions = vec![(key, revision)];
     let write = Write { conditions, ..Write::default() };
-    match control.call("prove", control.edges.store.write(write)).await {
+    match control.call("prove", control.clients.store.write(write)).await {
         Ok(at) => engine_list::prove_at(control, at, sent),
         Err(StoreError::Conflict(items)) => match items.first() {
             Some(item) if adopt(control, item) => {}
@@ -138,7 +138,7 @@
     if same && before.is_some_and(|b| revision <= b) {
         return true;
     }
-    let catalog = match control.edges.dialect.catalog(item) {
+    let catalog = match control.clients.dialect.catalog(item) {
         Ok(catalog) => catalog,
         Err(e) => {
             let error = e.to_string();
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -64,8 +64,8 @@
 
 async fn list(control: &Control) -> Option<Revision> {
     let sent = control.now();
-    let prefix = control.edges.dialect.engines_prefix();
-    let listing = control.call("list", control.edges.store.list(prefix)).await.ok()?;
+    let prefix = control.clients.dialect.engines_prefix();
+    let listing = control.call("list", control.clients.store.list(prefix)).await.ok()?;
     let kept = put_all(control, &listing.items);
     let missing = |id: &&Name| !kept.contains(*id);
     let gone: Vec<Name> = control.entries.borrow().keys().filter(missing).cloned().collect();
@@ -111,7 +111,7 @@
 }
 
 async fn watch(control: &Control, from: Revision) {
-    let prefix = control.edges.dialect.engines_prefix();
+    let prefix = control.clients.dialect.engines_prefix();
     let pages = control.entries.borrow().len() / PAGE_ENTRIES + 1;
     let over = control.now() + RELIST_PER_PAGE_MS * pages as Millis;
     let mut at = from;
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -55,7 +55,7 @@
     engine: &EngineEntry,
 ) -> Result<EngineStatus, RpcError> {
     let sent = control.now();
-    let answer = control.edges.orders.status(engine).await?;
+    let answer = control.clients.engines.status(engine).await?;
     let status = control.record_response(engine, "report", sent, answer);
     let recency = control.incarnations.borrow_mut().observe(&engine.id, status.born, control.now());
     match recency {
@@ -97,7 +97,7 @@
 
 /// Returns the engine whose entry is stored under a key.
 pub(super) fn engine_id(control: &Control, key: &str) -> Option<Name> {
-    key.strip_prefix(control.edges.dialect.engines_prefix())?.parse().ok()
+    key.strip_prefix(control.clients.dialect.engines_prefix())?.parse().ok()
 }
 
 /// Adds or updates entries and returns the ids of their engines.
@@ -179,7 +179,7 @@
 /// If it cannot be decoded, holds layers that its model does not have, or lacks the start time that the engine
 /// stated before.
 fn read(control: &Control, item: &Item) -> Result<EngineEntry, DocumentError> {
-    let entry = control.edges.dialect.engine(item)?;
+    let entry = control.clients.dialect.engine(item)?;
     let wrong =
         |message: &str| Err(DocumentError { key: item.key.clone(), message: message.to_owned() });
     let service = control.service(&entry.service);
@@ -196,13 +196,13 @@
 /// Whether the store lists an engine as ready, regardless of other state kept of it.
 pub(super) fn is_listed_ready(control: &Control, id: &Name) -> bool {
     let key = key(control, id);
-    let listed = control.mirror.borrow().get(&key).map(|item| control.edges.dialect.engine(item));
+    let listed = control.mirror.borrow().get(&key).map(|item| control.clients.dialect.engine(item));
     matches!(listed, Some(Ok(entry)) if entry.state == EntryState::Ready)
 }
 
 /// Key of an engine's entry.
 fn key(control: &Control, id: &Name) -> String {
-    format!("{}{id}", control.edges.dialect.engines_prefix())
+    format!("{}{id}", control.clients.dialect.engines_prefix())
 }
 
 fn log_listed(entry: &EngineEntry) {
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -75,7 +75,7 @@
         puts: vec![(key, record.text().into(), None)],
         removals: Vec::new(),
     };
-    match control.call("limits", control.edges.store.write(write)).await {
+    match control.call("limits", control.clients.store.write(write)).await {
         Ok(revision) => {
             GatewayEvent::LimitsStored { engines: record.limits().count(), revision }.log();
             keep(control, record, revision);
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -49,7 +49,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{LocalSet, spawn_local};
 
-use super::shared::{Edges, Notice, Shared};
+use super::shared::{Clients, Notice, Shared};
 use state::Control;
 
 /// Concurrent connections for the load balancer's health checks and for metrics scrapes.
@@ -70,7 +70,7 @@
 /// The system's error if the thread or its runtime cannot be started.
 pub(super) fn spawn(
     shared: Arc<Shared>,
-    edges: Edges,
+    clients: Clients,
     listeners: impl FnOnce() -> io::Result<Listeners> + Send + 'static,
     inbox: mpsc::Receiver<Notice>,
     mut stop: watch::Receiver<bool>,
@@ -81,8 +81,8 @@
         local.block_on(&runtime, async move {
             let mut listeners = listeners()?;
             let peers = listeners.peers.take();
-            probes(&shared, edges.dialect.ready_path(), listeners, &stop);
-            let control = Rc::new(Control::new(shared, edges));
+            probes(&shared, clients.dialect.ready_path(), listeners, &stop);
+            let control = Rc::new(Control::new(shared, clients));
             if let Some(peers) = peers {
                 let c = control.clone();
                 let issuer = control.clone();
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -68,7 +68,7 @@
     let mut seen = None;
     loop {
         control.wait_to_claim().await;
-        let result = control.call("list", control.edges.store.list(ROOT)).await;
+        let result = control.call("list", control.clients.store.list(ROOT)).await;
         let Ok(listing) = result else {
             control.pause(retry).await;
             retry = (retry * 2).min(MAX_RETRY);
@@ -161,11 +161,11 @@
             step_down(&control, "this node is stopping");
             control.planner_released.set(true);
             // If the call fails, the lease expires on its own.
-            let _ = control.call("end", control.edges.store.end(lease)).await;
+            let _ = control.call("end", control.clients.store.end(lease)).await;
             continue;
         }
         let sent = control.now();
-        let result = control.call("renew", control.edges.store.renew(lease)).await;
+        let result = control.call("renew", control.clients.store.renew(lease)).await;
         if result.is_ok() {
             control.lease_renewed(sent);
         }
@@ -210,7 +210,7 @@
 async fn contend(control: &Control, own: Option<Revision>) -> bool {
     let settings = control.shared.settings.load_full();
     let ttl = PLANNER_TTL_MS.max(settings.bounds.lease_min_ms);
-    let granted = control.call("grant", control.edges.store.grant(ttl)).await;
+    let granted = control.call("grant", control.clients.store.grant(ttl)).await;
     let Ok(lease) = granted else { return false };
     let key = planner_key(&settings.domain);
     let value = Bytes::copy_from_slice(entry(&settings.node, control.shared.peer).as_bytes());
@@ -219,7 +219,7 @@
         puts: vec![(key, value, Some(lease))],
         removals: Vec::new(),
     };
-    let written = control.call("contend", control.edges.store.write(write)).await;
+    let written = control.call("contend", control.clients.store.write(write)).await;
     match written {
         Ok(revision) => {
             let address = control.shared.peer.unwrap_or(settings.listen);
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -141,7 +141,7 @@
     let mut orders = control.orders.borrow().get(&engine.id).copied().unwrap_or(0);
     for is_retry in [false, true] {
         let sent = control.now();
-        let answer = control.edges.orders.place(engine, layers, release, orders).await;
+        let answer = control.clients.engines.place(engine, layers, release, orders).await;
         let result = answer.map(|answer| control.record_response(engine, "order", sent, answer));
         let text = match &result {
             Ok(OrderOutcome::Taken) => "taken".to_owned(),
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -243,7 +243,7 @@
 }
 
 async fn write(control: &Control, fingerprint: RequestFingerprint) -> Result<(), StoreError> {
-    let lease = control.call("grant", control.edges.store.grant(ENTRY_TTL_MS)).await?;
+    let lease = control.call("grant", control.clients.store.grant(ENTRY_TTL_MS)).await?;
     let key = format!("{PREFIX}{fingerprint}");
     let known = control.stored_quarantine.borrow().known.get(&fingerprint).copied();
     let (value, renewed) = {
@@ -255,7 +255,7 @@
         puts: vec![(key, value, Some(lease))],
         removals: Vec::new(),
     };
-    match control.call("quarantine", control.edges.store.write(write)).await {
+    match control.call("quarantine", control.clients.store.write(write)).await {
         Ok(revision) => {
             let entry = Entry { revision, renewed };
             control.stored_quarantine.borrow_mut().known.insert(fingerprint, entry);
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -186,7 +186,7 @@
     spawn_local(async move {
         let sent = control.now();
         let silent_ms = live.silence(sent);
-        let answer = control.edges.orders.reroute(head, &engine, &live.request, &new).await;
+        let answer = control.clients.engines.reroute(head, &engine, &live.request, &new).await;
         let entry = control.entries.borrow().get(&engine).cloned();
         let result = answer.map(|answer| match entry {
             Some(entry) => control.record_response(&entry, "order", sent, answer),
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -24,7 +24,7 @@
 use super::reports::Report;
 use super::rights::RightsIssuer;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::{Edges, Shared};
+use crate::gateway::shared::{Clients, Shared};
 
 /// Time after the store's return within which entries that lapsed during the outage may reappear. The
 /// platform restores them within about two seconds.
@@ -50,7 +50,7 @@
 /// State of the controllers.
 pub(super) struct Control {
     pub(super) shared: Arc<Shared>,
-    pub(super) edges: Edges,
+    pub(super) clients: Clients,
     pub(super) entries: RefCell<HashMap<Name, Arc<EngineEntry>>>,
     /// Current incarnations of engines, including those removed recently.
     pub(super) incarnations: RefCell<Incarnations>,
@@ -140,10 +140,10 @@
 /// # Construction
 impl Control {
     /// Creates the state of a node that has just started.
-    pub(super) fn new(shared: Arc<Shared>, edges: Edges) -> Self {
+    pub(super) fn new(shared: Arc<Shared>, clients: Clients) -> Self {
         let (settings, now) = (shared.settings.load_full(), shared.now());
         Self {
-            edges,
+            clients,
             entries: RefCell::default(),
             incarnations: RefCell::default(),
             mirror: RefCell::default(),
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -66,7 +66,7 @@
         wait: Millis,
     ) -> Result<heathpitch_net::WatchResponse, StoreError> {
         let sent = self.now();
-        let result = self.edges.store.watch(prefix, after, wait).await;
+        let result = self.clients.store.watch(prefix, after, wait).await;
         match &result {
             Err(StoreError::Rpc(e)) => {
                 self.shared.metrics.store.with_label_values(&["watch", "lost"]).inc();
@@ -81,7 +81,7 @@
 
     /// Records the era of the store's last response.
     fn check_era(&self) {
-        self.observe_era(self.edges.store.era());
+        self.observe_era(self.clients.store.era());
     }
 
     /// Records the era of the store, from its own response or from another node. A later era than
--- a/crates/heathpitchd/src/gateway/mod.rs
+++ b/crates/heathpitchd/src/gateway/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The control thread owns the state of configuration, engines and nodes and publishes it as
 //! snapshots; the traffic thread runs every call through a chain of filters. The platform is
-//! reached only through the traits in [`Edges`].
+//! reached only through the traits in [`Clients`].
 
 mod backpressure;
 mod call;
@@ -35,7 +35,7 @@
 pub use event::GatewayEvent;
 pub use metrics::GATEWAY_METRICS;
 use metrics::GatewayMetrics;
-pub use shared::Edges;
+pub use shared::Clients;
 use shared::Shared;
 
 /// Concurrent caller connections: below the limit of file descriptors on the smallest supported VM.
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// [`StartError`] if an address cannot be bound or a thread cannot be started.
-    pub fn spawn(settings: GatewaySettings, edges: Edges) -> Result<Self, StartError> {
+    pub fn spawn(settings: GatewaySettings, clients: Clients) -> Result<Self, StartError> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let bind = |listener: &'static str, address: SocketAddr| {
             let _guard = runtime.enter();
@@ -109,13 +109,13 @@
             Ok(Listeners { ready, metrics, peers })
         };
         let control =
-            control::spawn(shared.clone(), edges.clone(), listeners, inbox, control_stopped)?;
+            control::spawn(shared.clone(), clients.clone(), listeners, inbox, control_stopped)?;
         let traffic = Arc::new(Traffic {
             retry_budgets: RetryBudgets::new(shared.clone()),
             retry_schedules: RetrySchedules::default(),
             pool: shared.pool.clone(),
             shared: shared.clone(),
-            edges,
+            clients,
         });
         let bounds =
             Bounds { connections: MAX_CONNECTIONS, head: MAX_HEAD_BYTES, head_time: HEAD_TIMEOUT };
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -76,18 +76,18 @@
     pub(crate) events: u32,
 }
 
-/// Adapters to the platform that the gateway runs on.
+/// Clients for the platform, and the format it uses.
 #[derive(Clone)]
-pub struct Edges {
+pub struct Clients {
     /// The key-value store.
     pub store: Arc<dyn Store>,
     /// Formats of documents and request headers.
     pub dialect: Arc<dyn Dialect>,
     /// Control requests to engines.
-    pub orders: Arc<dyn EngineControl>,
+    pub engines: Arc<dyn EngineControl>,
 }
 
-impl std::fmt::Debug for Edges {
+impl std::fmt::Debug for Clients {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Edges")
     }
--- a/crates/heathpitchd/src/lib.rs
+++ b/crates/heathpitchd/src/lib.rs
@@ -18,7 +18,7 @@
 mod traffic;
 
 pub use event::Event;
-pub use gateway::{Edges, GATEWAY_METRICS, Gateway, GatewayEvent};
+pub use gateway::{Clients, GATEWAY_METRICS, Gateway, GatewayEvent};
 pub use logs::{LogError, LogGuard, init as init_logs};
 pub use metrics::METRICS;
 pub use node::Node;
--- a/crates/heathpitchd/src/main.rs
+++ b/crates/heathpitchd/src/main.rs
@@ -10,7 +10,7 @@
 use heathpitch_core::{ConfigError, GatewaySettings, parse_settings};
 use heathpitch_net::Client;
 use heathpitch_platform::{HttpEngineControl, HttpStore, PlatformDialect};
-use heathpitchd::{Edges, Gateway, Node, StartError, init_logs};
+use heathpitchd::{Clients, Gateway, Node, StartError, init_logs};
 use log::LevelFilter;
 
 /// Exit code for invalid arguments or settings.
@@ -83,12 +83,12 @@
         println!("{}: valid", path.display());
         return Ok(0);
     }
-    let edges = Edges {
+    let clients = Clients {
         store: Arc::new(HttpStore::new(settings.store)),
         dialect: Arc::new(PlatformDialect),
-        orders: Arc::new(HttpEngineControl::new(Client::new())),
+        engines: Arc::new(HttpEngineControl::new(Client::new())),
     };
-    let gateway = Gateway::spawn(settings, edges)?;
+    let gateway = Gateway::spawn(settings, clients)?;
     gateway.serve(path)?;
     Ok(gateway.stop())
 }
