--- a/crates/heathpitchd/src/gateway/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/backpressure.rs
@@ -7,7 +7,7 @@
 
 use super::event::GatewayEvent;
 use super::quarantine_snapshot::incarnation_of;
-use super::shared::{Notice, Shared};
+use super::shared::{ControlMessage, Shared};
 
 /// An engine's response, as the log identifies it.
 #[derive(Clone, Copy, Debug)]
@@ -63,7 +63,7 @@
             .log();
         }
         if limit_changed {
-            self.notify(Notice::Limited(incarnation_of(engine)));
+            self.notify_control(ControlMessage::Limited(incarnation_of(engine)));
         }
         drain_started
     }
--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -12,7 +12,7 @@
 use super::Traffic;
 use super::refused::{Refused, RefusedKind};
 use crate::gateway::quarantine_snapshot::HeldBack;
-use crate::gateway::shared::{Notice, Shared};
+use crate::gateway::shared::{ControlMessage, Shared};
 
 /// Time since the configuration was last confirmed after which it may be outdated, so that a call
 /// that it does not allow gets a 503 rather than a denial.
@@ -113,7 +113,7 @@
 fn hold_back(shared: &Shared, call: &Call, held: &HeldBack) -> Refused {
     let left = held.until.saturating_sub(shared.now());
     if Quarantine::is_renewal_due(left) {
-        shared.notify(Notice::HeldBack(call.fingerprint()));
+        shared.notify_control(ControlMessage::HeldBack(call.fingerprint()));
     }
     let detail = held.to_string();
     Refused::unsent(RefusedKind::HeldBack, &call.head.id, detail).with_retry_after(left)
--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -19,7 +19,7 @@
 use crate::gateway::engine_table::EngineView;
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::live::LiveStream;
-use crate::gateway::shared::{LostAttempt, Notice};
+use crate::gateway::shared::{LostAttempt, ControlMessage};
 
 /// Attempts in which nothing could be sent to the first engine of the path.
 const MAX_UNSENT: u32 = 4;
@@ -229,7 +229,7 @@
         let events = self.events.count().saturating_sub(before).min(u32::MAX.into()) as u32;
         self.lost_events = Some(events);
         let lost = LostAttempt { engine, fingerprint: self.call.fingerprint(), events };
-        self.traffic.shared.notify(Notice::ConnectionLost(lost));
+        self.traffic.shared.notify_control(ControlMessage::ConnectionLost(lost));
     }
 
     /// Chooses an engine for the next attempt; a started stream that lost its engine waits for one.
@@ -283,7 +283,7 @@
         let target = Target { view, downstream: &downstream, path, after };
         let sent = send(&traffic, &self.call, &target);
         let Some(live) = self.live.clone() else { return sent.await };
-        traffic.shared.notify(Notice::Stream(live.clone()));
+        traffic.shared.notify_control(ControlMessage::Stream(live.clone()));
         tokio::select! {
             biased;
             answer = sent => {
@@ -367,9 +367,9 @@
         }
         .log();
         let id = found.entry.id.clone();
-        shared.notify(match status {
-            StatusCode::MISDIRECTED_REQUEST => Notice::LayerMismatch(id.clone()),
-            _ => Notice::Refused(id.clone()),
+        shared.notify_control(match status {
+            StatusCode::MISDIRECTED_REQUEST => ControlMessage::LayerMismatch(id.clone()),
+            _ => ControlMessage::Refused(id.clone()),
         });
         Some(id)
     }
--- a/crates/heathpitchd/src/gateway/call/record.rs
+++ b/crates/heathpitchd/src/gateway/call/record.rs
@@ -10,7 +10,7 @@
 use super::admit::Call;
 use super::send::Failure;
 use crate::gateway::event::{GatewayEvent, parts};
-use crate::gateway::shared::Notice;
+use crate::gateway::shared::ControlMessage;
 
 /// One attempt of a call.
 #[derive(Clone, Copy)]
@@ -62,7 +62,7 @@
 /// Records that an engine answered a call completely, so that the call did not crash it.
 pub(crate) fn record_answered(traffic: &Traffic, call: &Call) {
     if traffic.shared.quarantine.load().is_suspect(|| call.fingerprint()) {
-        traffic.shared.notify(Notice::Answered(call.fingerprint()));
+        traffic.shared.notify_control(ControlMessage::Answered(call.fingerprint()));
     }
 }
 
--- a/crates/heathpitchd/src/gateway/call/rights.rs
+++ b/crates/heathpitchd/src/gateway/call/rights.rs
@@ -11,7 +11,7 @@
 
 use super::Traffic;
 use crate::gateway::engine_table::{EngineTable, EngineView};
-use crate::gateway::shared::{Notice, RightsGrant, RightsWanted};
+use crate::gateway::shared::{ControlMessage, RightsGrant, RightsWanted};
 
 /// Time for which a call waits for a right: a request on a new connection, and a stall of the
 /// control thread.
@@ -157,7 +157,7 @@
 async fn request(traffic: &Traffic, view: &EngineView, count: u16) -> RightsGrant {
     let (reply, grant) = oneshot::channel();
     let wanted = RightsWanted { engine: view.entry.clone(), count, reply };
-    if !traffic.shared.notify(Notice::RightsWanted(wanted)) {
+    if !traffic.shared.notify_control(ControlMessage::RightsWanted(wanted)) {
         return RightsGrant::NoIssuer;
     }
     match tokio::time::timeout(RIGHTS_TIMEOUT, grant).await {
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -19,7 +19,7 @@
 use crate::gateway::backpressure::ResponseInfo;
 use crate::gateway::engine_table::EngineView;
 use crate::gateway::quarantine_snapshot::incarnation_of;
-use crate::gateway::shared::{Notice, Shared};
+use crate::gateway::shared::{ControlMessage, Shared};
 
 /// An engine's answer whose body is still to be read.
 pub(crate) struct Answer {
@@ -109,7 +109,7 @@
     }
     let answer = check(answer?)?;
     if reported_ended {
-        traffic.shared.notify(Notice::EngineAlive(incarnation_of(&view.entry)));
+        traffic.shared.notify_control(ControlMessage::EngineAlive(incarnation_of(&view.entry)));
     }
     Ok(answer)
 }
@@ -184,7 +184,7 @@
 ) {
     let engine = response.engine;
     if shared.record_backpressure(response, head.backpressure, backpressure) {
-        shared.notify(Notice::Draining(incarnation_of(engine)));
+        shared.notify_control(ControlMessage::Draining(incarnation_of(engine)));
     }
     let other_engine = |at: &SocketAddr| *at != engine.address && head.backpressure.pause.is_some();
     let Some(faulty_address) = head.faulty_address.filter(other_engine) else { return };
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -15,7 +15,7 @@
 use super::retry_schedules::backpressure_refusal;
 use super::send::{Failure, Target, send};
 use crate::gateway::engine_table::EngineView;
-use crate::gateway::shared::{LostAttempt, Notice};
+use crate::gateway::shared::{LostAttempt, ControlMessage};
 
 /// Size of the largest answer that is buffered.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
@@ -158,7 +158,7 @@
             progress.evidence.refused();
             view.stats.deprioritize(traffic.shared.now() + pick::REJECTION_COOLDOWN_MS);
             if *status == StatusCode::MISDIRECTED_REQUEST {
-                traffic.shared.notify(Notice::Replaced(view.entry.id.clone()));
+                traffic.shared.notify_control(ControlMessage::Replaced(view.entry.id.clone()));
             }
             RefusedKind::EnginesRefused
         }
@@ -167,7 +167,7 @@
             progress.evidence.lost();
             progress.lost = true;
             let (engine, fingerprint) = (view.entry.clone(), call.fingerprint());
-            traffic.shared.notify(Notice::ConnectionLost(LostAttempt {
+            traffic.shared.notify_control(ControlMessage::ConnectionLost(LostAttempt {
                 engine,
                 fingerprint,
                 events: 0,
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -49,7 +49,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{LocalSet, spawn_local};
 
-use super::shared::{Clients, Notice, Shared};
+use super::shared::{Clients, ControlMessage, Shared};
 use state::Control;
 
 /// Concurrent connections for the load balancer's health checks and for metrics scrapes.
@@ -72,7 +72,7 @@
     shared: Arc<Shared>,
     clients: Clients,
     listeners: impl FnOnce() -> io::Result<Listeners> + Send + 'static,
-    inbox: mpsc::Receiver<Notice>,
+    inbox: mpsc::Receiver<ControlMessage>,
     mut stop: watch::Receiver<bool>,
 ) -> io::Result<thread::JoinHandle<io::Result<()>>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
@@ -115,21 +115,21 @@
     })
 }
 
-/// Dispatches notices from the traffic thread.
-async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<Notice>) {
+/// Dispatches messages from the traffic thread.
+async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<ControlMessage>) {
     while let Some(notice) = inbox.recv().await {
         match notice {
-            Notice::Stream(live) => recovery::track(&control, &live),
-            Notice::Replaced(engine) => engines::mark_replaced(&control, &engine),
-            Notice::LayerMismatch(engine) => engines::refresh_layers(&control, &engine),
-            Notice::Refused(engine) => reachability::check_refusal(&control, &engine),
-            Notice::ConnectionLost(lost) => engine_exits::record_lost(&control, lost),
-            Notice::Answered(fingerprint) => control.clear_request(fingerprint),
-            Notice::EngineAlive(incarnation) => control.engine_alive(&incarnation),
-            Notice::Draining(incarnation) => control.engine_draining(&incarnation),
-            Notice::HeldBack(fingerprint) => control.renew_request(fingerprint),
-            Notice::Limited(incarnation) => control.record_limit(&incarnation),
-            Notice::RightsWanted(wanted) => rights::spawn_request(&control, wanted),
+            ControlMessage::Stream(live) => recovery::track(&control, &live),
+            ControlMessage::Replaced(engine) => engines::mark_replaced(&control, &engine),
+            ControlMessage::LayerMismatch(engine) => engines::refresh_layers(&control, &engine),
+            ControlMessage::Refused(engine) => reachability::check_refusal(&control, &engine),
+            ControlMessage::ConnectionLost(lost) => engine_exits::record_lost(&control, lost),
+            ControlMessage::Answered(fingerprint) => control.clear_request(fingerprint),
+            ControlMessage::EngineAlive(incarnation) => control.engine_alive(&incarnation),
+            ControlMessage::Draining(incarnation) => control.engine_draining(&incarnation),
+            ControlMessage::HeldBack(fingerprint) => control.renew_request(fingerprint),
+            ControlMessage::Limited(incarnation) => control.record_limit(&incarnation),
+            ControlMessage::RightsWanted(wanted) => rights::spawn_request(&control, wanted),
         }
     }
 }
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -17,12 +17,12 @@
 use super::quarantine_snapshot::QuarantineSnapshot;
 use crate::clock::Clock;
 
-/// Capacity of the channel to the control thread, messages.
+/// Capacity of the channel to the control thread.
 const CONTROL_CAPACITY: usize = 4_096;
 
 /// A message from the traffic thread to the control thread.
 #[derive(Debug)]
-pub(crate) enum Notice {
+pub(crate) enum ControlMessage {
     /// A stream was sent.
     Stream(Arc<LiveStream>),
     /// Another engine answered at an engine's address.
@@ -122,18 +122,18 @@
     pub(crate) open_calls: AtomicUsize,
     /// How often the VM was resumed after a suspension.
     resumed: watch::Sender<u64>,
-    notices: mpsc::Sender<Notice>,
+    control: mpsc::Sender<ControlMessage>,
 }
 
 impl Shared {
     /// State of a gateway that has no configuration and no engines yet, and the receiving end of
-    /// its notices.
+    /// the channel to the control thread.
     pub(crate) fn new(
         settings: GatewaySettings,
         peer: Option<SocketAddr>,
         metrics: GatewayMetrics,
-    ) -> (Arc<Self>, mpsc::Receiver<Notice>) {
-        let (notices, inbox) = mpsc::channel(CONTROL_CAPACITY);
+    ) -> (Arc<Self>, mpsc::Receiver<ControlMessage>) {
+        let (control, inbox) = mpsc::channel(CONTROL_CAPACITY);
         let shared = Self {
             settings: ArcSwap::from_pointee(settings),
             peer,
@@ -148,7 +148,7 @@
             stopping: AtomicBool::new(false),
             open_calls: AtomicUsize::new(0),
             resumed: watch::Sender::new(0),
-            notices,
+            control,
         };
         (Arc::new(shared), inbox)
     }
@@ -197,9 +197,9 @@
             && self.config_freshness.load().covers(self.now(), revoke_ms)
     }
 
-    /// Sends a notice to the control thread; false if its channel is full.
-    pub(crate) fn notify(&self, notice: Notice) -> bool {
-        let sent = self.notices.try_send(notice).is_ok();
+    /// Sends a message to the control thread; returns false if its channel is full.
+    pub(crate) fn notify_control(&self, message: ControlMessage) -> bool {
+        let sent = self.control.try_send(message).is_ok();
         if !sent {
             self.metrics.dropped.inc();
         }
--- a/crates/heathpitchd/src/shared.rs
+++ b/crates/heathpitchd/src/shared.rs
@@ -12,8 +12,8 @@
 use crate::metrics::Metrics;
 use crate::snapshot::View;
 
-/// Capacity of the queue to the control thread.
-pub(crate) const CONTROL_QUEUE: usize = 4_096;
+/// Capacity of the channel to the control thread.
+pub(crate) const CONTROL_CAPACITY: usize = 4_096;
 
 /// Message of a traffic thread to the control thread.
 #[derive(Debug)]
@@ -52,13 +52,13 @@
 }
 
 impl Shared {
-    /// Initial state, and the receiving end of the queue to the control thread.
+    /// Initial state, and the receiving end of the channel to the control thread.
     pub(crate) fn new(
         settings: Settings,
         incarnation: Incarnation,
         metrics: Metrics,
     ) -> (Arc<Self>, mpsc::Receiver<ControlMessage>) {
-        let (control, inbox) = mpsc::channel(CONTROL_QUEUE);
+        let (control, inbox) = mpsc::channel(CONTROL_CAPACITY);
         let shared = Self {
             settings,
             incarnation,
@@ -92,7 +92,7 @@
         self.clock.now()
     }
 
-    /// Sends a message to the control thread; returns false if its queue is full.
+    /// Sends a message to the control thread; returns false if its channel is full.
     pub(crate) fn notify_control(&self, message: ControlMessage) -> bool {
         let sent = self.control.try_send(message).is_ok();
         if !sent {
