--- a/crates/heathpitchd/src/admin.rs
+++ b/crates/heathpitchd/src/admin.rs
@@ -62,7 +62,7 @@
     Status {
         node: shared.settings.node.clone(),
         domain: shared.settings.domain.clone(),
-        life: shared.incarnation.0,
+        incarnation: shared.incarnation.0,
         ready: shared.ready(),
         draining: shared.draining.load(Relaxed),
         config: shared.index.load().revision,
--- a/crates/heathpitchd/src/control/config.rs
+++ b/crates/heathpitchd/src/control/config.rs
@@ -81,17 +81,17 @@
 }
 
 fn apply_vm_list(control: &Control, list: VmList, from: Source) {
-    let VmList { number, vms } = list;
+    let VmList { number: revision, vms } = list;
     let text = serde_json::to_string(&vms).unwrap_or_default();
     let count = vms.len();
     control.update_seeds(&vms);
     let now = control.now();
-    if control.health.borrow_mut().on(HealthEvent::Listed(number, vms), now) {
+    if control.health.borrow_mut().on(HealthEvent::Listed(revision, vms), now) {
         health::drop_unlisted(control);
         control.fleet_dirty.set(true);
-        *control.vms.borrow_mut() = Packed { revision: number, bytes: deflate(&text).into() };
+        *control.vms.borrow_mut() = Packed { revision, bytes: deflate(&text).into() };
         control.documents_changed.notify_one();
-        Event::Listed { number, vms: count, from }.log();
+        Event::Listed { revision, vms: count, from }.log();
     }
 }
 
--- a/crates/heathpitchd/src/event.rs
+++ b/crates/heathpitchd/src/event.rs
@@ -80,7 +80,8 @@
         /// Stable kind of the error.
         kind: &'static str,
         /// Retry delay reported to the caller.
-        back_ms: Millis,
+        #[serde(rename = "back_ms")]
+        retry_after_ms: Millis,
     },
     /// A configuration revision has taken effect.
     Adopted {
@@ -99,7 +100,8 @@
     /// A VM list has taken effect.
     Listed {
         /// Revision of the list.
-        number: Revision,
+        #[serde(rename = "number")]
+        revision: Revision,
         /// Number of VMs.
         vms: usize,
         /// Origin.
--- a/crates/heathpitchd/src/filters/refusal.rs
+++ b/crates/heathpitchd/src/filters/refusal.rs
@@ -135,8 +135,9 @@
         metrics.refusals.with_label_values(&[self.kind.as_str()]).inc();
         metrics.requests.with_label_values(&[self.outcome.as_str()]).inc();
         let request = cx.id.clone();
-        let back_ms = self.retry_after.unwrap_or_default();
-        Event::Refused { request, outcome: self.outcome, kind: self.kind.as_str(), back_ms }.log();
+        let retry_after_ms = self.retry_after.unwrap_or_default();
+        Event::Refused { request, outcome: self.outcome, kind: self.kind.as_str(), retry_after_ms }
+            .log();
     }
 
     /// Response for the caller; counts and logs the refusal.
--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 use super::Traffic;
-use super::refused::{Refused, RefusedKind};
+use super::refusal::{Refusal, RefusalKind};
 use crate::gateway::quarantine_snapshot::HeldBack;
 use crate::gateway::shared::{ControlMessage, Shared};
 
@@ -36,8 +36,8 @@
 }
 
 impl Call {
-    /// Time left until the deadline.
-    pub(crate) fn left(&self, now: Millis) -> Millis {
+    /// Time until the deadline.
+    pub(crate) fn remaining(&self, now: Millis) -> Millis {
         self.deadline.saturating_sub(now)
     }
 
@@ -61,35 +61,35 @@
     traffic: &Traffic,
     request: Request<Incoming>,
     received: Millis,
-) -> Result<Call, Refused> {
+) -> Result<Call, Refusal> {
     let (parts, body) = request.into_parts();
     let head = match traffic.clients.dialect.call(&parts) {
         Ok(head) => head,
-        Err(e) => return Err(Refused::unsent(RefusedKind::BadHead, "", e.to_string())),
+        Err(e) => return Err(Refusal::unsent(RefusalKind::BadHead, "", e.to_string())),
     };
     let id = head.id.clone();
     let shared = &traffic.shared;
     let Some(catalog) = shared.catalog.load_full() else {
         let detail = "no configuration has been loaded yet";
-        return Err(Refused::unsent(RefusedKind::Unconfigured, &id, detail));
+        return Err(Refusal::unsent(RefusalKind::Unconfigured, &id, detail));
     };
     let current = shared.config_freshness.load().covers(received, MAX_DENIAL_AGE_MS);
     let deny = |kind, detail: String| match current {
-        true => Refused::unsent(kind, &id, detail),
-        false => Refused::unsent(RefusedKind::Unconfigured, &id, detail),
+        true => Refusal::unsent(kind, &id, detail),
+        false => Refusal::unsent(RefusalKind::Unconfigured, &id, detail),
     };
     let route = catalog
         .route(&head.host, parts.uri.path())
-        .map_err(|e| deny(RefusedKind::NoRoute, e.to_string()))?
+        .map_err(|e| deny(RefusalKind::NoRoute, e.to_string()))?
         .clone();
     let holder = catalog
         .authenticate(&route, head.key.as_deref())
-        .map_err(|e| deny(RefusedKind::BadKey, e.to_string()))?
+        .map_err(|e| deny(RefusalKind::BadKey, e.to_string()))?
         .cloned();
     let revoke_ms = shared.settings.load().bounds.revoke_ms.saturating_sub(REVOKE_MARGIN_MS);
     if holder.is_some() && !shared.config_freshness.load().covers(received, revoke_ms) {
         let detail = "the known keys are too old to tell whether this one is still valid";
-        return Err(Refused::unsent(RefusedKind::StaleKeys, &id, detail));
+        return Err(Refusal::unsent(RefusalKind::StaleKeys, &id, detail));
     }
     let service = pick_service(&catalog, &route, &id)?;
     let limit = head.deadline.unwrap_or(route.timeout_ms).min(route.timeout_ms);
@@ -110,29 +110,29 @@
 ///
 /// The status says that this call did not run, and `Retry-After` when it may: a permanent denial
 /// would be wrong once the engines are fixed.
-fn hold_back(shared: &Shared, call: &Call, held: &HeldBack) -> Refused {
-    let left = held.until.saturating_sub(shared.now());
-    if Quarantine::is_renewal_due(left) {
+fn hold_back(shared: &Shared, call: &Call, held: &HeldBack) -> Refusal {
+    let remaining = held.until.saturating_sub(shared.now());
+    if Quarantine::is_renewal_due(remaining) {
         shared.notify_control(ControlMessage::HeldBack(call.fingerprint()));
     }
     let detail = held.to_string();
-    Refused::unsent(RefusedKind::HeldBack, &call.head.id, detail).with_retry_after(left)
+    Refusal::unsent(RefusalKind::HeldBack, &call.head.id, detail).with_retry_after(remaining)
 }
 
 fn pick_service(
     catalog: &Catalog,
     route: &CallRoute,
     id: &str,
-) -> Result<Arc<ServiceSpec>, Refused> {
+) -> Result<Arc<ServiceSpec>, Refusal> {
     let name = route.target(rand::rng().random_range(0.0..1.0));
     catalog.services.get(name).cloned().ok_or_else(|| {
         let detail = format!("service {name} of the route is not in the configuration");
-        Refused::unsent(RefusedKind::NoEngine, id, detail)
+        Refusal::unsent(RefusalKind::NoEngine, id, detail)
     })
 }
 
 /// Reads the whole body, so that it can be sent again.
-async fn read_body(body: Incoming, catalog: &Catalog, id: &str) -> Result<bytes::Bytes, Refused> {
+async fn read_body(body: Incoming, catalog: &Catalog, id: &str) -> Result<bytes::Bytes, Refusal> {
     if body.is_end_stream() {
         return Ok(bytes::Bytes::new());
     }
@@ -142,14 +142,14 @@
         Ok(Ok(content)) => Ok(content),
         Ok(Err(BodyError::TooLarge)) => {
             let detail = format!("the body is larger than {} bytes", limits.max_body_bytes);
-            Err(Refused::unsent(RefusedKind::TooLarge, id, detail))
+            Err(Refusal::unsent(RefusalKind::TooLarge, id, detail))
         }
         Ok(Err(e @ BodyError::Truncated)) => {
-            Err(Refused::unsent(RefusedKind::CutBody, id, e.to_string()))
+            Err(Refusal::unsent(RefusalKind::CutBody, id, e.to_string()))
         }
         Err(_) => {
             let detail = "timed out reading the body";
-            Err(Refused::unsent(RefusedKind::CutBody, id, detail))
+            Err(Refusal::unsent(RefusalKind::CutBody, id, detail))
         }
     }
 }
--- a/crates/heathpitchd/src/gateway/call/flow.rs
+++ b/crates/heathpitchd/src/gateway/call/flow.rs
@@ -14,12 +14,12 @@
 use super::open::{HeldTokens, OpenCall, WaitingRequest};
 use super::pick::{self, Avoid, Chosen, Full};
 use super::record::AttemptLog;
-use super::refused::RefusedKind;
+use super::refusal::RefusalKind;
 use super::send::{Answer, Failure, Target, send};
 use crate::gateway::engine_table::EngineView;
 use crate::gateway::event::GatewayEvent;
 use crate::gateway::live::LiveStream;
-use crate::gateway::shared::{LostAttempt, ControlMessage};
+use crate::gateway::shared::{ControlMessage, LostAttempt};
 
 /// Attempts in which nothing could be sent to the first engine of the path.
 const MAX_UNSENT: u32 = 4;
@@ -72,7 +72,7 @@
     /// An engine's error response, to be passed on unchanged.
     Failed(Box<Answer>),
     /// There is no response to pass on.
-    Refused(RefusedKind),
+    Refused(RefusalKind),
 }
 
 /// # Construction
@@ -102,7 +102,7 @@
 impl Flow {
     /// Sends the stream until an engine takes it.
     pub(crate) async fn dispatch(&mut self) -> Result<Answer, DispatchError> {
-        let mut kind = RefusedKind::NoEngine;
+        let mut kind = RefusalKind::NoEngine;
         while self.attempts < self.call.route.attempts && self.unsent < MAX_UNSENT {
             let Some(choice) = self.choose().await else {
                 return Err(DispatchError::Refused(kind));
@@ -131,7 +131,7 @@
                     self.attempts += 1;
                     self.evidence.started();
                     self.evidence.lost();
-                    kind = RefusedKind::Broken;
+                    kind = RefusalKind::Broken;
                     let last = self.attempts >= self.call.route.attempts;
                     if last || !failed.parts.status.is_server_error() {
                         return Err(DispatchError::Failed(Box::new(failed)));
@@ -309,7 +309,7 @@
     }
 
     /// Records a failed attempt.
-    fn record_failure(&mut self, view: &EngineView, failure: &Failure) -> RefusedKind {
+    fn record_failure(&mut self, view: &EngineView, failure: &Failure) -> RefusalKind {
         let now = self.traffic.shared.now();
         self.attempt_log(&view.entry.id, self.attempts + 1).failed(failure, self.events.count());
         self.live = None;
@@ -322,19 +322,19 @@
                 view.stats.gauge().record_failure(now);
                 self.traffic.pool.close_idle(view.entry.address);
                 self.avoid.push(view.entry.id.clone());
-                RefusedKind::NoEngine
+                RefusalKind::NoEngine
             }
             Failure::Backpressure => {
                 self.unsent += 1;
                 self.evidence.unsent();
                 self.avoid.push(view.entry.id.clone());
-                RefusedKind::NoEngine
+                RefusalKind::NoEngine
             }
             // Avoid it for this stream, so that others are tried however many engines are limited.
             Failure::NoRight(none) => {
                 self.evidence.unsent();
                 self.avoid.push(none.engine.clone());
-                RefusedKind::NoEngine
+                RefusalKind::NoEngine
             }
             Failure::Refused { status, faulty_address } => {
                 self.attempts += 1;
@@ -342,14 +342,14 @@
                 let at = faulty_address.unwrap_or(view.entry.address);
                 let rejecting = self.deprioritize_at(at, *status, now);
                 self.avoid.push(rejecting.unwrap_or_else(|| view.entry.id.clone()));
-                RefusedKind::EnginesRefused
+                RefusalKind::EnginesRefused
             }
             Failure::Lost(_) => {
                 self.attempts += 1;
                 self.notify_lost();
                 self.evidence.lost();
                 self.avoid.push(view.entry.id.clone());
-                RefusedKind::Broken
+                RefusalKind::Broken
             }
         }
     }
--- a/crates/heathpitchd/src/gateway/call/mod.rs
+++ b/crates/heathpitchd/src/gateway/call/mod.rs
@@ -4,14 +4,15 @@
 //! enough. `single` and `stream` run the call; `flow` is a stream over all its attempts, `send` one
 //! attempt at one engine, `record` its log lines. `rights` are needed to send to a rate-limited
 //! engine. `retry_budgets` bounds retries, `retry_schedules` sets `Retry-After` times, `pick`
-//! chooses engines, `relay` forwards a stream's events. A filter ends a call with a `Refused`.
+//! chooses engines, `relay` forwards a stream's events. A filter ends a call with a
+//! [`Refusal`](refusal::Refusal).
 
 mod admit;
 mod flow;
 mod open;
 mod pick;
 mod record;
-mod refused;
+mod refusal;
 mod relay;
 mod retry_budgets;
 mod retry_schedules;
@@ -48,7 +49,7 @@
     let open = OpenCall::new(traffic.shared.clone());
     let call = match admit::admit(&traffic, request, received).await {
         Ok(call) => Arc::new(call),
-        Err(refused) => return refused.respond(&traffic.shared),
+        Err(refusal) => return refusal.respond(&traffic.shared),
     };
     traffic.retry_budgets.record_call(&call.service.name);
     let answer = match call.route.kind.streams() {
@@ -57,7 +58,7 @@
     };
     let mut response = match answer {
         Ok(response) => response,
-        Err(refused) => refused.respond(&traffic.shared),
+        Err(refusal) => refusal.respond(&traffic.shared),
     };
     traffic.shared.metrics.calls.with_label_values(&[response.status().as_str()]).inc();
     if traffic.shared.stopping.load(Relaxed) {
--- a/crates/heathpitchd/src/gateway/call/pick.rs
+++ b/crates/heathpitchd/src/gateway/call/pick.rs
@@ -132,7 +132,7 @@
     home: &Name,
     now: Millis,
 ) -> Option<Millis> {
-    let left = |s: &EngineView| {
+    let wait = |s: &EngineView| {
         let backpressure = s.stats.backpressure();
         backpressure.pause_left(now).max(backpressure.limit().wait_left(now)).unwrap_or(RAMP_UP_MS)
     };
@@ -140,11 +140,11 @@
         let in_service =
             || table.engines_of(&call.service.name).iter().filter(|s| s.is_in_service(now));
         let all_wait = in_service().all(|s| !s.is_available(now));
-        return in_service().map(left).min().filter(|_| all_wait);
+        return in_service().map(wait).min().filter(|_| all_wait);
     }
     let (path, _) = chain(table, call, home, now, |s| s.is_in_service(now))?;
     let engines = path.stages().iter().filter_map(|stage| table.by_id(stage.engine.as_str()));
-    engines.filter(|s| !s.is_available(now)).map(left).max()
+    engines.filter(|s| !s.is_available(now)).map(wait).max()
 }
 
 /// Tokens that a call is expected to hold.
--- a/crates/heathpitchd/src/gateway/call/record.rs
+++ b/crates/heathpitchd/src/gateway/call/record.rs
@@ -35,7 +35,7 @@
             engine: self.engine.clone(),
             parts: parts(path),
             after,
-            left_ms: self.call.left(now),
+            remaining_ms: self.call.remaining(now),
             config: self.call.catalog.version,
             list_ms: self.traffic.shared.list_freshness.load().age(now),
         }
--- a/crates/heathpitchd/src/gateway/call/refused.rs
+++ b/crates/heathpitchd/src/gateway/call/refusal.rs
@@ -11,7 +11,7 @@
 
 /// Why a call was refused or given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RefusedKind {
+pub(crate) enum RefusalKind {
     /// There is no configuration yet, or it is too old to deny a call.
     Unconfigured,
     /// No route matches.
@@ -44,7 +44,7 @@
     Expired,
 }
 
-impl RefusedKind {
+impl RefusalKind {
     /// Name in answers, logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
@@ -81,8 +81,8 @@
 
 /// A call that ends without an engine's answer.
 #[derive(Clone, Debug)]
-pub(crate) struct Refused {
-    kind: RefusedKind,
+pub(crate) struct Refusal {
+    kind: RefusalKind,
     status: StatusCode,
     outcome: Outcome,
     detail: String,
@@ -90,14 +90,14 @@
     retry_after: Option<Millis>,
 }
 
-impl Refused {
+impl Refusal {
     /// A call that was never sent.
-    pub(crate) fn unsent(kind: RefusedKind, request: &str, detail: impl Into<String>) -> Self {
+    pub(crate) fn unsent(kind: RefusalKind, request: &str, detail: impl Into<String>) -> Self {
         let status = match kind {
-            RefusedKind::NoRoute => StatusCode::NOT_FOUND,
-            RefusedKind::BadKey => StatusCode::UNAUTHORIZED,
-            RefusedKind::BadHead | RefusedKind::CutBody => StatusCode::BAD_REQUEST,
-            RefusedKind::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            RefusalKind::NoRoute => StatusCode::NOT_FOUND,
+            RefusalKind::BadKey => StatusCode::UNAUTHORIZED,
+            RefusalKind::BadHead | RefusalKind::CutBody => StatusCode::BAD_REQUEST,
+            RefusalKind::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             _ => StatusCode::SERVICE_UNAVAILABLE,
         };
         let (detail, request) = (detail.into(), request.to_owned());
@@ -113,14 +113,14 @@
 
     /// A call given up after some attempts; it counts as not run only if every attempt proved that.
     pub(crate) fn given_up(
-        kind: RefusedKind,
+        kind: RefusalKind,
         seen: &Evidence,
         request: &str,
         detail: impl Into<String>,
     ) -> Self {
         let status = match (seen.not_run(), kind) {
             (Some(_), _) => StatusCode::SERVICE_UNAVAILABLE,
-            (None, RefusedKind::Expired) => StatusCode::GATEWAY_TIMEOUT,
+            (None, RefusalKind::Expired) => StatusCode::GATEWAY_TIMEOUT,
             (None, _) => StatusCode::BAD_GATEWAY,
         };
         let (detail, request) = (detail.into(), request.to_owned());
--- a/crates/heathpitchd/src/gateway/call/retry_schedules.rs
+++ b/crates/heathpitchd/src/gateway/call/retry_schedules.rs
@@ -9,7 +9,7 @@
 use super::Traffic;
 use super::admit::Call;
 use super::pick;
-use super::refused::{Refused, RefusedKind};
+use super::refusal::{Refusal, RefusalKind};
 use super::rights;
 
 /// Detail of a refusal because every engine is paused.
@@ -20,10 +20,10 @@
 pub(crate) fn backpressure_refusal(
     traffic: &Traffic,
     call: &Call,
-    kind: RefusedKind,
+    kind: RefusalKind,
     seen: &Evidence,
-) -> Option<Refused> {
-    if !matches!(kind, RefusedKind::NoEngine | RefusedKind::EnginesRefused) {
+) -> Option<Refusal> {
+    if !matches!(kind, RefusalKind::NoEngine | RefusalKind::EnginesRefused) {
         return None;
     }
     // A call that may have run is not reported as refused.
@@ -32,12 +32,12 @@
     let (table, now) = (shared.table.load(), shared.now());
     let min_wait = pick::backpressure_left(&table, call, &shared.settings.load().domain, now)?;
     let retry_after =
-        traffic.retry_schedules.refuse_for(&call.service.name, min_wait, call.left(now), now);
+        traffic.retry_schedules.refuse_for(&call.service.name, min_wait, call.remaining(now), now);
     let (kind, detail) = match rights::next_available(&table, &call.service.name, now) {
-        Some(limited) => (RefusedKind::Limited, limited.to_string()),
-        None => (RefusedKind::Paused, PAUSED.to_owned()),
+        Some(limited) => (RefusalKind::Limited, limited.to_string()),
+        None => (RefusalKind::Paused, PAUSED.to_owned()),
     };
-    Some(Refused::given_up(kind, seen, &call.head.id, detail).with_retry_after(retry_after))
+    Some(Refusal::given_up(kind, seen, &call.head.id, detail).with_retry_after(retry_after))
 }
 
 /// Retry schedules of one node, by service.
@@ -52,10 +52,10 @@
         self.services.lock().entry(service.clone()).or_default().admit(now);
     }
 
-    /// Time after which a refused caller that has `left` until its deadline should retry.
-    pub(crate) fn refuse(&self, service: &Name, left: Millis, now: Millis) -> Millis {
+    /// Time after which a refused caller that has `remaining` until its deadline should retry.
+    pub(crate) fn refuse(&self, service: &Name, remaining: Millis, now: Millis) -> Millis {
         let mut services = self.services.lock();
-        services.entry(service.clone()).or_default().refuse(left, now, &mut rand::rng())
+        services.entry(service.clone()).or_default().refuse(remaining, now, &mut rand::rng())
     }
 
     /// The same if no engine of the service takes anything for `min_wait`.
@@ -63,11 +63,11 @@
         &self,
         service: &Name,
         min_wait: Millis,
-        left: Millis,
+        remaining: Millis,
         now: Millis,
     ) -> Millis {
         let mut services = self.services.lock();
         let schedule = services.entry(service.clone()).or_default();
-        schedule.refuse_for(min_wait, left, now, &mut rand::rng())
+        schedule.refuse_for(min_wait, remaining, now, &mut rand::rng())
     }
 }
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -134,7 +134,7 @@
     }
     let dispatch = Dispatch {
         engine: &view.entry.id,
-        remaining: call.left(traffic.shared.now()),
+        remaining: call.remaining(traffic.shared.now()),
         account: call.holder.as_ref().map(|h| &h.account),
         rank: call.rank(),
         after,
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -11,11 +11,11 @@
 use super::open::HeldTokens;
 use super::pick::{self, Avoid};
 use super::record::{AttemptLog, final_answer};
-use super::refused::{Refused, RefusedKind};
+use super::refusal::{Refusal, RefusalKind};
 use super::retry_schedules::backpressure_refusal;
 use super::send::{Failure, Target, send};
 use crate::gateway::engine_table::EngineView;
-use crate::gateway::shared::{LostAttempt, ControlMessage};
+use crate::gateway::shared::{ControlMessage, LostAttempt};
 
 /// Size of the largest answer that is buffered.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
@@ -38,7 +38,7 @@
 }
 
 /// Runs the call until its final answer or its deadline.
-pub(crate) async fn run(traffic: &Traffic, call: &Call) -> Result<Response<Body>, Refused> {
+pub(crate) async fn run(traffic: &Traffic, call: &Call) -> Result<Response<Body>, Refusal> {
     let mut progress = Progress::default();
     let work =
         traffic.shared.run_until(call.deadline, run_attempts(traffic, call, &mut progress)).await;
@@ -52,32 +52,32 @@
             Some((parts, content)) => {
                 return Ok(final_answer(traffic, call, progress.attempts, parts, content));
             }
-            None => RefusedKind::Broken,
+            None => RefusalKind::Broken,
         },
         Some(Err(kind)) => kind,
         None => {
             progress.evidence.lost();
-            RefusedKind::Expired
+            RefusalKind::Expired
         }
     };
-    if let Some(refused) = backpressure_refusal(traffic, call, kind, &progress.evidence) {
-        return Err(refused);
+    if let Some(refusal) = backpressure_refusal(traffic, call, kind, &progress.evidence) {
+        return Err(refusal);
     }
     let detail = match kind {
-        RefusedKind::Expired => "no answer before the call's deadline",
-        RefusedKind::NoEngine => "no engine of the service is available",
-        RefusedKind::EnginesRefused => "every engine that was tried refused the call",
+        RefusalKind::Expired => "no answer before the call's deadline",
+        RefusalKind::NoEngine => "no engine of the service is available",
+        RefusalKind::EnginesRefused => "every engine that was tried refused the call",
         _ => "the connection to an engine was lost",
     };
-    Err(Refused::given_up(kind, &progress.evidence, id, detail))
+    Err(Refusal::given_up(kind, &progress.evidence, id, detail))
 }
 
 async fn run_attempts(
     traffic: &Traffic,
     call: &Call,
     progress: &mut Progress,
-) -> Result<CompleteAnswer, RefusedKind> {
-    let mut kind = RefusedKind::NoEngine;
+) -> Result<CompleteAnswer, RefusalKind> {
+    let mut kind = RefusalKind::NoEngine;
     while progress.attempts < call.route.attempts && progress.unsent < MAX_UNSENT {
         let is_retry = progress.attempts > 0;
         let table = traffic.shared.table.load();
@@ -112,7 +112,7 @@
                 progress.evidence.started();
                 progress.evidence.lost();
                 progress.last = Some(failed);
-                kind = RefusedKind::Broken;
+                kind = RefusalKind::Broken;
             }
             Err(failure) => {
                 log.failed(&failure, 0);
@@ -134,24 +134,24 @@
     view: &EngineView,
     progress: &mut Progress,
     failure: &Failure,
-) -> RefusedKind {
+) -> RefusalKind {
     match failure {
         Failure::Unsent(_) => {
             progress.unsent += 1;
             progress.evidence.unsent();
             view.stats.gauge().record_failure(traffic.shared.now());
             traffic.pool.close_idle(view.entry.address);
-            RefusedKind::NoEngine
+            RefusalKind::NoEngine
         }
         Failure::Backpressure => {
             progress.unsent += 1;
             progress.evidence.unsent();
-            RefusedKind::NoEngine
+            RefusalKind::NoEngine
         }
         // It is avoided for this call, so that others are tried however many engines are limited.
         Failure::NoRight(_) => {
             progress.evidence.unsent();
-            RefusedKind::NoEngine
+            RefusalKind::NoEngine
         }
         Failure::Refused { status, .. } => {
             progress.attempts += 1;
@@ -160,7 +160,7 @@
             if *status == StatusCode::MISDIRECTED_REQUEST {
                 traffic.shared.notify_control(ControlMessage::Replaced(view.entry.id.clone()));
             }
-            RefusedKind::EnginesRefused
+            RefusalKind::EnginesRefused
         }
         Failure::Lost(_) => {
             progress.attempts += 1;
@@ -172,7 +172,7 @@
                 fingerprint,
                 events: 0,
             }));
-            RefusedKind::Broken
+            RefusalKind::Broken
         }
     }
 }
--- a/crates/heathpitchd/src/gateway/call/stream.rs
+++ b/crates/heathpitchd/src/gateway/call/stream.rs
@@ -15,7 +15,7 @@
 use super::flow::{DispatchError, Flow};
 use super::open::OpenCall;
 use super::record::final_answer;
-use super::refused::{Refused, RefusedKind};
+use super::refusal::{Refusal, RefusalKind};
 use super::relay::relay;
 use super::retry_schedules::backpressure_refusal;
 
@@ -28,7 +28,7 @@
     traffic: Arc<Traffic>,
     call: Arc<Call>,
     open: OpenCall,
-) -> Result<Response<Body>, Refused> {
+) -> Result<Response<Body>, Refusal> {
     let (shared, deadline) = (traffic.shared.clone(), call.deadline);
     let mut flow = Flow::new(traffic, call, open);
     let opened = shared.run_until(deadline, flow.dispatch()).await;
@@ -47,34 +47,35 @@
                         content,
                     ));
                 }
-                Err(e) => (RefusedKind::Broken, e.to_string()),
+                Err(e) => (RefusalKind::Broken, e.to_string()),
             }
         }
         Some(Err(DispatchError::Shed(why))) => {
             let (now, traffic) = (flow.traffic.shared.now(), &flow.traffic);
-            let left = flow.call.left(now);
-            let retry_after = traffic.retry_schedules.refuse(&flow.call.service.name, left, now);
+            let remaining = flow.call.remaining(now);
+            let retry_after =
+                traffic.retry_schedules.refuse(&flow.call.service.name, remaining, now);
             return Err(
-                Refused::unsent(RefusedKind::Overloaded, &id, why).with_retry_after(retry_after)
+                Refusal::unsent(RefusalKind::Overloaded, &id, why).with_retry_after(retry_after)
             );
         }
         Some(Err(DispatchError::Refused(kind))) => {
-            if let Some(refused) =
+            if let Some(refusal) =
                 backpressure_refusal(&flow.traffic, &flow.call, kind, &flow.evidence)
             {
-                return Err(refused);
+                return Err(refusal);
             }
             let detail = match kind {
-                RefusedKind::NoEngine => "the available engines do not hold every layer",
-                RefusedKind::EnginesRefused => "every engine that was tried refused the call",
+                RefusalKind::NoEngine => "the available engines do not hold every layer",
+                RefusalKind::EnginesRefused => "every engine that was tried refused the call",
                 _ => "the connection to an engine was lost",
             };
             (kind, detail.to_owned())
         }
         None => {
             flow.evidence.lost();
-            (RefusedKind::Expired, "no answer before the call's deadline".to_owned())
+            (RefusalKind::Expired, "no answer before the call's deadline".to_owned())
         }
     };
-    Err(Refused::given_up(kind, &flow.evidence, &id, detail))
+    Err(Refusal::given_up(kind, &flow.evidence, &id, detail))
 }
--- a/crates/heathpitchd/src/gateway/control/config.rs
+++ b/crates/heathpitchd/src/gateway/control/config.rs
@@ -17,26 +17,26 @@
 
 /// Longest wait of a watch, below the store's limit of 30 s. A dead watch only delays a change, which the
 /// next proof delivers.
-const WATCH_MS: Millis = 25_000;
+const MAX_WATCH_MS: Millis = 25_000;
 /// Time between proofs; at least two fit into the shortest revocation time of a removed key.
 const PROOF_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Time between proofs of a planner. Together with the answer's time and a follower's poll interval (400 ms)
 /// it stays below the maximum age of a proof on which calls may be denied.
 const PLANNER_PROOF_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Initial retry interval while the store does not answer; doubled after each failure.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Upper bound of the retry interval, a fraction of the shortest revocation time of a removed key.
-const MAX_RETRY: Duration = Duration::from_millis(1_200);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// Keeps the newest configuration in force.
 pub(super) async fn follow(control: Rc<Control>) {
     let (read, watch) = (async || read(&control).await, async |at| watch(&control, at).await);
-    control.read_and_watch(RETRY, read, watch).await;
+    control.read_and_watch(RETRY_INTERVAL, read, watch).await;
 }
 
 /// Proves periodically that the configuration in force is the newest.
 pub(super) async fn keep_proven(control: Rc<Control>) {
-    let mut retry = RETRY;
+    let mut retry = RETRY_INTERVAL;
     loop {
         if !control.reads_store() {
             control.role_changed.notified().await;
@@ -44,7 +44,7 @@
         }
         let sent = control.now();
         let proven = prove_once(&control).await;
-        retry = if proven { RETRY } else { (retry * 2).min(MAX_RETRY) };
+        retry = if proven { RETRY_INTERVAL } else { (retry * 2).min(MAX_RETRY_INTERVAL) };
         let pause = match proven {
             true if control.is_planner() || control.stopping() => {
                 PLANNER_PROOF_INTERVAL.saturating_sub(Duration::from_millis(control.now() - sent))
@@ -76,7 +76,7 @@
     let key = control.clients.dialect.config_key();
     let mut at = from;
     loop {
-        let answer = control.watch("configuration", prefix, at, WATCH_MS);
+        let answer = control.watch("configuration", prefix, at, MAX_WATCH_MS);
         let Some(answer) = control.until_store_change(answer).await else {
             if control.wait_to_read().await {
                 return;
@@ -87,7 +87,7 @@
         let watched = match answer {
             Ok(watched) => watched,
             Err(StoreError::Compacted) => return,
-            Err(_) => return tokio::time::sleep(RETRY).await,
+            Err(_) => return tokio::time::sleep(RETRY_INTERVAL).await,
         };
         for change in &watched.changes {
             match change {
--- a/crates/heathpitchd/src/gateway/control/engine_exits.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_exits.rs
@@ -20,12 +20,12 @@
 
 /// Time over which lost calls of an engine are collected: the connections and the listener of a process close
 /// together, but not at the same instant.
-const GATHER: Duration = Duration::from_millis(20);
+const COLLECTION_TIME: Duration = Duration::from_millis(20);
 /// Timeout of the probe, many times the delay between failure domains.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time after an engine's exit in which further lost calls are attributed to it. Engines take seconds to
 /// restart, and connections over a lost link end later than this.
-const EXITED_MS: Millis = 1_000;
+const ATTRIBUTION_MS: Millis = 1_000;
 /// Calls listed in one log line.
 const MAX_LOGGED: usize = 16;
 
@@ -43,7 +43,7 @@
     let (engine, address, now) = (lost.engine.id.clone(), lost.engine.address, control.now());
     let (known, first) = {
         let mut exits = control.engine_exits.borrow_mut();
-        exits.exited.retain(|_, at| now < *at + EXITED_MS);
+        exits.exited.retain(|_, at| now < *at + ATTRIBUTION_MS);
         let known = exits.exited.contains_key(&engine);
         let waiting = exits.lost.entry(engine.clone()).or_default();
         waiting.push(lost);
@@ -54,7 +54,7 @@
     }
     let control = control.clone();
     spawn_local(async move {
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(COLLECTION_TIME).await;
         let exited = known || refuses(address).await;
         let lost = control.engine_exits.borrow_mut().lost.remove(&engine).unwrap_or_default();
         if exited {
@@ -71,7 +71,7 @@
     youngest.sort_by_key(|(_, events)| *events);
     youngest.truncate(MAX_LOGGED);
     let (name, calls) = (engine.id.clone(), lost.len());
-    GatewayEvent::EngineEnded { engine: name, calls, youngest }.log();
+    GatewayEvent::EngineExited { engine: name, calls, youngest }.log();
     control.record_engine_exit(engine, lost);
 }
 
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -23,21 +23,21 @@
 
 /// Longest wait of a watch without other proof. Keeps the age of the list below 1.4 s plus the time of two
 /// answers, and bounds the time for which a dead watch hides that an engine leaves to this plus a call's timeout.
-const WATCH_MS: Millis = 600;
+const MAX_WATCH_MS: Millis = 600;
 /// Longest wait of a watch while proofs of the configuration cover the list.
-const PROVEN_WATCH_MS: Millis = 20_000;
+const MAX_PROVEN_WATCH_MS: Millis = 20_000;
 /// Age of the list at which a pending watch is reissued, below the maximum age of a list served to followers.
-const LIST_MAX_AGE_MS: Millis = 1_200;
+const REISSUE_AGE_MS: Millis = 1_200;
 /// Wait of the watch that replaces an outdated one. It returns pending changes at once, so that the list does
 /// not become too old to be served to followers.
 const IMMEDIATE_WATCH_MS: Millis = 1;
 /// Time over which changes are batched into one watch call, a small part of the time for which a draining
 /// engine may still be sent work.
-const BATCH: Duration = Duration::from_millis(200);
+const BATCH_TIME: Duration = Duration::from_millis(200);
 /// Batch time while no engine holds a layer and engines are still being listed.
-const STARTUP_BATCH: Duration = Duration::from_millis(600);
+const STARTUP_BATCH_TIME: Duration = Duration::from_millis(600);
 /// Retry interval while the store does not answer.
-const RETRY: Duration = Duration::from_millis(350);
+const RETRY_INTERVAL: Duration = Duration::from_millis(350);
 /// Time between relists for each page of the list, although the watch works. Scaling by pages keeps the rate
 /// of these calls independent of the size of the fleet.
 const RELIST_PER_PAGE_MS: Millis = 15_000;
@@ -59,7 +59,7 @@
     let watch = async |at| {
         control.until_store_change(watch(&control, at)).await;
     };
-    control.read_and_watch(RETRY, read, watch).await;
+    control.read_and_watch(RETRY_INTERVAL, read, watch).await;
 }
 
 async fn list(control: &Control) -> Option<Revision> {
@@ -91,18 +91,17 @@
 fn is_proven(control: &Control) -> bool {
     let age = control.shared.list_freshness.load().age(control.now());
     let complete = control.store_revision.get() == control.engines_revision.get();
-    control.is_planner() && complete && age.is_some_and(|age| age < LIST_MAX_AGE_MS)
+    control.is_planner() && complete && age.is_some_and(|age| age < REISSUE_AGE_MS)
 }
 
 /// Waits until the list is too old, or a proof shows a change that the watch has not delivered.
 async fn watch_outdated(control: &Control) {
     loop {
-        let age =
-            control.shared.list_freshness.load().age(control.now()).unwrap_or(LIST_MAX_AGE_MS);
-        if age >= LIST_MAX_AGE_MS {
+        let age = control.shared.list_freshness.load().age(control.now()).unwrap_or(REISSUE_AGE_MS);
+        if age >= REISSUE_AGE_MS {
             return;
         }
-        let left = Duration::from_millis(LIST_MAX_AGE_MS - age);
+        let left = Duration::from_millis(REISSUE_AGE_MS - age);
         tokio::select! {
             () = control.engines_outdated.notified() => return,
             () = tokio::time::sleep(left) => {}
@@ -120,8 +119,8 @@
         let left = over.saturating_sub(control.now()).max(1);
         let wait = match expire(control) {
             None if outdated => IMMEDIATE_WATCH_MS,
-            None if is_proven(control) => PROVEN_WATCH_MS.min(left),
-            None => WATCH_MS,
+            None if is_proven(control) => MAX_PROVEN_WATCH_MS.min(left),
+            None => MAX_WATCH_MS,
             // The grace period is over: a relist removes what is still missing.
             Some(0) => return,
             Some(soon) => soon,
@@ -130,14 +129,14 @@
         let answer = control.watch("engines", prefix, at, wait);
         let answer = tokio::select! {
             answer = answer => answer,
-            () = watch_outdated(control), if wait > WATCH_MS => {
+            () = watch_outdated(control), if wait > MAX_WATCH_MS => {
                 outdated = true;
                 continue;
             }
         };
         outdated = false;
         let Ok(watched) = answer else {
-            return tokio::time::sleep(BATCH).await;
+            return tokio::time::sleep(BATCH_TIME).await;
         };
         // An empty answer comes at the end of the wait and shows that nothing changed until then.
         let waited = if watched.changes.is_empty() { wait } else { 0 };
@@ -182,7 +181,7 @@
 /// Time over which changes are batched; longer at start, while nothing is served yet.
 fn batch_time(control: &Control) -> Duration {
     let serves = control.entries.borrow().values().any(|e| e.layers.count() > 0);
-    if control.is_settling() && !serves { STARTUP_BATCH } else { BATCH }
+    if control.is_settling() && !serves { STARTUP_BATCH_TIME } else { BATCH_TIME }
 }
 
 /// Removes engines whose entries are missing; after a grace period if the entries may have lapsed during an
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -141,8 +141,9 @@
     }
     let old = control.entries.borrow().get(&id).cloned();
     // Once announced, in an entry or a response, draining holds for the rest of the incarnation.
-    let left = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
-    let draining = left || control.drain_notices.borrow().is_draining(&incarnation_of(&entry));
+    let was_draining = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
+    let draining =
+        was_draining || control.drain_notices.borrow().is_draining(&incarnation_of(&entry));
     let state = if draining { EntryState::Leaving } else { entry.state };
     let entry = EngineEntry { state, ..entry };
     control.mirror.borrow_mut().put(item.key.clone(), item.revision.0, item.clone());
@@ -156,7 +157,7 @@
         control.last_join.set(control.now());
     }
     match entry.state {
-        EntryState::Leaving if !left => {
+        EntryState::Leaving if !was_draining => {
             control.leaving.borrow_mut().insert(id.clone(), control.now());
             control.drain_notices.borrow_mut().learn(incarnation_of(&entry), 0, control.now());
         }
@@ -210,7 +211,7 @@
         engine: entry.id.clone(),
         service: entry.service.clone(),
         domain: entry.domain.clone(),
-        leaving: entry.state == EntryState::Leaving,
+        draining: entry.state == EntryState::Leaving,
         layers: entry.layers,
         born: entry.born,
     }
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -29,10 +29,10 @@
 /// Time between polls while no source answers, and when the last answer is about to become too old.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(60);
 /// Timeout of a connection and of an answer, many times the delay inside a failure domain.
-const TIMEOUT: Duration = Duration::from_millis(300);
+const POLL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout of an answer that may hold all engines and the configuration: 100 kB take 40 ms on a link of
 /// 20 Mbit/s, and sixty nodes may poll at once.
-const FULL_TIMEOUT: Duration = Duration::from_millis(1_000);
+const FULL_POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Maximum age of a proof of the configuration served to followers: about one and a half proof intervals of a
 /// planner, and below the maximum age of a proof on which calls may be denied.
 pub(super) const MAX_PROOF_AGE_MS: Millis = 1_600;
@@ -111,8 +111,9 @@
     let Some(seed) = control.seeds.choose(&mut rand::rng()) else { return };
     let (request, _) = control.feed_request(FeedCursor::default(), &NoticeCursors::default(), true);
     let sent = control.now();
-    let answer =
-        async { FeedClient::open(seed.address, TIMEOUT).await?.poll(&request, TIMEOUT).await };
+    let answer = async {
+        FeedClient::open(seed.address, POLL_TIMEOUT).await?.poll(&request, POLL_TIMEOUT).await
+    };
     match answer.await {
         Ok(response) => {
             record_nodes(control, seed, &response);
@@ -134,7 +135,7 @@
             log::info!("poll of node {} failed: {e}", source.node);
             // A VM that refuses connections is starting or restarting, and will answer soon.
             match control.now().saturating_sub(begun) {
-                took if took < TIMEOUT.as_millis() as Millis => PollOutcome::Declined,
+                took if took < POLL_TIMEOUT.as_millis() as Millis => PollOutcome::Declined,
                 _ => PollOutcome::NoAnswer,
             }
         }
@@ -153,7 +154,7 @@
     let (request, sent_to) = control.feed_request(state.cursor, &state.notices, false);
     if let Some(client) = &state.client {
         let sent = control.now();
-        match client.poll(&request, TIMEOUT).await {
+        match client.poll(&request, POLL_TIMEOUT).await {
             Ok(response) => {
                 state.notices.advance(sent_to, &response);
                 return Ok((sent, response));
@@ -162,9 +163,9 @@
         }
     }
     state.client = None;
-    let client = FeedClient::open(source.address, TIMEOUT).await?;
+    let client = FeedClient::open(source.address, POLL_TIMEOUT).await?;
     let sent = control.now();
-    let limit = if state.cursor.serial == 0 { FULL_TIMEOUT } else { TIMEOUT };
+    let limit = if state.cursor.serial == 0 { FULL_POLL_TIMEOUT } else { POLL_TIMEOUT };
     let response = client.poll(&request, limit).await?;
     state.notices.advance(sent_to, &response);
     state.client = Some(client);
@@ -228,7 +229,7 @@
     if response.fleet_size > 0 {
         let known = control.fleet.get().map(|f| f.domain_size).filter(|_| !is_local);
         let fleet = Fleet {
-            nodes: response.fleet_size,
+            fleet_size: response.fleet_size,
             domain_size: known.unwrap_or(response.domain_size),
         };
         if control.fleet.replace(Some(fleet)) != Some(fleet) {
@@ -244,26 +245,26 @@
 }
 
 fn apply_engines(control: &Control, response: &FeedEngines) -> Result<(), RpcError> {
-    let (items, gone) = match response {
+    let (items, removed) = match response {
         FeedEngines::Whole(packed) => {
             let items = unpack(packed)?;
             let kept: HashSet<Name> =
                 items.iter().filter_map(|i| engines::engine_id(control, &i.key)).collect();
             let entries = control.entries.borrow();
-            let gone = entries.keys().filter(|id| !kept.contains(*id)).cloned().collect();
-            (items, gone)
+            let removed = entries.keys().filter(|id| !kept.contains(*id)).cloned().collect();
+            (items, removed)
         }
         FeedEngines::Changes { items, gone } => {
-            let gone: Vec<Name> =
+            let removed: Vec<Name> =
                 gone.iter().filter_map(|key| engines::engine_id(control, key)).collect();
-            (items.clone(), gone)
+            (items.clone(), removed)
         }
     };
-    if items.is_empty() && gone.is_empty() {
+    if items.is_empty() && removed.is_empty() {
         return Ok(());
     }
     engines::put_all(control, &items);
-    gone.iter().for_each(|id| engines::remove(control, id, "its source no longer lists it"));
+    removed.iter().for_each(|id| engines::remove(control, id, "its source no longer lists it"));
     control.publish();
     Ok(())
 }
@@ -282,7 +283,7 @@
         let request = FeedRequest {
             node: settings.node.clone(),
             address: self.shared.peer.unwrap_or(settings.listen),
-            able: nodes::is_eligible(&settings),
+            able: nodes::can_plan(&settings),
             revision: self.revision(),
             version: self.version(),
             digest: self.mirror.borrow().digest(),
--- a/crates/heathpitchd/src/gateway/control/feed_server.rs
+++ b/crates/heathpitchd/src/gateway/control/feed_server.rs
@@ -107,7 +107,7 @@
         planners: planners.collect(),
         standbys: standbys.collect(),
         planner_released: control.planner_released.get(),
-        fleet_size: fleet.map_or(0, |f| f.nodes),
+        fleet_size: fleet.map_or(0, |f| f.fleet_size),
         domain_size: fleet.map_or(0, |f| f.domain_size),
         ..FeedResponse::default()
     }
@@ -126,7 +126,7 @@
         false => None,
     };
     let ages = (shared.config_freshness.load().age(now), shared.list_freshness.load().age(now));
-    let (proof_ms, list_ms) = match ages {
+    let (config_age_ms, entries_age_ms) = match ages {
         (Some(proof), Some(list)) if proof < MAX_PROOF_AGE_MS && list < MAX_LIST_AGE_MS => {
             (proof, list)
         }
@@ -149,7 +149,7 @@
     response.fresh = true;
     response.cursor = FeedCursor { incarnation: control.incarnation, serial, reported };
     response.revision = control.revision();
-    (response.config_age_ms, response.entries_age_ms) = (proof_ms, list_ms);
+    (response.config_age_ms, response.entries_age_ms) = (config_age_ms, entries_age_ms);
     (response.engines, response.config, response.reports) = (engines, config, reports);
     Ok(())
 }
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -17,7 +17,7 @@
 /// Prefix of the records, one per failure domain.
 pub(super) const PREFIX: &str = "heathpitch/limits/";
 /// Time between checks whether the record has to be written.
-const TICK: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// The last known state of this failure domain's record in the store.
 #[derive(Debug, Default)]
@@ -38,7 +38,7 @@
 pub(super) async fn run(control: Rc<Control>) {
     loop {
         control.wait_until_planner().await;
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if !control.is_planner() || !control.reachable() || control.stopping() {
             continue;
         }
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -8,7 +8,8 @@
 //! - `planner`, `orders`: placement of layers and the orders that carry it out
 //! - `reports`, `neighbours`: load reports of engines of this failure domain and of the others
 //! - `engine_exits`, `quarantine`: detection of engines that exited, and the requests suspected of causing it
-//! - `backpressure`, `rights`, `limit_records`: backpressure of engines, rights under their limits, and the stored limits
+//! - `backpressure`, `rights`, `limit_records`: backpressure of engines, rights under their limits, and the
+//!   stored limits
 //! - `recovery`, `reachability`: rerouting of running streams away from unreachable engines
 //! - `suspension`: detection of VM suspensions
 //!
--- a/crates/heathpitchd/src/gateway/control/neighbours.rs
+++ b/crates/heathpitchd/src/gateway/control/neighbours.rs
@@ -23,9 +23,9 @@
 /// about 2 kB of the link between failure domains.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of a connection and of an answer, many times the delay between failure domains.
-const TIMEOUT: Duration = Duration::from_millis(200);
+const POLL_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time until a planner that did not answer is polled again.
-const RETRY_AFTER_MS: Millis = 1_500;
+const RETRY_INTERVAL_MS: Millis = 1_500;
 
 /// A planner of another failure domain.
 struct Neighbour {
@@ -81,7 +81,7 @@
     let result = poll(control, neighbour).await;
     match &result {
         Ok(response) => apply(control, domain, neighbour, response, sent),
-        Err(_) => neighbour.next = control.now() + RETRY_AFTER_MS,
+        Err(_) => neighbour.next = control.now() + RETRY_INTERVAL_MS,
     }
     if neighbour.answers != result.is_ok() {
         neighbour.answers = result.is_ok();
@@ -110,10 +110,10 @@
 async fn poll(control: &Control, neighbour: &mut Neighbour) -> Result<FeedResponse, RpcError> {
     let client = match neighbour.client.take() {
         Some(client) => client,
-        None => FeedClient::open(neighbour.planner.address, TIMEOUT).await?,
+        None => FeedClient::open(neighbour.planner.address, POLL_TIMEOUT).await?,
     };
     let (request, sent_to) = control.feed_request(neighbour.cursor, &neighbour.notices, true);
-    let response = client.poll(&request, TIMEOUT).await?;
+    let response = client.poll(&request, POLL_TIMEOUT).await?;
     neighbour.notices.advance(sent_to, &response);
     neighbour.client = Some(client);
     Ok(response)
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -28,7 +28,7 @@
 /// Time to live of a planner's lease: three renewal intervals, with margin.
 pub(super) const PLANNER_TTL_MS: Millis = 2_400;
 /// Time between renewals of the planner's lease.
-const PLANNER_RENEW: Duration = Duration::from_millis(700);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(700);
 /// Longest random delay before a node contends for a free lease. It spreads the contenders apart by many times
 /// the response time of the store.
 const MAX_STAGGER_MS: Millis = 200;
@@ -40,30 +40,30 @@
 /// Minimum CPU share of a planner's VM: a planner of sixty followers and fifty engines takes 5 % of a core.
 const MIN_CPU_SHARE: f64 = 0.2;
 /// Longest wait of a watch.
-const WATCH_MS: Millis = 25_000;
+const MAX_WATCH_MS: Millis = 25_000;
 /// Time between counts of the fleet, whose size only determines shares of limits and load.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after which all followers have polled a new planner.
-const FIRST_COUNT_MS: Millis = 1_500;
+const FIRST_COUNT_DELAY_MS: Millis = 1_500;
 /// Initial retry interval while the store does not answer; doubled after each failure.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Upper bound of the retry interval; a wait also ends when the store returns.
-const MAX_RETRY: Duration = Duration::from_millis(4_000);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(4_000);
 
 /// Whether the VM is large enough for a planner.
-pub(super) fn is_eligible(settings: &GatewaySettings) -> bool {
+pub(super) fn can_plan(settings: &GatewaySettings) -> bool {
     settings.vm.link_mbps >= MIN_LINK_MBPS && settings.vm.cpu_share >= MIN_CPU_SHARE
 }
 
 /// Tracks the planners, and contends for the lease of this failure domain's planner when it is free.
 pub(super) async fn follow(control: Rc<Control>) {
     let key = planner_key(&control.domain());
-    let mut retry = RETRY;
-    let (first_start, eligible) = {
+    let mut retry = RETRY_INTERVAL;
+    let (first_start, can_plan) = {
         let settings = control.shared.settings.load();
-        (settings.first_start, is_eligible(&settings))
+        (settings.first_start, can_plan(&settings))
     };
-    let start = FleetStart { first_start, able: eligible, seeded: !control.seeds.is_empty() };
+    let start = FleetStart { first_start, able: can_plan, seeded: !control.seeds.is_empty() };
     control.sources.borrow_mut().schedule_first_lookup(start, control.now(), &mut rand::rng());
     let mut seen = None;
     loop {
@@ -71,10 +71,10 @@
         let result = control.call("list", control.clients.store.list(ROOT)).await;
         let Ok(listing) = result else {
             control.pause(retry).await;
-            retry = (retry * 2).min(MAX_RETRY);
+            retry = (retry * 2).min(MAX_RETRY_INTERVAL);
             continue;
         };
-        retry = RETRY;
+        retry = RETRY_INTERVAL;
         let mut planner = None;
         for item in &listing.items {
             apply_entry(&control, &key, &mut planner, item);
@@ -93,7 +93,7 @@
             () = control.wait_until_no_claim() => None,
         };
         if watched != Some(WatchEnd::BecamePlanner) {
-            control.pause(RETRY).await;
+            control.pause(RETRY_INTERVAL).await;
         }
     }
 }
@@ -128,7 +128,7 @@
         }
         let prefix = if control.is_planner() { ROOT } else { key };
         // Nodes with a longer random delay find the lease already taken.
-        let wait = if free { stagger(&control.shared.settings.load()) } else { WATCH_MS };
+        let wait = if free { stagger(&control.shared.settings.load()) } else { MAX_WATCH_MS };
         let Ok(watched) = control.watch("planner", prefix, at, wait).await else {
             return WatchEnd::Stopped;
         };
@@ -155,7 +155,7 @@
 pub(super) async fn renew(control: Rc<Control>) {
     loop {
         control.wait_until_planner().await;
-        tokio::time::sleep(PLANNER_RENEW).await;
+        tokio::time::sleep(RENEWAL_INTERVAL).await;
         let Some(lease) = control.lease() else { continue };
         if control.stopping() {
             step_down(&control, "this node is stopping");
@@ -184,7 +184,7 @@
         while control.is_planner() {
             tokio::time::sleep(COUNT_INTERVAL).await;
             let now = control.now();
-            if control.is_planner() && now >= begun + FIRST_COUNT_MS {
+            if control.is_planner() && now >= begun + FIRST_COUNT_DELAY_MS {
                 count_once(&control, now);
             }
         }
@@ -199,7 +199,7 @@
     // A domain that has not reported its size yet is assumed to be as large as this one.
     let sizes = control.domain_sizes.borrow();
     let others = others.map(|(d, _)| sizes.get(d).copied().unwrap_or(domain_size));
-    let fleet = Fleet { nodes: domain_size + others.sum::<u32>(), domain_size };
+    let fleet = Fleet { fleet_size: domain_size + others.sum::<u32>(), domain_size };
     if control.fleet.replace(Some(fleet)) != Some(fleet) {
         control.publish();
     }
@@ -283,7 +283,7 @@
 /// Random delay in milliseconds before this node contends for a free lease.
 fn stagger(settings: &GatewaySettings) -> Millis {
     let wait = rand::rng().random_range(1..MAX_STAGGER_MS);
-    if is_eligible(settings) { wait } else { SMALL_VM_DELAY_MS + 2 * wait }
+    if can_plan(settings) { wait } else { SMALL_VM_DELAY_MS + 2 * wait }
 }
 
 /// Key of a failure domain's planner.
--- a/crates/heathpitchd/src/gateway/control/planner.rs
+++ b/crates/heathpitchd/src/gateway/control/planner.rs
@@ -13,7 +13,7 @@
 use crate::gateway::event::GatewayEvent;
 
 /// Interval between planning rounds.
-const INTERVAL: Duration = Duration::from_millis(150);
+const PLAN_INTERVAL: Duration = Duration::from_millis(150);
 /// Time for which a new engine is reserved for the layers of the one that it may replace:
 /// replacements start a second or two before the old engines leave.
 const NEW_ENGINE_MS: Millis = 2_500;
@@ -24,7 +24,7 @@
 pub(super) async fn run(control: Rc<Control>) {
     loop {
         control.wait_until_planner().await;
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(PLAN_INTERVAL).await;
         if control.is_planner() {
             plan(&control);
         }
--- a/crates/heathpitchd/src/gateway/control/publish.rs
+++ b/crates/heathpitchd/src/gateway/control/publish.rs
@@ -73,7 +73,7 @@
             services.entry(entry.service.clone()).or_default().push(view);
         }
         self.shared.metrics.engines.set(entries.len() as i64);
-        let fleet_size = self.fleet.get().map(|f| f.nodes);
+        let fleet_size = self.fleet.get().map(|f| f.fleet_size);
         self.shared.metrics.nodes.set(i64::from(fleet_size.unwrap_or(0)));
         let domain_size = self.fleet.get().map_or(1, |f| f.domain_size.max(1));
         let table = EngineTable { services, domain_size, fleet_size };
--- a/crates/heathpitchd/src/gateway/control/quarantine.rs
+++ b/crates/heathpitchd/src/gateway/control/quarantine.rs
@@ -36,7 +36,7 @@
 /// three seconds, and another engine may then have its address.
 const AVOID_WITHIN_MS: Millis = 1_500;
 /// Interval between checks for expired requests and for entries to write to the store.
-const INTERVAL: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Time for which planners leave writing to that of the failure domain that is first by name, so
 /// that only one writes.
 const WRITE_DELAY_MS: Millis = 1_500;
@@ -161,7 +161,7 @@
             }
         }
         if new > 0 {
-            GatewayEvent::ExitsReceived { by: by.clone(), ends: new }.log();
+            GatewayEvent::ExitsReceived { by: by.clone(), exits: new }.log();
             self.update_held("another node reported exits");
         }
     }
@@ -173,15 +173,15 @@
     fn update_held(&self, why: &'static str) {
         let now = self.now();
         let mut quarantine = self.quarantine.borrow_mut();
-        let (new, over) = quarantine.decide();
+        let (new, released) = quarantine.decide();
         for fingerprint in new {
-            let ends: Vec<_> = quarantine
+            let exits: Vec<_> = quarantine
                 .evidence(fingerprint, now)
                 .map(|(l, events, age)| (l.engine.clone(), events, age))
                 .collect();
-            GatewayEvent::RequestHeldBack { fingerprint, ends, why }.log();
+            GatewayEvent::RequestHeldBack { fingerprint, exits, why }.log();
         }
-        for fingerprint in over {
+        for fingerprint in released {
             GatewayEvent::RequestLetThrough { fingerprint, why }.log();
         }
         let held = |fingerprint| {
@@ -207,7 +207,7 @@
         );
     }
     loop {
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let expired = control.quarantine.borrow_mut().expire(control.now());
         if expired {
             control.update_held("the request expired");
--- a/crates/heathpitchd/src/gateway/control/reachability.rs
+++ b/crates/heathpitchd/src/gateway/control/reachability.rs
@@ -19,7 +19,7 @@
 use super::state::Control;
 
 /// Silence below which a stream shows that its engines work.
-const FLOWING_MS: Millis = 80;
+const FLOWING_SILENCE_MS: Millis = 80;
 /// Timeout of a probe, many times the delay between failure domains.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 /// Time after which a first probe is repeated, many times the delay inside a failure domain.
@@ -27,9 +27,9 @@
 /// Minimum time between two probes of the same engine.
 const PROBE_INTERVAL_MS: Millis = 300;
 /// Time until an unreachable engine is probed again; doubled after each failure.
-const UNREACHABLE_MS: Millis = 1_000;
+const PROBE_BACKOFF_MS: Millis = 1_000;
 /// Upper bound of that time.
-const MAX_UNREACHABLE_MS: Millis = 4_000;
+const MAX_PROBE_BACKOFF_MS: Millis = 4_000;
 /// Engines probed in one round, so that a partitioned failure domain is not probed all at once.
 const MAX_PROBES: usize = 24;
 /// Time for which an unreachable engine gets no new work; renewed by each failed probe.
@@ -43,7 +43,7 @@
 pub(super) struct Unreachable {
     /// Time of the next probe.
     retry_at: Millis,
-    pause: Millis,
+    backoff: Millis,
 }
 
 /// Checks whether an engine that refused its part of a request accepts new work at all.
@@ -81,13 +81,13 @@
     probed.retain(|(_, at)| now < at + PROBE_INTERVAL_MS);
     let mut flowing: HashSet<Name> = HashSet::new();
     let mut silent: HashSet<Name> = HashSet::new();
-    for watched in control.streams.borrow().iter() {
-        let Some(live) = watched.live.upgrade() else { continue };
+    for tracked in control.streams.borrow().iter() {
+        let Some(live) = tracked.live.upgrade() else { continue };
         let path = live.path.load();
         let engines = path.stages().iter().map(|s| s.engine.clone());
         match is_silent(&live, now) {
             true => silent.extend(engines),
-            false if live.silence(now) < FLOWING_MS => flowing.extend(engines),
+            false if live.silence(now) < FLOWING_SILENCE_MS => flowing.extend(engines),
             false => {}
         }
     }
@@ -96,10 +96,10 @@
     let overdue = unreachable.iter().filter(|(_, u)| now >= u.retry_at).map(|(n, _)| n.clone());
     let unreachable: Vec<Name> = overdue.collect();
     let entries = control.entries.borrow();
-    let wanted = silent.difference(&flowing).filter(|n| !control.is_unreachable(n));
-    let wanted: Vec<Name> = wanted.cloned().chain(unreachable).collect();
-    let fresh = wanted.into_iter().filter(|n| !probed.iter().any(|(l, _)| l == n));
-    let found: Vec<Suspect> = fresh
+    let candidates = silent.difference(&flowing).filter(|n| !control.is_unreachable(n));
+    let candidates: Vec<Name> = candidates.cloned().chain(unreachable).collect();
+    let not_probed = candidates.into_iter().filter(|n| !probed.iter().any(|(l, _)| l == n));
+    let found: Vec<Suspect> = not_probed
         .take(MAX_PROBES)
         .filter_map(|engine| {
             let address = entries.get(&engine)?.address;
@@ -164,9 +164,10 @@
 /// Records that an engine is unreachable, and returns whether it was reachable before.
 fn record_unreachable(control: &Control, engine: &Name, now: Millis) -> bool {
     let mut unreachable = control.unreachable.borrow_mut();
-    let pause =
-        unreachable.get(engine).map_or(UNREACHABLE_MS, |u| (u.pause * 2).min(MAX_UNREACHABLE_MS));
-    unreachable.insert(engine.clone(), Unreachable { retry_at: now + pause, pause }).is_none()
+    let backoff = unreachable
+        .get(engine)
+        .map_or(PROBE_BACKOFF_MS, |u| (u.backoff * 2).min(MAX_PROBE_BACKOFF_MS));
+    unreachable.insert(engine.clone(), Unreachable { retry_at: now + backoff, backoff }).is_none()
 }
 
 /// Whether a connection can be made. The first probe of an engine is repeated soon after, because single
@@ -185,8 +186,8 @@
     let both = futures::future::select(Box::pin(once()), Box::pin(second)).await;
     match both {
         Either::Left((true, _)) | Either::Right((true, _)) => true,
-        Either::Left((false, rest)) => rest.await,
-        Either::Right((false, rest)) => rest.await,
+        Either::Left((false, other)) => other.await,
+        Either::Right((false, other)) => other.await,
     }
 }
 
@@ -196,14 +197,14 @@
     let control = control.clone();
     spawn_local(async move {
         match engines::query_status(&control, &entry).await {
-            Ok(status) => status.stalled.iter().for_each(|(_, at)| leave_stalled(&control, *at)),
+            Ok(status) => status.stalled.iter().for_each(|(_, at)| mark_stalling(&control, *at)),
             Err(e) => log::info!("status query to first engine {} failed: {e}", entry.id),
         }
     });
 }
 
 /// Marks an engine that stalls streams as unreachable.
-fn leave_stalled(control: &Control, address: SocketAddr) {
+fn mark_stalling(control: &Control, address: SocketAddr) {
     let table = control.shared.table.load();
     let Some(view) = table.by_address(address) else { return };
     let now = control.now();
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -23,10 +23,10 @@
 use crate::gateway::live::LiveStream;
 
 /// Interval between checks.
-const INTERVAL: Duration = Duration::from_millis(40);
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// Interval between checks while no stream runs and no engine is unreachable: below
 /// [`FIRST_EVENT_SILENCE_MS`].
-const IDLE_INTERVAL: Duration = Duration::from_millis(200);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between removals of expired state.
 const EXPIRY_INTERVAL_MS: Millis = 1_000;
 /// Delay of a check beyond which this process itself is taken to have been stalled.
@@ -78,7 +78,7 @@
     let mut probed: Vec<(Name, Millis)> = Vec::new();
     loop {
         let idle = control.streams.borrow().is_empty() && control.unreachable.borrow().is_empty();
-        let interval = if idle { IDLE_INTERVAL } else { INTERVAL };
+        let interval = if idle { IDLE_CHECK_INTERVAL } else { CHECK_INTERVAL };
         tokio::time::sleep(interval).await;
         let now = control.now();
         if now.saturating_sub(last_check) > interval.as_millis() as Millis + MAX_CHECK_DELAY_MS {
@@ -249,12 +249,12 @@
         id == head || (is_open && !control.is_unreachable(id) && !has_restarted(control, live, id))
     };
     let (service, tokens) = (&live.service, live.tokens);
-    let links = table
+    let engines = table
         .chain_engines(&PathQuery { service, model, tokens, now, current: Some(path) }, usable);
     // The first engine does not change, so the others are best placed in its failure domain.
     let home = table.by_id(head.as_str())?.entry.domain.clone();
-    let search = ChainQuery { model, name: &live.service, home: &home, current: Some(path) };
-    find_local_chain(&search, &links).map(|(path, _)| path)
+    let query = ChainQuery { model, name: &live.service, home: &home, current: Some(path) };
+    find_local_chain(&query, &engines).map(|(path, _)| path)
 }
 
 /// # Incarnations
--- a/crates/heathpitchd/src/gateway/control/sources.rs
+++ b/crates/heathpitchd/src/gateway/control/sources.rs
@@ -83,13 +83,13 @@
     /// configuration retries all calls. Returns whether the feed was active meanwhile, in which case earlier
     /// reads are out of date.
     pub(super) async fn wait_to_read(&self) -> bool {
-        let store_away = || !self.reachable() && self.shared.catalog.load().is_some();
-        let mut was_fed = false;
-        while !self.reads_store() || store_away() {
-            was_fed |= self.has_feed();
+        let store_unreachable = || !self.reachable() && self.shared.catalog.load().is_some();
+        let mut had_feed = false;
+        while !self.reads_store() || store_unreachable() {
+            had_feed |= self.has_feed();
             self.role_changed.notified().await;
         }
-        was_fed
+        had_feed
     }
 
     /// Waits until this node may claim the lease of its failure domain's planner.
@@ -134,8 +134,8 @@
             if found.is_none() {
                 tokio::time::sleep(retry).await;
             }
-            let was_fed = self.wait_to_read().await;
-            if let Some(at) = found.filter(|_| !was_fed) {
+            let had_feed = self.wait_to_read().await;
+            if let Some(at) = found.filter(|_| !had_feed) {
                 watch(at).await;
             }
         }
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Fleet {
     /// In the fleet.
-    pub(super) nodes: u32,
+    pub(super) fleet_size: u32,
     /// In the failure domain of this node.
     pub(super) domain_size: u32,
 }
@@ -294,10 +294,10 @@
     /// Whether an engine may be queried for its status now, which is allowed twice a second.
     pub(super) fn may_query_status(&self, engine: &Name) -> bool {
         let now = self.now();
-        let mut questioned = self.status_queried.borrow_mut();
-        let due = questioned.get(engine).is_none_or(|at| now >= at + STATUS_QUERY_INTERVAL_MS);
+        let mut queried = self.status_queried.borrow_mut();
+        let due = queried.get(engine).is_none_or(|at| now >= at + STATUS_QUERY_INTERVAL_MS);
         if due {
-            questioned.insert(engine.clone(), now);
+            queried.insert(engine.clone(), now);
         }
         due
     }
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -26,9 +26,9 @@
 
     /// Waits until the store becomes unreachable, its era changes, or the feed of this node ends.
     async fn store_changed(&self) {
-        let (reachable, fed, era) = (self.reachable.get(), self.has_feed(), self.era.get());
-        let is_lost = || (reachable && !self.reachable.get()) || (fed && !self.has_feed());
-        let changed = || is_lost() || era != self.era.get();
+        let (reachable, had_feed, era) = (self.reachable.get(), self.has_feed(), self.era.get());
+        let access_lost = || (reachable && !self.reachable.get()) || (had_feed && !self.has_feed());
+        let changed = || access_lost() || era != self.era.get();
         while !changed() {
             self.role_changed.notified().await;
         }
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -72,8 +72,9 @@
         parts: Vec<(Name, LayerRange)>,
         /// Event after which a stream resumes.
         after: Option<u64>,
-        /// Time left until the call's deadline.
-        left_ms: Millis,
+        /// Time until the call's deadline.
+        #[serde(rename = "left_ms")]
+        remaining_ms: Millis,
         /// Version of the configuration in force.
         config: u64,
         /// Time since the known engines were last confirmed to match the store.
@@ -175,7 +176,8 @@
         /// Failure domain.
         domain: Name,
         /// Whether it is draining.
-        leaving: bool,
+        #[serde(rename = "leaving")]
+        draining: bool,
         /// Layers that it holds.
         layers: LayerRange,
         /// Unix time of its start, milliseconds, if known.
@@ -204,7 +206,8 @@
         by: &'static str,
     },
     /// An engine exited while it ran calls of this node: it refuses connections.
-    EngineEnded {
+    #[serde(rename = "engine_ended")]
+    EngineExited {
         /// Engine.
         engine: Name,
         /// Calls of this node that were lost with it.
@@ -218,7 +221,8 @@
         /// Node.
         by: Name,
         /// Number of exits that are new to this node or newly cleared.
-        ends: usize,
+        #[serde(rename = "ends")]
+        exits: usize,
     },
     /// A request is not sent to any engine from now on.
     RequestHeldBack {
@@ -227,7 +231,8 @@
         fingerprint: RequestFingerprint,
         /// Engines that exited while they ran it, its events there, and the time since this became
         /// known.
-        ends: Vec<(Name, u32, Millis)>,
+        #[serde(rename = "ends")]
+        exits: Vec<(Name, u32, Millis)>,
         /// Cause of the change.
         why: &'static str,
     },
--- a/crates/heathpitchd/src/gateway/event_log.rs
+++ b/crates/heathpitchd/src/gateway/event_log.rs
@@ -51,7 +51,7 @@
         let level = match self {
             Self::CallRefused { .. }
             | Self::CallAttemptFailed { .. }
-            | Self::EngineEnded { .. }
+            | Self::EngineExited { .. }
             | Self::RequestHeldBack { .. }
             | Self::CallEnded { complete: false, .. }
             | Self::ConfigRejected { .. }
--- a/crates/heathpitchd/src/snapshot.rs
+++ b/crates/heathpitchd/src/snapshot.rs
@@ -26,7 +26,8 @@
 pub(crate) struct Status {
     pub(crate) node: Name,
     pub(crate) domain: Name,
-    pub(crate) life: u64,
+    #[serde(rename = "life")]
+    pub(crate) incarnation: u64,
     pub(crate) ready: bool,
     pub(crate) draining: bool,
     pub(crate) config: Revision,
--- a/crates/heathpitchd/tests/common/mod.rs
+++ b/crates/heathpitchd/tests/common/mod.rs
@@ -12,8 +12,8 @@
 
 /// Layers of the sample models.
 pub(crate) const LAYERS: u32 = 12;
-/// Time limit for a deployment to become ready and for any other awaited condition.
-pub(crate) const LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for a deployment to become ready and for any other awaited condition.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Nodes `n1`, `n2`, … in front of `replicas` complete paths of three engines, and two services.
 pub(crate) async fn deployment(nodes: usize, replicas: u32) -> Deployment {
@@ -36,7 +36,7 @@
     d.list();
     let revision = d.configure(&sample(LAYERS).unwrap()).await.unwrap();
     let upstreams = d.engines.len() + d.services.len();
-    assert!(d.ready(revision, upstreams, LIMIT).await, "the nodes did not become ready");
+    assert!(d.ready(revision, upstreams, WAIT_TIMEOUT).await, "the nodes did not become ready");
     wait_until("the nodes know each other", || async {
         for node in &d.nodes {
             let status = node.status().await;
@@ -91,7 +91,7 @@
 
 /// Waits until `condition` holds.
 pub(crate) async fn wait_until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
-    let deadline = Instant::now() + LIMIT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition().await {
         assert!(Instant::now() < deadline, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(30)).await;
--- a/crates/heathpitchd/tests/configuration.rs
+++ b/crates/heathpitchd/tests/configuration.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use common::{LAYERS, LIMIT, assert_complete, deployment, desk, name, wait_until};
+use common::{LAYERS, WAIT_TIMEOUT, assert_complete, deployment, desk, name, wait_until};
 use heathpitch_core::Revision;
 use heathpitch_fakes::{Deployment, PlatformFault, sample};
 
@@ -30,7 +30,7 @@
     let d = deployment(3, 1).await;
     for weight in 5..9 {
         let revision = store_weight(&d, weight).await;
-        assert!(d.ready(revision, 1, LIMIT).await);
+        assert!(d.ready(revision, 1, WAIT_TIMEOUT).await);
     }
 }
 
@@ -41,19 +41,19 @@
     wait_until("one node has the revision", || async { revisions(&d).await.contains(&revision.0) })
         .await;
     d.platform.fault(PlatformFault::Down);
-    assert!(d.ready(revision, 1, LIMIT).await);
+    assert!(d.ready(revision, 1, WAIT_TIMEOUT).await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn node_started_during_store_outage_gets_configuration_from_peer() {
     let mut d = deployment(2, 1).await;
     let revision = store_weight(&d, 7).await;
-    assert!(d.ready(revision, 1, LIMIT).await);
+    assert!(d.ready(revision, 1, WAIT_TIMEOUT).await);
     d.platform.fault(PlatformFault::Down);
     d.nodes[0].kill();
     d.nodes.remove(0);
     let new = d.node("n3", "memphis", |_| {}).unwrap();
-    assert!(d.ready(revision, d.engines.len(), LIMIT).await);
+    assert!(d.ready(revision, d.engines.len(), WAIT_TIMEOUT).await);
     let node = d.nodes[new].listen;
     let got = desk().stream(node, &name("tickets"), "after the outage", 8).await.unwrap();
     assert_complete(&got, "after the outage", 8);
@@ -63,7 +63,7 @@
 async fn stale_read_never_restores_an_older_revision() {
     let d = deployment(2, 1).await;
     let revision = store_weight(&d, 7).await;
-    assert!(d.ready(revision, 1, LIMIT).await);
+    assert!(d.ready(revision, 1, WAIT_TIMEOUT).await);
     d.platform.fault(PlatformFault::Stale(true));
     for _ in 0..20 {
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/heathpitchd/tests/gateway/mod.rs
+++ b/crates/heathpitchd/tests/gateway/mod.rs
@@ -12,23 +12,23 @@
 use serde_json::{Value, json};
 
 /// Timeout of every wait.
-pub(crate) const LIMIT: Duration = Duration::from_secs(20);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// API key of the client account `desk`.
 pub(crate) const KEY: &str = "key-of-desk";
 /// Second API key of the same account.
 pub(crate) const KEY_2: &str = "second-key-of-desk";
 
 /// A store with a configuration, for which nodes and engines can be started.
-pub(crate) struct World {
+pub(crate) struct Cluster {
     pub(crate) store: Store,
-    pub(crate) site: TestConfig,
+    pub(crate) config: TestConfig,
 }
 
-impl World {
+impl Cluster {
     /// A store with the default configuration.
     pub(crate) fn new() -> Self {
         let store = Store::spawn().unwrap();
-        let site = TestConfig {
+        let config = TestConfig {
             version: 3,
             routes: vec![
                 RouteSpec::idempotent("/get/", "api"),
@@ -42,14 +42,14 @@
             models: vec!["llm".to_owned()],
             tenants: vec![("desk".to_owned(), vec![KEY.to_owned(), KEY_2.to_owned()])],
         };
-        let world = Self { store, site };
-        world.configure();
-        world
+        let cluster = Self { store, config };
+        cluster.configure();
+        cluster
     }
 
     /// Writes the configuration to the store.
     pub(crate) fn configure(&self) {
-        self.store.put_config(&self.site.json());
+        self.store.put_config(&self.config.json());
     }
 
     /// Starts an engine of a service.
@@ -68,7 +68,7 @@
         let node = self.start("n1", bounds);
         node.wait_ready().await.unwrap();
         // Until a node knows the size of the fleet, its retry budget is almost empty.
-        wait("the node knows the fleet", async || {
+        wait_until("the node knows the fleet", async || {
             node.metrics().await.is_ok_and(|text| text.contains("heathpitch_nodes 1"))
         })
         .await;
@@ -97,13 +97,13 @@
     pub(crate) async fn planner_and_follower(&self) -> (GatewayProcess, Proxy, GatewayProcess) {
         let (planner, link) = self.start_behind("n1", &json!({}));
         planner.wait_ready().await.unwrap();
-        wait("the first node is the planner", async || {
+        wait_until("the first node is the planner", async || {
             !planner.events("domain_planner").is_empty()
         })
         .await;
         let other = self.start("n2", &json!({}));
         other.wait_ready().await.unwrap();
-        wait("the second node is fed", async || fed(&other) == Some(true)).await;
+        wait_until("the second node is fed", async || is_fed(&other) == Some(true)).await;
         (planner, link, other)
     }
 
@@ -125,7 +125,7 @@
 }
 
 /// Whether another node feeds this one, according to its last log line on that.
-pub(crate) fn fed(node: &GatewayProcess) -> Option<bool> {
+pub(crate) fn is_fed(node: &GatewayProcess) -> Option<bool> {
     node.events("feed_changed").last().map(|e| !e["planner"].is_null())
 }
 
@@ -139,11 +139,11 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64
 }
 
-/// Waits until a condition holds; panics after [`LIMIT`].
-pub(crate) async fn wait(what: &str, condition: impl AsyncFn() -> bool) {
+/// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
+pub(crate) async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < LIMIT, "timed out waiting until {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/heathpitchd/tests/gateway_backpressure.rs
+++ b/crates/heathpitchd/tests/gateway_backpressure.rs
@@ -13,7 +13,7 @@
 
 use std::time::{Duration, Instant};
 
-use gateway::{KEY, World};
+use gateway::{Cluster, KEY};
 use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, Reply};
 use hyper::Method;
 
@@ -24,7 +24,7 @@
 /// Requests that may arrive after that, until the end of the pause.
 const MAX_IN_PAUSE: usize = 2;
 /// Time from a drain notice until the engine may receive no new work: the drain bound.
-const DRAIN: Duration = Duration::from_millis(2_000);
+const DRAIN_BOUND: Duration = Duration::from_millis(2_000);
 /// Time between two calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -66,27 +66,27 @@
 
 /// A node and two identical engines for one kind of request, first the one that a call goes to.
 struct Pair {
-    _world: World,
+    _world: Cluster,
     node: GatewayProcess,
     engines: [Engine; 2],
 }
 
 impl Pair {
     async fn new(method: &Method, target: &str, service: &str) -> Self {
-        let world = World::new();
-        let [a, b] = ["a", "b"].map(|name| world.engine(name, service));
+        let cluster = Cluster::new();
+        let [a, b] = ["a", "b"].map(|name| cluster.engine(name, service));
         if service == "llm" {
             [&a, &b].iter().for_each(|e| e.set_layers(0, 4));
-            world.engine("behind", service).set_layers(4, 8);
+            cluster.engine("behind", service).set_layers(4, 8);
         }
         if service != "api" {
             let play = Behavior::Stream(3, Duration::from_millis(1));
             [&a, &b].iter().for_each(|e| e.set_behavior(play));
         }
-        let node = world.node().await;
+        let node = cluster.node().await;
         Caller::new(node.listen).key(KEY).call(method.clone(), target, "body").await.unwrap();
         let engines = if a.requests().is_empty() { [b, a] } else { [a, b] };
-        Self { _world: world, node, engines }
+        Self { _world: cluster, node, engines }
     }
 
     fn caller(&self) -> Caller {
@@ -119,10 +119,10 @@
         let draining = &pair.engines[0];
         let before = draining.requests().len();
         draining.set_draining(true);
-        let replies = call_for(&pair.caller(), DRAIN + IN_FLIGHT, method, target).await;
+        let replies = call_for(&pair.caller(), DRAIN_BOUND + IN_FLIGHT, method, target).await;
         assert!(replies.iter().all(|r| r.status == 200), "{target}");
         let seen = &draining.requests()[before..];
-        (target, seen.iter().filter(|s| s.at > seen[0].at + DRAIN).count())
+        (target, seen.iter().filter(|s| s.at > seen[0].at + DRAIN_BOUND).count())
     });
     let found = futures::future::join_all(found).await;
     assert!(found.iter().all(|(_, late)| *late == 0), "requests after the drain bound: {found:?}");
--- a/crates/heathpitchd/tests/gateway_backpressure_scope.rs
+++ b/crates/heathpitchd/tests/gateway_backpressure_scope.rs
@@ -7,14 +7,14 @@
 
 use std::time::{Duration, Instant};
 
-use gateway::{KEY, World, status, wait};
+use gateway::{Cluster, KEY, status, wait_until};
 use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, LinkMode, Reply};
 use hyper::Method;
 use serde_json::Value;
 
 /// Time within which all nodes know what one of them learned: the contact bound of the smallest
 /// deployments.
-const CONTACT: Duration = Duration::from_millis(3_000);
+const CONTACT_BOUND: Duration = Duration::from_millis(3_000);
 
 fn caller(node: &GatewayProcess) -> Caller {
     Caller::new(node.listen).key(KEY)
@@ -36,10 +36,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_is_refused_immediately_with_a_retry_time_when_all_engines_are_paused() {
-    let world = World::new();
-    let engines = [world.engine("a", "api"), world.engine("b", "api")];
+    let cluster = Cluster::new();
+    let engines = [cluster.engine("a", "api"), cluster.engine("b", "api")];
     engines.iter().for_each(|e| request_pause(e, "1.2"));
-    let node = world.node().await;
+    let node = cluster.node().await;
     let start = Instant::now();
     assert_eq!(get(&node).await.status, 503);
     let mut retry_times = Vec::new();
@@ -64,7 +64,7 @@
     let requests: usize = engines.iter().map(|e| e.requests().len()).sum();
     assert_eq!(requests, 2, "each engine rejected one");
     engines.iter().for_each(|e| e.set_behavior(Behavior::Echo));
-    wait("an engine is used again", async || get(&node).await.status == 200).await;
+    wait_until("an engine is used again", async || get(&node).await.status == 200).await;
     assert!(start.elapsed() >= Duration::from_millis(1_200), "{:?}", start.elapsed());
 }
 
@@ -72,9 +72,9 @@
 /// none.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_longest_requested_pause_holds() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     request_pause(&engine, "2");
     get(&node).await;
     let start = Instant::now();
@@ -84,7 +84,7 @@
         request_pause(&engine, pause);
         get(&node).await;
     }
-    wait("the engine gets a request again", async || {
+    wait_until("the engine gets a request again", async || {
         get(&node).await;
         engine.requests().len() > 1
     })
@@ -95,9 +95,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_pauses_are_ignored_and_a_very_long_one_ends_with_a_restart() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     for malformed in ["soon", "-3", "NaN", "Fri, 04 Dec 2026 00:00:00 GMT"] {
         request_pause(&engine, malformed);
         get(&node).await;
@@ -110,18 +110,18 @@
     assert_eq!(get(&node).await.status, 503);
     engine.restart();
     engine.register("ready");
-    wait("the restarted engine is used", async || get(&node).await.status == 200).await;
+    wait_until("the restarted engine is used", async || get(&node).await.status == 200).await;
 }
 
 /// Entries expire and come back, as after an outage of the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn backpressure_outlives_the_entry_of_its_engine() {
-    let world = World::new();
-    let (paused, draining) = (world.engine("a", "api"), world.engine("b", "api"));
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let (paused, draining) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
+    let node = cluster.node().await;
     draining.set_draining(true);
     request_pause(&paused, "60");
-    wait("both signals are known", async || {
+    wait_until("both signals are known", async || {
         get(&node).await;
         node.events("engine_wished").len() >= 2
     })
@@ -129,7 +129,7 @@
     let before = paused.requests().len() + draining.requests().len();
     for engine in [&paused, &draining] {
         engine.deregister();
-        wait("the entry is gone", async || {
+        wait_until("the entry is gone", async || {
             node.events("engine_gone").iter().any(|e| is_about(e, engine))
         })
         .await;
@@ -137,7 +137,7 @@
             async || node.events("engine_listed").iter().filter(|e| is_about(e, engine)).count();
         let listings = listed().await;
         engine.register("ready");
-        wait("the entry is back", async || listed().await > listings).await;
+        wait_until("the entry is back", async || listed().await > listings).await;
     }
     for _ in 0..10 {
         assert_eq!(get(&node).await.status, 503);
@@ -148,15 +148,16 @@
 /// The store is unreachable, and the engine's entry says that it is ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_node_avoids_an_engine_that_announced_a_drain_to_one_of_them() {
-    let world = World::new();
-    let (draining, other) = (world.engine("a", "api"), world.engine("b", "api"));
-    let (planner, link, follower) = world.planner_and_follower().await;
-    let far = world.start_in("atl", "n3");
+    let cluster = Cluster::new();
+    let (draining, other) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
+    let (planner, link, follower) = cluster.planner_and_follower().await;
+    let far = cluster.start_in("atl", "n3");
     far.wait_ready().await.unwrap();
-    wait("planners know each other", async || !far.events("neighbour_changed").is_empty()).await;
+    wait_until("planners know each other", async || !far.events("neighbour_changed").is_empty())
+        .await;
     link.set_mode(LinkMode::Blackhole);
     draining.set_draining(true);
-    wait("the follower knows of the drain", async || {
+    wait_until("the follower knows of the drain", async || {
         assert_eq!(status(&caller(&follower), "/open/x").await, 200);
         draining.requests().last().is_some_and(|s| s.at.elapsed() < Duration::from_millis(500))
             && !follower.events("engine_leaves").is_empty()
@@ -164,11 +165,13 @@
     .await;
     let announced = Instant::now();
     for node in [&planner, &far] {
-        wait("the node knows of the drain", async || !node.events("engine_leaves").is_empty())
-            .await;
+        wait_until("the node knows of the drain", async || {
+            !node.events("engine_leaves").is_empty()
+        })
+        .await;
         assert_eq!(node.events("engine_leaves")[0]["by"], "another node");
     }
-    assert!(announced.elapsed() < CONTACT, "{:?}", announced.elapsed());
+    assert!(announced.elapsed() < CONTACT_BOUND, "{:?}", announced.elapsed());
     println!("known to all after {:?}", announced.elapsed());
     let before = draining.requests().len();
     for node in [&planner, &far, &follower] {
@@ -178,40 +181,43 @@
     }
     assert_eq!(draining.requests().len(), before);
     assert!(!other.requests().is_empty());
-    let new = world.start_in("atl", "n4");
+    let new = cluster.start_in("atl", "n4");
     new.wait_ready().await.unwrap();
-    wait("a new node learns of the drain", async || !new.events("engine_leaves").is_empty()).await;
+    wait_until("a new node learns of the drain", async || !new.events("engine_leaves").is_empty())
+        .await;
 }
 
 /// A wrong drain notice must not cost a service its only engine permanently.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_stays_listed_and_no_longer_announces_a_drain_is_used_again() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     engine.set_draining(true);
     assert_eq!(get(&node).await.status, 200);
     assert_eq!(get(&node).await.status, 503);
     // Four suspensions of ten seconds: more than the 30 s after which the engine is rechecked.
     for i in 1..=4 {
         node.signal("USR2").unwrap();
-        wait("the suspension is detected", async || node.events("vm_suspended").len() == i).await;
+        wait_until("the suspension is detected", async || node.events("vm_suspended").len() == i)
+            .await;
     }
-    wait("the engine is rechecked", async || !engine.health_checks().is_empty()).await;
+    wait_until("the engine is rechecked", async || !engine.health_checks().is_empty()).await;
     assert_eq!(get(&node).await.status, 503, "it announced the drain again");
     engine.set_draining(false);
-    wait("the engine is used again", async || get(&node).await.status == 200).await;
-    wait("the end of the drain is logged", async || !node.events("engine_stays").is_empty()).await;
+    wait_until("the engine is used again", async || get(&node).await.status == 200).await;
+    wait_until("the end of the drain is logged", async || !node.events("engine_stays").is_empty())
+        .await;
 }
 
 /// Another engine, which is draining itself, uses the address of an engine that is gone.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_notice_of_another_engine_at_the_same_address_is_ignored() {
-    let world = World::new();
-    let other = world.engine("b", "one");
+    let cluster = Cluster::new();
+    let other = cluster.engine("b", "one");
     other.set_draining(true);
-    world.store.register_engine("gone", "api", "mem", other.address);
-    let node = world.node().await;
+    cluster.store.register_engine("gone", "api", "mem", other.address);
+    let node = cluster.node().await;
     assert_eq!(get(&node).await.status, 503);
     assert_eq!(node.events("engine_leaves").len() + node.events("engine_wished").len(), 0);
 }
@@ -219,11 +225,11 @@
 /// The engine that rejects streams is behind the first one of the path, which reports its address.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_avoid_an_engine_behind_the_first_that_requested_a_pause() {
-    let world = World::new();
-    let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
+    let cluster = Cluster::new();
+    let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| cluster.engine(id, "llm"));
     [&a, &d].iter().for_each(|e| e.set_layers(0, 4));
     [&b, &c].iter().for_each(|e| e.set_layers(4, 8));
-    let node = world.node().await;
+    let node = cluster.node().await;
     let heads = [&a, &d];
     heads.iter().for_each(|e| e.set_behavior(Behavior::RefuseVia(b.address)));
     heads.iter().for_each(|e| e.set_retry_after("30"));
@@ -245,13 +251,13 @@
 /// A running stream is not cut off; new ones go to another engine.
 #[tokio::test(flavor = "multi_thread")]
 async fn running_streams_continue_at_an_engine_that_requests_a_pause_or_drains() {
-    let world = World::new();
-    let (a, b) = (world.engine("a", "one"), world.engine("b", "one"));
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.engine("a", "one"), cluster.engine("b", "one"));
     [&a, &b].iter().for_each(|e| e.set_behavior(Behavior::Stream(40, Duration::from_millis(20))));
-    let node = world.node().await;
+    let node = cluster.node().await;
     let long = async || caller(&node).call(Method::POST, "/whole/x", "long").await.unwrap();
     let signal = async {
-        wait("one stream runs", async || a.requests().len() + b.requests().len() == 1).await;
+        wait_until("one stream runs", async || a.requests().len() + b.requests().len() == 1).await;
         let used = if a.requests().is_empty() { &b } else { &a };
         request_pause(used, "5");
         used.set_draining(true);
@@ -268,10 +274,10 @@
 /// The engine has the least load of all, as it responds immediately.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_rejects_calls_without_a_retry_time_is_avoided_for_a_short_time() {
-    let world = World::new();
-    let (rejecting, _other) = (world.engine("a", "api"), world.engine("b", "api"));
+    let cluster = Cluster::new();
+    let (rejecting, _other) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
     rejecting.set_behavior(Behavior::Refuse);
-    let node = world.node().await;
+    let node = cluster.node().await;
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(1_000) {
         assert_eq!(get(&node).await.status, 200);
--- a/crates/heathpitchd/tests/gateway_calls.rs
+++ b/crates/heathpitchd/tests/gateway_calls.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use gateway::{KEY, World, wait};
+use gateway::{Cluster, KEY, wait_until};
 use heathpitch_standin::{Behavior, CALL_DEADLINE, CALL_ID, Caller, RawEngine};
 use hyper::Method;
 use serde_json::json;
@@ -14,9 +14,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_is_forwarded_unchanged_except_for_router_headers() {
-    let world = World::new();
-    let engine = world.engine("e1", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("e1", "api");
+    let node = cluster.node().await;
     let reply =
         Caller::new(node.listen).key(KEY).call(Method::POST, "/book/x?a=%2F", "buy 100").await;
     let reply = reply.unwrap();
@@ -35,9 +35,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn unknown_routes_and_keys_are_denied() {
-    let world = World::new();
-    let engine = world.engine("e1", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("e1", "api");
+    let node = cluster.node().await;
     let caller = Caller::new(node.listen);
     let status = async |c: &Caller, at: &str| c.call(Method::GET, at, "").await.unwrap().status;
     assert_eq!(status(&caller.clone().key(KEY), "/nowhere/").await, 404);
@@ -49,10 +49,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_without_a_configuration_answers_503() {
-    let world = World::new();
-    world.store.remove_config();
-    world.engine("e1", "api");
-    let node = world.start("n1", &json!({}));
+    let cluster = Cluster::new();
+    cluster.store.remove_config();
+    cluster.engine("e1", "api");
+    let node = cluster.start("n1", &json!({}));
     let reply = Caller::new(node.listen).key(KEY).call(Method::GET, "/get/x", "").await.unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some());
@@ -61,9 +61,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_non_idempotent_call_is_never_sent_twice() {
-    let world = World::new();
-    let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
+    let node = cluster.node().await;
     for play in [Behavior::DropConnection, Behavior::WrongId, Behavior::NoDigest] {
         a.set_behavior(play);
         b.set_behavior(play);
@@ -78,9 +78,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn only_a_statement_that_the_call_did_not_run_becomes_a_refusal() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     engine.set_behavior(Behavior::Refuse);
     let caller = Caller::new(node.listen).key(KEY);
     let reply = caller.call(Method::POST, "/book/x", "1").await.unwrap();
@@ -100,9 +100,9 @@
         Behavior::Refuse,
         Behavior::Fail(500),
     ] {
-        let world = World::new();
-        let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
-        let node = world.node().await;
+        let cluster = Cluster::new();
+        let (a, b) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
+        let node = cluster.node().await;
         a.set_behavior(play);
         let caller = Caller::new(node.listen).key(KEY);
         for _ in 0..6 {
@@ -116,15 +116,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_surplus_answer_is_never_given_to_another_call() {
-    let world = World::new();
+    let cluster = Cluster::new();
     let raw = RawEngine::spawn(|id| {
         let answer = RawEngine::complete_response;
         // Each answer is followed by a second one that could be taken for that of the next call.
         format!("{}{}", answer(id, &format!("for {id}")), answer(id, "once more")).into_bytes()
     });
     let address = raw.await.unwrap().address;
-    world.store.register_engine("raw", "api", "mem", address);
-    let node = world.node().await;
+    cluster.store.register_engine("raw", "api", "mem", address);
+    let node = cluster.node().await;
     for _ in 0..20 {
         let reply =
             Caller::new(node.listen).key(KEY).call(Method::GET, "/get/x", "").await.unwrap();
@@ -136,9 +136,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_ends_at_the_timeout_of_its_route() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     engine.set_behavior(Behavior::Hang);
     let start = Instant::now();
     let reply = Caller::new(node.listen).key(KEY).call(Method::GET, "/short/x", "").await.unwrap();
@@ -148,18 +148,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_leads_to_another_engine_is_removed() {
-    let world = World::new();
-    let (a, b) = (world.engine("a", "api"), world.engine("b", "api"));
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
     a.deregister();
     // The entry of an engine that no longer exists has the address of another engine.
-    world.store.register_engine("gone", "api", "mem", b.address);
-    let node = world.node().await;
+    cluster.store.register_engine("gone", "api", "mem", b.address);
+    let node = cluster.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     for _ in 0..12 {
         let reply = caller.call(Method::GET, "/get/x", "").await.unwrap();
         assert_eq!(reply.status, 200);
     }
-    wait("the node removes the engine", async || {
+    wait_until("the node removes the engine", async || {
         node.events("engine_gone").iter().any(|e| e["engine"] == "gone")
     })
     .await;
@@ -167,9 +167,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_heads_and_oversized_bodies_are_refused() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     let reply = Caller::new(node.listen)
         .key(KEY)
         .call(Method::POST, "/book/x", &"x".repeat(70_000))
@@ -196,9 +196,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_can_be_traced_in_the_log() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     engine.set_behavior(Behavior::DropConnection);
     let caller = Caller::new(node.listen).key(KEY);
     caller.call(Method::POST, "/book/x", "1").await.unwrap();
@@ -207,7 +207,7 @@
         let lines = node.events(event);
         lines.into_iter().find(|l| l["request"] == request.as_str())
     };
-    wait("the end of the call is logged", async || about("call_refused").is_some()).await;
+    wait_until("the end of the call is logged", async || about("call_refused").is_some()).await;
     let routed = about("call_routed").unwrap();
     assert_eq!((&routed["engine"], &routed["account"]), (&json!("a"), &json!("desk")));
     assert_eq!(routed["config"], 3);
--- a/crates/heathpitchd/tests/gateway_crashing_requests.rs
+++ b/crates/heathpitchd/tests/gateway_crashing_requests.rs
@@ -13,7 +13,7 @@
 
 use std::time::{Duration, Instant};
 
-use gateway::{KEY, World, fed, wait, wall_ms};
+use gateway::{Cluster, KEY, is_fed, wait_until, wall_ms};
 use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, Reply};
 use hyper::Method;
 use serde_json::{Value, json};
@@ -22,14 +22,14 @@
 const FATAL: &str = "fatal";
 /// Time after the third crash within which all connected nodes know: the contact bound of the
 /// smallest deployments.
-const CONTACT: Duration = Duration::from_millis(3_000);
+const CONTACT_BOUND: Duration = Duration::from_millis(3_000);
 /// Sends that are allowed after that.
 const MAX_LATE_SENDS: usize = 3;
 
 /// Engines that crash when they start to run the fatal request.
-fn engines(world: &World, count: usize) -> Vec<Engine> {
+fn engines(cluster: &Cluster, count: usize) -> Vec<Engine> {
     let engine = |i: usize| {
-        let engine = world.engine(&format!("e{i}"), "one");
+        let engine = cluster.engine(&format!("e{i}"), "one");
         engine.set_behavior(Behavior::Stream(40, Duration::from_millis(25)));
         engine.exit_on_body(FATAL);
         engine
@@ -38,16 +38,19 @@
 }
 
 /// Two nodes of one failure domain and one of another.
-async fn nodes(world: &World) -> [GatewayProcess; 3] {
-    let planner = world.node().await;
-    let follower = world.start("n2", &json!({}));
-    let other = world.start_in("atl", "n3");
+async fn nodes(cluster: &Cluster) -> [GatewayProcess; 3] {
+    let planner = cluster.node().await;
+    let follower = cluster.start("n2", &json!({}));
+    let other = cluster.start_in("atl", "n3");
     for node in [&follower, &other] {
         node.wait_ready().await.unwrap();
     }
-    wait("the second node follows the planner", async || fed(&follower) == Some(true)).await;
-    wait("the third node is planner", async || !other.events("domain_planner").is_empty()).await;
-    wait("planners know each other", async || !other.events("neighbour_changed").is_empty()).await;
+    wait_until("the second node follows the planner", async || is_fed(&follower) == Some(true))
+        .await;
+    wait_until("the third node is planner", async || !other.events("domain_planner").is_empty())
+        .await;
+    wait_until("planners know each other", async || !other.events("neighbour_changed").is_empty())
+        .await;
     [planner, follower, other]
 }
 
@@ -81,31 +84,33 @@
 /// Waits until every node holds the request back.
 async fn wait_held_back(nodes: &[GatewayProcess]) {
     for node in nodes {
-        wait("the request is held back", async || !node.events("request_held_back").is_empty())
-            .await;
+        wait_until("the request is held back", async || {
+            !node.events("request_held_back").is_empty()
+        })
+        .await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashed_three_engines_reaches_at_most_three_more() {
-    let world = World::new();
-    let engines = engines(&world, 18);
-    let nodes = nodes(&world).await;
+    let cluster = Cluster::new();
+    let engines = engines(&cluster, 18);
+    let nodes = nodes(&cluster).await;
     let third = crash_three(&nodes, &engines).await;
-    tokio::time::sleep(CONTACT).await;
+    tokio::time::sleep(CONTACT_BOUND).await;
     for node in nodes.iter().cycle().take(6) {
         stream(node, FATAL).await;
     }
-    let late = sends(&engines).into_iter().filter(|at| *at > third + CONTACT).count();
+    let late = sends(&engines).into_iter().filter(|at| *at > third + CONTACT_BOUND).count();
     assert!(late <= MAX_LATE_SENDS, "{late} late sends, {} engines crashed", crashed(&engines));
 }
 
 /// The delays add up: a probe, a follower's poll, a planner's, another follower's.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_node_knows_within_the_contact_bound() {
-    let world = World::new();
-    let engines = engines(&world, 18);
-    let nodes = nodes(&world).await;
+    let cluster = Cluster::new();
+    let engines = engines(&cluster, 18);
+    let nodes = nodes(&cluster).await;
     crash_three(&nodes[..2], &engines).await;
     let third = wall_ms();
     wait_held_back(&nodes).await;
@@ -119,9 +124,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_caller_of_a_held_back_request_is_refused_immediately_with_a_long_retry_after() {
-    let world = World::new();
-    let engines = engines(&world, 18);
-    let nodes = nodes(&world).await;
+    let cluster = Cluster::new();
+    let engines = engines(&cluster, 18);
+    let nodes = nodes(&cluster).await;
     crash_three(&nodes, &engines).await;
     wait_held_back(&nodes).await;
     for node in &nodes {
@@ -134,7 +139,7 @@
         let retry_after: f64 = reply.header("retry-after").unwrap().parse().unwrap();
         assert!(retry_after > 60.0, "{retry_after} s");
         assert!(node.metrics().await.unwrap().contains("heathpitch_requests_held_back 1"));
-        wait("the held list names all crashed engines", async || {
+        wait_until("the held list names all crashed engines", async || {
             let held: Value = serde_json::from_str(&node.held().await.unwrap()).unwrap();
             held[0]["engines"].as_array().is_some_and(|e| e.len() == crashed(&engines))
         })
@@ -145,9 +150,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn harmless_requests_cut_off_by_the_same_crashes_are_not_held_back() {
-    let world = World::new();
-    let engines = engines(&world, 18);
-    let nodes = nodes(&world).await;
+    let cluster = Cluster::new();
+    let engines = engines(&cluster, 18);
+    let nodes = nodes(&cluster).await;
     let listen = nodes.iter().map(|n| n.listen).collect::<Vec<_>>();
     let harmless = (0..24).map(|i| {
         let address = listen[i % listen.len()];
@@ -188,14 +193,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_starts_later_knows_before_it_is_ready() {
-    let world = World::new();
-    let engines = engines(&world, 18);
-    let nodes = nodes(&world).await;
+    let cluster = Cluster::new();
+    let engines = engines(&cluster, 18);
+    let nodes = nodes(&cluster).await;
     crash_three(&nodes, &engines).await;
     wait_held_back(&nodes).await;
     let sent = sends(&engines).len();
     for (domain, name) in [("mem", "n4"), ("atl", "n5")] {
-        let node = world.start_in(domain, name);
+        let node = cluster.start_in(domain, name);
         node.wait_ready().await.unwrap();
         assert_eq!(stream(&node, FATAL).await.status, 503);
     }
@@ -204,39 +209,43 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_quarantine_survives_a_restart_of_all_nodes_and_an_operator_can_release_it() {
-    let world = World::new();
-    let engines = engines(&world, 18);
-    let nodes = nodes(&world).await;
+    let cluster = Cluster::new();
+    let engines = engines(&cluster, 18);
+    let nodes = nodes(&cluster).await;
     crash_three(&nodes, &engines).await;
-    let entry = || world.store.list("heathpitch/quarantine/").into_iter().next();
-    wait("the store has the entry", async || entry().is_some()).await;
+    let entry = || cluster.store.list("heathpitch/quarantine/").into_iter().next();
+    wait_until("the store has the entry", async || entry().is_some()).await;
     let sent = sends(&engines).len();
     nodes.iter().for_each(|n| n.signal("KILL").unwrap());
     drop(nodes);
-    let restarted = [("mem", "n1"), ("atl", "n3")].map(|(d, n)| world.start_in(d, n));
+    let restarted = [("mem", "n1"), ("atl", "n3")].map(|(d, n)| cluster.start_in(d, n));
     for node in &restarted {
         node.wait_ready().await.unwrap();
         assert_eq!(stream(node, FATAL).await.status, 503);
     }
     assert_eq!(sends(&engines).len(), sent);
     for node in &restarted {
-        wait("each domain has a planner", async || !node.events("domain_planner").is_empty()).await;
+        wait_until("each domain has a planner", async || !node.events("domain_planner").is_empty())
+            .await;
     }
-    world.store.remove(&entry().unwrap().0);
+    cluster.store.remove(&entry().unwrap().0);
     for node in &restarted {
-        wait("the request is released", async || !node.events("request_let_through").is_empty())
-            .await;
+        wait_until("the request is released", async || {
+            !node.events("request_let_through").is_empty()
+        })
+        .await;
     }
     engines.iter().for_each(|e| e.exit_on_body("nothing any more"));
-    wait("the request is served", async || stream(&restarted[0], FATAL).await.status == 200).await;
+    wait_until("the request is served", async || stream(&restarted[0], FATAL).await.status == 200)
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn at_most_once_calls_are_held_back_too() {
-    let world = World::new();
-    let engines: Vec<_> = (0..8).map(|i| world.engine(&format!("e{i}"), "api")).collect();
+    let cluster = Cluster::new();
+    let engines: Vec<_> = (0..8).map(|i| cluster.engine(&format!("e{i}"), "api")).collect();
     engines.iter().for_each(|e| e.exit_on_body(FATAL));
-    let nodes = nodes(&world).await;
+    let nodes = nodes(&cluster).await;
     let mut ran = 0;
     for node in nodes.iter().cycle().take(9) {
         let caller = Caller::new(node.listen).key(KEY);
@@ -253,10 +262,10 @@
 /// A connection that a live engine resets or cuts off is no evidence against the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_that_cut_responses_off_do_not_count_as_crashed() {
-    let world = World::new();
-    let engines = engines(&world, 6);
+    let cluster = Cluster::new();
+    let engines = engines(&cluster, 6);
     engines.iter().for_each(|e| e.set_behavior(Behavior::TruncateAfter(0)));
-    let node = world.node().await;
+    let node = cluster.node().await;
     for _ in 0..8 {
         stream(&node, "proper").await;
     }
@@ -268,9 +277,9 @@
 /// Engines crash on their own, one after the other, while they run the same long stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_had_run_for_long_when_engines_crashed_is_not_held_back() {
-    let world = World::new();
-    let engines = engines(&world, 8);
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engines = engines(&cluster, 8);
+    let node = cluster.node().await;
     for _ in 0..4 {
         let call = stream(&node, "proper");
         let fault = async {
@@ -293,12 +302,13 @@
 /// engines that had exited: entries expire only three seconds after an exit.
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_avoid_an_engine_whose_exit_another_node_detected() {
-    let world = World::new();
-    let engines = engines(&world, 6);
-    let nodes = nodes(&world).await;
+    let cluster = Cluster::new();
+    let engines = engines(&cluster, 6);
+    let nodes = nodes(&cluster).await;
     let call = stream(&nodes[0], "proper");
     let fault = async {
-        wait("the stream runs", async || engines.iter().any(|e| !e.requests().is_empty())).await;
+        wait_until("the stream runs", async || engines.iter().any(|e| !e.requests().is_empty()))
+            .await;
         tokio::time::sleep(Duration::from_millis(400)).await;
         engines.iter().filter(|e| !e.requests().is_empty()).for_each(Engine::crash);
     };
@@ -307,8 +317,10 @@
     engines.iter().for_each(|e| e.set_behavior(Behavior::Stream(2, Duration::from_millis(2))));
     for node in &nodes {
         let avoided = |e: &Value| e["engine"] == gone.id.as_str() && e["why"] == "engine exited";
-        wait("the engine is avoided", async || node.events("engine_doubted").iter().any(avoided))
-            .await;
+        wait_until("the engine is avoided", async || {
+            node.events("engine_doubted").iter().any(avoided)
+        })
+        .await;
         for _ in 0..8 {
             assert_eq!(stream(node, "proper").await.status, 200);
         }
--- a/crates/heathpitchd/tests/gateway_feed.rs
+++ b/crates/heathpitchd/tests/gateway_feed.rs
@@ -7,26 +7,27 @@
 
 use std::time::Duration;
 
-use gateway::{KEY, World, fed, reachable, status, wait, wall_ms};
+use gateway::{Cluster, KEY, is_fed, reachable, status, wait_until, wall_ms};
 use heathpitch_standin::{Behavior, Caller, GatewayProcess, LinkMode, Proxy, RouteSpec, StoreMode};
 use hyper::Method;
 use serde_json::json;
 
 /// Starts a planner, and a follower whose link to the store can be faulted.
-async fn pair(world: &World) -> (GatewayProcess, GatewayProcess, Proxy) {
-    let planner = world.node().await;
-    wait("the first node is planner", async || !planner.events("domain_planner").is_empty()).await;
-    let (other, link) = world.start_behind("n2", &json!({ "revoke_ms": 2_500 }));
+async fn pair(cluster: &Cluster) -> (GatewayProcess, GatewayProcess, Proxy) {
+    let planner = cluster.node().await;
+    wait_until("the first node is planner", async || !planner.events("domain_planner").is_empty())
+        .await;
+    let (other, link) = cluster.start_behind("n2", &json!({ "revoke_ms": 2_500 }));
     other.wait_ready().await.unwrap();
-    wait("the second node is fed", async || fed(&other) == Some(true)).await;
+    wait_until("the second node is fed", async || is_fed(&other) == Some(true)).await;
     (planner, other, link)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn follower_makes_no_store_calls_of_its_own() {
-    let world = World::new();
-    world.engine("a", "api");
-    let (_planner, other, _link) = pair(&world).await;
+    let cluster = Cluster::new();
+    cluster.engine("a", "api");
+    let (_planner, other, _link) = pair(&cluster).await;
     let made = async || {
         let text = other.metrics().await.unwrap();
         let proofs =
@@ -35,7 +36,7 @@
     };
     let before = made().await;
     for i in 0..20 {
-        world.store.register_engine("b", "api", &format!("z{i}"), ([127, 0, 0, 1], 9).into());
+        cluster.store.register_engine("b", "api", &format!("z{i}"), ([127, 0, 0, 1], 9).into());
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     assert_eq!(made().await, before, "the follower makes no proofs");
@@ -48,20 +49,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn node_without_store_gets_everything_from_planner() {
     for mode in [LinkMode::Reset, LinkMode::Blackhole, LinkMode::OneWay] {
-        let mut world = World::new();
-        world.engine("a", "api");
-        let (_planner, other, link) = pair(&world).await;
+        let mut cluster = Cluster::new();
+        cluster.engine("a", "api");
+        let (_planner, other, link) = pair(&cluster).await;
         link.set_mode(mode);
         let caller = Caller::new(other.listen).key(KEY);
         // Longer than keys are accepted without a proof.
         tokio::time::sleep(Duration::from_millis(3_000)).await;
         assert_eq!(status(&caller, "/get/x").await, 200, "{mode:?}");
-        world.site.version = 9;
-        world.site.routes.push(RouteSpec::idempotent("/added/", "api"));
-        world.configure();
-        wait("the new route is served", async || status(&caller, "/added/x").await == 200).await;
-        let second = world.engine("b", "api");
-        wait("the new engine is used", async || {
+        cluster.config.version = 9;
+        cluster.config.routes.push(RouteSpec::idempotent("/added/", "api"));
+        cluster.configure();
+        wait_until("the new route is served", async || status(&caller, "/added/x").await == 200)
+            .await;
+        let second = cluster.engine("b", "api");
+        wait_until("the new engine is used", async || {
             status(&caller, "/get/x").await == 200 && !second.requests().is_empty()
         })
         .await;
@@ -70,67 +72,68 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn removed_key_is_refused_by_follower() {
-    let mut world = World::new();
-    world.engine("a", "api");
-    let (_planner, other, link) = pair(&world).await;
+    let mut cluster = Cluster::new();
+    cluster.engine("a", "api");
+    let (_planner, other, link) = pair(&cluster).await;
     link.set_mode(LinkMode::Blackhole);
     let caller = Caller::new(other.listen).key(KEY);
     assert_eq!(status(&caller, "/get/x").await, 200);
-    world.site.version = 9;
-    world.site.tenants[0].1.remove(0);
-    world.configure();
-    wait("the key is refused", async || status(&caller, "/get/x").await == 401).await;
+    cluster.config.version = 9;
+    cluster.config.tenants[0].1.remove(0);
+    cluster.configure();
+    wait_until("the key is refused", async || status(&caller, "/get/x").await == 401).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn follower_reads_store_when_planner_dies_or_stalls() {
     for signal in ["KILL", "STOP"] {
-        let mut world = World::new();
-        world.engine("a", "api");
-        let (planner, other, _link) = pair(&world).await;
+        let mut cluster = Cluster::new();
+        cluster.engine("a", "api");
+        let (planner, other, _link) = pair(&cluster).await;
         planner.signal(signal).unwrap();
-        wait("the feed is lost", async || fed(&other) == Some(false)).await;
-        world.site.version = 9;
-        world.site.routes.push(RouteSpec::idempotent("/added/", "api"));
-        world.configure();
+        wait_until("the feed is lost", async || is_fed(&other) == Some(false)).await;
+        cluster.config.version = 9;
+        cluster.config.routes.push(RouteSpec::idempotent("/added/", "api"));
+        cluster.configure();
         let caller = Caller::new(other.listen).key(KEY);
-        wait("the new route is served", async || status(&caller, "/added/x").await == 200).await;
+        wait_until("the new route is served", async || status(&caller, "/added/x").await == 200)
+            .await;
         planner.signal("CONT").unwrap();
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn planner_without_store_loses_its_followers() {
-    let world = World::new();
-    world.engine("a", "api");
-    let (planner, link, other) = world.planner_and_follower().await;
+    let cluster = Cluster::new();
+    cluster.engine("a", "api");
+    let (planner, link, other) = cluster.planner_and_follower().await;
     link.set_mode(LinkMode::Blackhole);
-    wait("the feed is lost", async || fed(&other) == Some(false)).await;
-    wait("the second node is planner", async || {
+    wait_until("the feed is lost", async || is_fed(&other) == Some(false)).await;
+    wait_until("the second node is planner", async || {
         other.events("domain_planner").iter().any(|e| e["active"] == true)
     })
     .await;
     link.set_mode(LinkMode::Pass);
-    wait("the first node is fed", async || fed(&planner) == Some(true)).await;
+    wait_until("the first node is fed", async || is_fed(&planner) == Some(true)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_engine_gets_no_new_streams_from_any_node() {
-    let world = World::new();
-    let [a, b, c] = ["a", "b", "c"].map(|id| world.engine(id, "llm"));
+    let cluster = Cluster::new();
+    let [a, b, c] = ["a", "b", "c"].map(|id| cluster.engine(id, "llm"));
     a.set_layers(0, 4);
     b.set_layers(4, 8);
     c.set_layers(0, 4);
     for e in [&a, &b, &c] {
         e.set_behavior(Behavior::Stream(5, Duration::from_millis(2)));
     }
-    let (planner, other, _link) = pair(&world).await;
+    let (planner, other, _link) = pair(&cluster).await;
     for (slow, quick) in [(&a, &c), (&c, &a)] {
         slow.set_slowdown(20.0);
         quick.set_slowdown(1.0);
         for node in [&planner, &other] {
             let caller = Caller::new(node.listen).key(KEY);
-            wait("streams avoid the slow engine", async || {
+            wait_until("streams avoid the slow engine", async || {
                 let before = slow.requests().len();
                 for _ in 0..24 {
                     let reply = caller.call(Method::POST, "/tell/x", "prompt").await.unwrap();
@@ -145,22 +148,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stopping_planner_hands_over_first() {
-    let world = World::new();
-    world.engine("a", "api");
-    let (mut planner, other, _link) = pair(&world).await;
-    let third = world.start("n3", &json!({}));
+    let cluster = Cluster::new();
+    cluster.engine("a", "api");
+    let (mut planner, other, _link) = pair(&cluster).await;
+    let third = cluster.start("n3", &json!({}));
     third.wait_ready().await.unwrap();
-    wait("the third node is fed", async || fed(&third) == Some(true)).await;
+    wait_until("the third node is fed", async || is_fed(&third) == Some(true)).await;
     planner.signal("TERM").unwrap();
     let is_planner =
         |n: &GatewayProcess| n.events("domain_planner").iter().any(|e| e["active"] == true);
-    wait("another node is planner before the first one exits", async || {
+    wait_until("another node is planner before the first one exits", async || {
         is_planner(&other) || is_planner(&third)
     })
     .await;
     assert_eq!(planner.events("gateway_stopped").len(), 0, "the first node is still running");
     let (new, follower) = if is_planner(&other) { ("n2", &third) } else { ("n3", &other) };
-    wait("the last node follows the new planner", async || {
+    wait_until("the last node follows the new planner", async || {
         follower.events("feed_changed").last().is_some_and(|e| e["planner"] == new)
     })
     .await;
@@ -172,24 +175,24 @@
 /// suspected cause of requests that reached a draining engine.
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_unlisted_after_outage_are_removed_everywhere_in_time() {
-    let world = World::new();
-    world.engine("a", "api");
-    world.engine("b", "llm").set_layers(0, 8);
+    let cluster = Cluster::new();
+    cluster.engine("a", "api");
+    cluster.engine("b", "llm").set_layers(0, 8);
     for i in 0..80 {
-        world.store.register_engine(&format!("z{i}"), "api", "mem", ([127, 0, 0, 1], 9).into());
+        cluster.store.register_engine(&format!("z{i}"), "api", "mem", ([127, 0, 0, 1], 9).into());
     }
-    let (planner, other, _link) = pair(&world).await;
-    world.store.set_mode(StoreMode::Unavailable);
-    wait("both nodes notice", async || {
-        reachable(&planner) == Some(false) && fed(&other) == Some(false)
+    let (planner, other, _link) = pair(&cluster).await;
+    cluster.store.set_mode(StoreMode::Unavailable);
+    wait_until("both nodes notice", async || {
+        reachable(&planner) == Some(false) && is_fed(&other) == Some(false)
     })
     .await;
-    world.store.set_mode(StoreMode::Up);
+    cluster.store.set_mode(StoreMode::Up);
     // From here on missing entries get a grace period.
-    wait("the planner notices", async || reachable(&planner) == Some(true)).await;
+    wait_until("the planner notices", async || reachable(&planner) == Some(true)).await;
     let mut left = Vec::new();
     for i in 0..14 {
-        world.store.remove(&format!("servers/z{i}"));
+        cluster.store.remove(&format!("servers/z{i}"));
         left.push((format!("z{i}"), wall_ms()));
         tokio::time::sleep(Duration::from_millis(40)).await;
     }
@@ -199,7 +202,7 @@
             let mut of = events.filter(|e| e["engine"] == id);
             of.next().map(|e| e["at"].as_u64().unwrap())
         };
-        wait("all are removed", async || left.iter().all(|(id, _)| gone(id).is_some())).await;
+        wait_until("all are removed", async || left.iter().all(|(id, _)| gone(id).is_some())).await;
         let took = |(id, at): &(String, u64)| gone(id).unwrap().saturating_sub(*at);
         let longest = left.iter().map(took).max().unwrap();
         assert!(longest < 2_000, "{longest} ms");
@@ -210,14 +213,14 @@
 /// meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn follower_takes_over_despite_dead_watch() {
-    let world = World::new();
-    world.engine("a", "api");
-    let (planner, other, link) = pair(&world).await;
+    let cluster = Cluster::new();
+    cluster.engine("a", "api");
+    let (planner, other, link) = pair(&cluster).await;
     link.blackhole_open();
     planner.signal("KILL").unwrap();
     let killed = wall_ms();
     let promotion = || other.events("domain_planner").into_iter().find(|e| e["active"] == true);
-    wait("the second node is planner", async || promotion().is_some()).await;
+    wait_until("the second node is planner", async || promotion().is_some()).await;
     let took = promotion().unwrap()["at"].as_u64().unwrap() - killed;
     assert!(took < 7_000, "{took} ms");
 }
@@ -226,48 +229,48 @@
 /// when the planner was gone and an engine was draining.
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_idle_connections_do_not_delay_changes() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    world.engine("b", "api");
-    let (planner, other, link) = pair(&world).await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    cluster.engine("b", "api");
+    let (planner, other, link) = pair(&cluster).await;
     link.blackhole_open();
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     planner.signal("KILL").unwrap();
     engine.register("draining");
     let drained_at = wall_ms();
     let drain_event = || other.events("engine_listed").into_iter().find(|e| e["leaving"] == true);
-    wait("the second node knows that it drains", async || drain_event().is_some()).await;
+    wait_until("the second node knows that it drains", async || drain_event().is_some()).await;
     let took = drain_event().unwrap()["at"].as_u64().unwrap() - drained_at;
     assert!(took < 1_300, "{took} ms");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn planners_exchange_engine_load() {
-    let world = World::new();
-    let [a, b] = ["a", "b"].map(|id| world.engine(id, "llm"));
+    let cluster = Cluster::new();
+    let [a, b] = ["a", "b"].map(|id| cluster.engine(id, "llm"));
     a.set_layers(0, 4);
     b.set_layers(4, 8);
     a.set_behavior(Behavior::Stream(3, Duration::from_millis(5)));
-    let _here = world.node().await;
-    let there = world.start_in("far", "n9");
+    let _here = cluster.node().await;
+    let there = cluster.start_in("far", "n9");
     there.wait_ready().await.unwrap();
-    wait("the other domain's planner answers", async || {
+    wait_until("the other domain's planner answers", async || {
         there.events("neighbour_changed").iter().any(|e| e["error"].is_null())
     })
     .await;
     a.set_held_tokens(124_000);
     let caller = Caller::new(there.listen).key(KEY);
     let asked = a.requests().len();
-    wait("a node of the other domain knows that the engines are full", async || {
+    wait_until("a node of the other domain knows that the engines are full", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 503
     })
     .await;
-    wait("the refusal is logged", async || !there.events("call_refused").is_empty()).await;
+    wait_until("the refusal is logged", async || !there.events("call_refused").is_empty()).await;
     let detail = there.events("call_refused").pop().unwrap()["detail"].to_string();
     assert!(detail.contains("by its report"), "{detail}; {} asked", a.requests().len() - asked);
     // A report without load is sent once; unchanged reports are not sent again.
     a.set_held_tokens(0);
-    wait("a node of the other domain knows that there is capacity again", async || {
+    wait_until("a node of the other domain knows that there is capacity again", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 200
     })
     .await;
@@ -285,9 +288,9 @@
 /// While nothing changes, the planner's proofs of the configuration also cover its list of engines.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_planner_calls_store_once_a_second() {
-    let world = World::new();
-    let _engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let _engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     tokio::time::sleep(Duration::from_secs(4)).await;
     let before = store_calls(&node, |call| call != "renew").await;
     tokio::time::sleep(Duration::from_secs(8)).await;
@@ -303,18 +306,18 @@
 /// answers, it reads the store after a while.
 #[tokio::test(flavor = "multi_thread")]
 async fn seeded_node_makes_no_store_calls() {
-    let world = World::new();
-    let _engine = world.engine("a", "api");
-    let planner = world.node().await;
+    let cluster = Cluster::new();
+    let _engine = cluster.engine("a", "api");
+    let planner = cluster.node().await;
     let seed = planner.events("gateway_started")[0]["peer"].as_str().unwrap().to_owned();
     let calls = async |node| store_calls(node, |_| true).await;
-    let node = world.start_seeded("n2", &["127.0.0.1:1", &seed]);
+    let node = cluster.start_seeded("n2", &["127.0.0.1:1", &seed]);
     node.wait_ready().await.unwrap();
-    wait("it is fed", async || fed(&node) == Some(true)).await;
+    wait_until("it is fed", async || is_fed(&node) == Some(true)).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(calls(&node).await, 0.0);
     assert!(calls(&planner).await > 0.0);
-    let alone = world.start_seeded("n3", &["127.0.0.1:1"]);
+    let alone = cluster.start_seeded("n3", &["127.0.0.1:1"]);
     alone.wait_ready().await.unwrap();
     assert!(calls(&alone).await > 0.0);
 }
@@ -323,14 +326,14 @@
 /// a moment. The list is then requested at once, and no follower loses its source.
 #[tokio::test(flavor = "multi_thread")]
 async fn followers_keep_source_during_frequent_configuration_changes() {
-    let mut world = World::new();
-    let _engine = world.engine("a", "api");
-    let (_planner, _link, other) = world.planner_and_follower().await;
+    let mut cluster = Cluster::new();
+    let _engine = cluster.engine("a", "api");
+    let (_planner, _link, other) = cluster.planner_and_follower().await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = other.events("feed_changed").len();
     for version in 10..28 {
-        world.site.version = version;
-        world.configure();
+        cluster.config.version = version;
+        cluster.configure();
         tokio::time::sleep(Duration::from_millis(330)).await;
     }
     assert_eq!(other.events("feed_changed").len(), before);
--- a/crates/heathpitchd/tests/gateway_incarnations.rs
+++ b/crates/heathpitchd/tests/gateway_incarnations.rs
@@ -4,7 +4,7 @@
 
 mod gateway;
 
-use gateway::{KEY, World, fed, status, wait};
+use gateway::{Cluster, KEY, is_fed, status, wait_until};
 use heathpitch_standin::{Caller, Engine, GatewayProcess, invalid_entries};
 use serde_json::json;
 
@@ -26,12 +26,12 @@
 }
 
 async fn wait_all_held(engines: &[&Engine]) {
-    wait("all layers are held", async || all_held(engines)).await;
+    wait_until("all layers are held", async || all_held(engines)).await;
 }
 
 /// Waits until a node lists an engine, and so has processed all earlier changes of the store.
 async fn wait_listed(node: &GatewayProcess, engine: &Engine) {
-    wait("a later entry is listed", async || {
+    wait_until("a later entry is listed", async || {
         node.events("engine_listed").iter().any(|e| e["engine"] == engine.id.as_str())
     })
     .await;
@@ -39,15 +39,16 @@
 
 /// Waits until a node detects a restart of an engine, and returns the evidence.
 async fn wait_for_restart(node: &GatewayProcess, engine: &str) -> Vec<String> {
-    wait("the restart is detected", async || !restart_evidence(node, engine).is_empty()).await;
+    wait_until("the restart is detected", async || !restart_evidence(node, engine).is_empty())
+        .await;
     restart_evidence(node, engine)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_engine_gets_new_orders() {
-    let world = World::new();
-    let (a, b) = (world.engine("a", "llm"), world.engine("b", "llm"));
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.engine("a", "llm"), cluster.engine("b", "llm"));
+    let node = cluster.node().await;
     wait_all_held(&[&a, &b]).await;
     a.restart();
     a.register("ready");
@@ -59,9 +60,9 @@
 /// After a restart the entry may be unchanged: heartbeats do not modify it, and the engine was never unlisted.
 #[tokio::test(flavor = "multi_thread")]
 async fn status_shows_restart_before_entry() {
-    let world = World::new();
-    let (a, b) = (world.engine("a", "llm"), world.engine("b", "llm"));
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.engine("a", "llm"), cluster.engine("b", "llm"));
+    let node = cluster.node().await;
     wait_all_held(&[&a, &b]).await;
     let old = a.entry("ready");
     a.restart();
@@ -69,52 +70,53 @@
     assert_eq!(wait_for_restart(&node, "a").await, ["its status"]);
     // A late entry of the earlier incarnation is ignored.
     let held = a.layers();
-    world.store.put("servers/a", &old);
-    let other = world.engine("c", "api");
+    cluster.store.put("servers/a", &old);
+    let other = cluster.engine("c", "api");
     wait_listed(&node, &other).await;
     assert_eq!((restart_evidence(&node, "a").len(), a.layers()), (1, held));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_engine_takes_work_after_restart() {
-    let world = World::new();
-    let a = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let a = cluster.engine("a", "api");
+    let node = cluster.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     assert_eq!(status(&caller, "/get/x").await, 200);
     a.register("draining");
-    wait("it gets no work", async || status(&caller, "/get/x").await == 503).await;
+    wait_until("it gets no work", async || status(&caller, "/get/x").await == 503).await;
     // The same incarnation does not become ready again.
     a.register("ready");
-    let other = world.engine("b", "one");
+    let other = cluster.engine("b", "one");
     wait_listed(&node, &other).await;
     assert_eq!(status(&caller, "/get/x").await, 503);
     a.restart();
     a.register("ready");
-    wait("the new incarnation gets work", async || status(&caller, "/get/x").await == 200).await;
+    wait_until("the new incarnation gets work", async || status(&caller, "/get/x").await == 200)
+        .await;
 }
 
 /// Invalid entries in a first list, in changes and in the list of a follower add no engine, and do not affect
 /// valid entries.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_entries_add_no_engine() {
-    let world = World::new();
-    let (good, bad) = (world.engine("good", "api"), world.engine("bad", "api"));
+    let cluster = Cluster::new();
+    let (good, bad) = (cluster.engine("good", "api"), cluster.engine("bad", "api"));
     let entries = invalid_entries(&bad.entry("ready"));
     bad.deregister();
     let put_bad = || {
         for (number, entry) in entries.iter().enumerate() {
-            world.store.put(&format!("servers/bad-{number}"), entry);
+            cluster.store.put(&format!("servers/bad-{number}"), entry);
         }
-        world.store.put("servers/two words", &good.entry("ready"));
+        cluster.store.put("servers/two words", &good.entry("ready"));
     };
     put_bad();
-    let planner = world.start("n1", &json!({}));
+    let planner = cluster.start("n1", &json!({}));
     planner.wait_ready().await.unwrap();
-    wait("it is planner", async || !planner.events("domain_planner").is_empty()).await;
-    let follower = world.start("n2", &json!({}));
+    wait_until("it is planner", async || !planner.events("domain_planner").is_empty()).await;
+    let follower = cluster.start("n2", &json!({}));
     follower.wait_ready().await.unwrap();
-    wait("it is fed", async || fed(&follower) == Some(true)).await;
+    wait_until("it is fed", async || is_fed(&follower) == Some(true)).await;
     let callers = [&planner, &follower].map(|n| Caller::new(n.listen).key(KEY));
     for caller in &callers {
         for _ in 0..10 {
@@ -123,7 +125,7 @@
     }
     // The same entries as changes, and one that replaces a valid entry.
     bad.register("ready");
-    wait("both nodes send it requests", async || {
+    wait_until("both nodes send it requests", async || {
         for caller in &callers {
             assert_eq!(status(caller, "/get/x").await, 200);
         }
@@ -131,10 +133,10 @@
     })
     .await;
     put_bad();
-    world.store.put("servers/bad", &json!({ "state": "ready" }));
+    cluster.store.put("servers/bad", &json!({ "state": "ready" }));
     let gone =
         |node: &GatewayProcess| node.events("engine_gone").iter().any(|e| e["engine"] == "bad");
-    wait("both nodes remove it", async || gone(&planner) && gone(&follower)).await;
+    wait_until("both nodes remove it", async || gone(&planner) && gone(&follower)).await;
     let seen = bad.requests().len();
     for caller in &callers {
         for _ in 0..10 {
--- a/crates/heathpitchd/tests/gateway_layers.rs
+++ b/crates/heathpitchd/tests/gateway_layers.rs
@@ -4,7 +4,7 @@
 
 mod gateway;
 
-use gateway::{KEY, World, wait};
+use gateway::{Cluster, KEY, wait_until};
 use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess};
 use hyper::Method;
 use serde_json::json;
@@ -23,17 +23,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn empty_engines_load_every_layer_within_their_memory() {
-    let world = World::new();
-    let engines: Vec<_> = (0..4).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
-    let node = world.node().await;
-    wait("every layer is held", async || hold_every_layer(&engines)).await;
+    let cluster = Cluster::new();
+    let engines: Vec<_> = (0..4).map(|i| cluster.engine(&format!("e{i}"), "llm")).collect();
+    let node = cluster.node().await;
+    wait_until("every layer is held", async || hold_every_layer(&engines)).await;
     for engine in &engines {
         let (from, end) = engine.layers();
         assert!(end - from <= 4, "{from}..{end}");
         engine.set_behavior(Behavior::Stream(2, std::time::Duration::from_millis(1)));
     }
     let caller = Caller::new(node.listen).key(KEY);
-    wait("streams are served", async || {
+    wait_until("streams are served", async || {
         caller.call(Method::POST, "/tell/x", "p").await.unwrap().status == 200
     })
     .await;
@@ -41,14 +41,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_layers_of_a_lost_engine_are_loaded_by_others() {
-    let world = World::new();
-    let mut engines: Vec<_> = (0..4).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
-    let _node = world.node().await;
-    wait("every layer is held", async || hold_every_layer(&engines)).await;
+    let cluster = Cluster::new();
+    let mut engines: Vec<_> = (0..4).map(|i| cluster.engine(&format!("e{i}"), "llm")).collect();
+    let _node = cluster.node().await;
+    wait_until("every layer is held", async || hold_every_layer(&engines)).await;
     let lost = engines.remove(0);
     lost.crash();
     lost.deregister();
-    wait("every layer is held again", async || hold_every_layer(&engines)).await;
+    wait_until("every layer is held again", async || hold_every_layer(&engines)).await;
 }
 
 /// An engine's entry may outlive it, for as long as the store is unreachable or forever. An order
@@ -56,20 +56,20 @@
 /// no other engine, and no stream was served any more.
 #[tokio::test(flavor = "multi_thread")]
 async fn layers_are_not_left_to_an_unreachable_engine() {
-    let world = World::new();
-    let [ended, first, second, third] = ["a", "b", "c", "d"].map(|id| world.engine(id, "llm"));
+    let cluster = Cluster::new();
+    let [ended, first, second, third] = ["a", "b", "c", "d"].map(|id| cluster.engine(id, "llm"));
     ended.crash();
     first.set_layers(0, 4);
     [&second, &third].iter().for_each(|e| e.set_layers(4, 8));
-    let node = world.node().await;
+    let node = cluster.node().await;
     let ordered = |e: &serde_json::Value| e["engine"] == "a";
-    wait("the exited engine is ordered to load layers", async || {
+    wait_until("the exited engine is ordered to load layers", async || {
         node.events("layers_ordered").iter().any(ordered)
     })
     .await;
     first.crash();
     first.deregister();
-    wait("living engines hold every layer", async || {
+    wait_until("living engines hold every layer", async || {
         hold_every_layer(&[second.clone(), third.clone()])
     })
     .await;
@@ -77,31 +77,31 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn another_node_becomes_planner_when_the_planner_exits() {
-    let world = World::new();
-    let mut engines: Vec<_> = (0..4).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
-    let mut nodes = vec![world.start("n1", &json!({})), world.start("n2", &json!({}))];
+    let cluster = Cluster::new();
+    let mut engines: Vec<_> = (0..4).map(|i| cluster.engine(&format!("e{i}"), "llm")).collect();
+    let mut nodes = vec![cluster.start("n1", &json!({})), cluster.start("n2", &json!({}))];
     for node in &nodes {
         node.wait_ready().await.unwrap();
     }
-    wait("one node is the planner", async || planner(&nodes).is_some()).await;
-    wait("every layer is held", async || hold_every_layer(&engines)).await;
+    wait_until("one node is the planner", async || planner(&nodes).is_some()).await;
+    wait_until("every layer is held", async || hold_every_layer(&engines)).await;
     let dead = nodes.remove(planner(&nodes).unwrap());
     drop(dead);
-    wait("the other node is the planner", async || planner(&nodes).is_some()).await;
+    wait_until("the other node is the planner", async || planner(&nodes).is_some()).await;
     let lost = engines.remove(0);
     lost.crash();
     lost.deregister();
-    wait("every layer is held again", async || hold_every_layer(&engines)).await;
+    wait_until("every layer is held again", async || hold_every_layer(&engines)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn layers_that_engines_already_hold_are_not_moved() {
-    let world = World::new();
-    let engines: Vec<_> = (0..3).map(|i| world.engine(&format!("e{i}"), "llm")).collect();
+    let cluster = Cluster::new();
+    let engines: Vec<_> = (0..3).map(|i| cluster.engine(&format!("e{i}"), "llm")).collect();
     engines[0].set_layers(0, 4);
     engines[1].set_layers(4, 8);
     engines[2].set_layers(0, 4);
-    let _node = world.node().await;
+    let _node = cluster.node().await;
     tokio::time::sleep(std::time::Duration::from_millis(2_500)).await;
     assert!(engines.iter().all(|e| e.orders().is_empty()));
 }
--- a/crates/heathpitchd/tests/gateway_limits.rs
+++ b/crates/heathpitchd/tests/gateway_limits.rs
@@ -14,15 +14,15 @@
 use std::time::{Duration, Instant};
 
 use futures::future::join_all;
-use gateway::{KEY, World, wait};
+use gateway::{Cluster, KEY, wait_until};
 use heathpitch_standin::{Behavior, Caller, Engine, GatewayProcess, Reply, StoreMode};
 use hyper::Method;
 use serde_json::json;
 
 /// Advertised limit in requests per second, as a number and as the header's value.
-const LIMIT: (f64, &str) = (3.6, "3.6");
+const LIMIT_PER_S: (f64, &str) = (3.6, "3.6");
 /// Time from the first response with the limit until all nodes observe it: the contact bound.
-const CONTACT: Duration = Duration::from_millis(3_000);
+const CONTACT_BOUND: Duration = Duration::from_millis(3_000);
 /// Length of the window in which requests are counted.
 const WINDOW_S: f64 = 4.0;
 /// Part of a limit that has to be used under sufficient demand.
@@ -106,7 +106,7 @@
 /// Three nodes in two failure domains and two identical engines, the first of which advertises a
 /// limit.
 struct Fleet {
-    world: World,
+    cluster: Cluster,
     nodes: [GatewayProcess; 3],
     limited: Engine,
     _other: Engine,
@@ -114,28 +114,28 @@
 
 impl Fleet {
     async fn new(kind: &RequestKind) -> Self {
-        let world = World::new();
-        let [limited, other] = ["a", "b"].map(|name| world.engine(name, kind.service));
+        let cluster = Cluster::new();
+        let [limited, other] = ["a", "b"].map(|name| cluster.engine(name, kind.service));
         if kind.service == "llm" {
             [&limited, &other].iter().for_each(|e| e.set_layers(0, 4));
-            world.engine("behind", kind.service).set_layers(4, 8);
+            cluster.engine("behind", kind.service).set_layers(4, 8);
         }
         if kind.service != "api" {
             let play = Behavior::Stream(3, Duration::from_millis(1));
             [&limited, &other].iter().for_each(|e| e.set_behavior(play));
         }
         let none = serde_json::json!({});
-        let first = world.start("n1", &none);
+        let first = cluster.start("n1", &none);
         first.wait_ready().await.unwrap();
-        let nodes = [first, world.start("n2", &none), world.start_in("atl", "n3")];
+        let nodes = [first, cluster.start("n2", &none), cluster.start_in("atl", "n3")];
         for node in &nodes {
             node.wait_ready().await.unwrap();
-            wait("the node knows the fleet", async || {
+            wait_until("the node knows the fleet", async || {
                 node.metrics().await.is_ok_and(|text| text.contains("heathpitch_nodes 3"))
             })
             .await;
         }
-        Self { world, nodes, limited, _other: other }
+        Self { cluster, nodes, limited, _other: other }
     }
 }
 
@@ -143,19 +143,19 @@
 async fn all_nodes_together_observe_an_advertised_limit_and_use_it() {
     let found = request_kinds().map(async |kind| {
         let fleet = Fleet::new(&kind).await;
-        fleet.limited.set_limits(&[LIMIT.1]);
+        fleet.limited.set_limits(&[LIMIT_PER_S.1]);
         let start = Instant::now();
-        let replies = call_all(&fleet.nodes, CONTACT + LIMITED_TIME, &kind).await;
-        let times = request_times(&fleet.limited, start + CONTACT);
+        let replies = call_all(&fleet.nodes, CONTACT_BOUND + LIMITED_TIME, &kind).await;
+        let times = request_times(&fleet.limited, start + CONTACT_BOUND);
         let unserved = replies.iter().filter(|r| r.status != 200).count();
         let rate = times.len() as f64 / LIMITED_TIME.as_secs_f64();
         (kind.target, most_in_window(&times), rate, unserved)
     });
     let found = join_all(found).await;
     let fine = |(_, most, rate, unserved): &(&str, usize, f64, usize)| {
-        *most <= allowed(LIMIT.0) && *rate >= MIN_USE * LIMIT.0 && *unserved == 0
+        *most <= allowed(LIMIT_PER_S.0) && *rate >= MIN_USE * LIMIT_PER_S.0 && *unserved == 0
     };
-    let allowed = allowed(LIMIT.0);
+    let allowed = allowed(LIMIT_PER_S.0);
     println!("most in a window (allowed {allowed}), per second, calls not served: {found:?}");
     assert!(
         found.iter().all(fine),
@@ -172,14 +172,14 @@
     since: Duration,
     fault: impl Future<Output = ()>,
 ) -> (usize, f64) {
-    fleet.limited.set_limits(&[LIMIT.1]);
+    fleet.limited.set_limits(&[LIMIT_PER_S.1]);
     let start = Instant::now();
     tokio::join!(call_all(&fleet.nodes, time, kind), fault);
     let end = start + time;
-    let most = most_in_window(&request_times(&fleet.limited, start + CONTACT));
+    let most = most_in_window(&request_times(&fleet.limited, start + CONTACT_BOUND));
     let rate = request_times(&fleet.limited, start + since).len() as f64
         / (end - start - since).as_secs_f64();
-    println!("at most {most} of {} in a window, then {rate:.2} a second", allowed(LIMIT.0));
+    println!("at most {most} of {} in a window, then {rate:.2} a second", allowed(LIMIT_PER_S.0));
     (most, rate)
 }
 
@@ -202,8 +202,8 @@
     };
     let (most, rate) =
         call_under(&fleet, &kind, Duration::from_secs(20), Duration::from_secs(12), fault).await;
-    assert!(most <= allowed(LIMIT.0), "{most}");
-    assert!(rate >= MIN_USE * LIMIT.0, "{rate}");
+    assert!(most <= allowed(LIMIT_PER_S.0), "{most}");
+    assert!(rate >= MIN_USE * LIMIT_PER_S.0, "{rate}");
     assert!(!fleet.nodes[1].events("rights_changed").is_empty());
 }
 
@@ -212,17 +212,17 @@
 async fn a_limit_is_observed_when_the_issuer_is_terminated() {
     let kind = idempotent();
     let mut fleet = Fleet::new(&kind).await;
-    fleet.limited.set_limits(&[LIMIT.1]);
+    fleet.limited.set_limits(&[LIMIT_PER_S.1]);
     let start = Instant::now();
     call_all(&fleet.nodes, Duration::from_secs(5), &kind).await;
     fleet.nodes[0].signal("TERM").unwrap();
     call_all(&fleet.nodes[1..], Duration::from_secs(12), &kind).await;
-    assert!(fleet.nodes[0].wait_exit(gateway::LIMIT).is_some());
+    assert!(fleet.nodes[0].wait_exit(gateway::WAIT_TIMEOUT).is_some());
     let after = request_times(&fleet.limited, start + Duration::from_secs(10));
     let rate = after.len() as f64 / 7.0;
-    let most = most_in_window(&request_times(&fleet.limited, start + CONTACT));
-    assert!(most <= allowed(LIMIT.0), "{most}");
-    assert!(rate >= MIN_USE * LIMIT.0, "{rate}");
+    let most = most_in_window(&request_times(&fleet.limited, start + CONTACT_BOUND));
+    assert!(most <= allowed(LIMIT_PER_S.0), "{most}");
+    assert!(rate >= MIN_USE * LIMIT_PER_S.0, "{rate}");
 }
 
 /// No lease can be renewed, but most nodes of the domain still poll its planner.
@@ -230,11 +230,11 @@
 async fn rights_are_issued_while_the_store_is_unreachable() {
     let kind = RequestKind { target: "/open/x", ..idempotent() };
     let fleet = Fleet::new(&kind).await;
-    fleet.world.store.set_mode(StoreMode::Hang);
+    fleet.cluster.store.set_mode(StoreMode::Hang);
     let (most, rate) =
         call_under(&fleet, &kind, Duration::from_secs(11), Duration::from_secs(3), async {}).await;
-    assert!(most <= allowed(LIMIT.0), "{most}");
-    assert!(rate >= MIN_USE * LIMIT.0, "{rate}");
+    assert!(most <= allowed(LIMIT_PER_S.0), "{most}");
+    assert!(rate >= MIN_USE * LIMIT_PER_S.0, "{rate}");
 }
 
 /// Nodes learn of the limit and of its end without a response of the engine to a call of their own.
@@ -250,41 +250,43 @@
     let call = async |node: &GatewayProcess| {
         assert_eq!(caller(node).call(Method::GET, "/get/x", "").await.unwrap().status, 200);
     };
-    wait("one node learns the limit from the engine", async || {
+    wait_until("one node learns the limit from the engine", async || {
         call(second).await;
         learned(second, 0.5.into())
     })
     .await;
     let start = Instant::now();
-    wait("all know", async || [first, far].iter().all(|n| learned(n, 0.5.into()))).await;
-    assert!(start.elapsed() < CONTACT, "{:?}", start.elapsed());
+    wait_until("all know", async || [first, far].iter().all(|n| learned(n, 0.5.into()))).await;
+    assert!(start.elapsed() < CONTACT_BOUND, "{:?}", start.elapsed());
     assert!(first.events("engine_limited").iter().any(|e| e["by"] == "another node"));
     fleet.limited.set_limits(&[]);
-    wait("calls show the end of the limit", async || {
+    wait_until("calls show the end of the limit", async || {
         call(second).await;
         learned(second, serde_json::Value::Null)
     })
     .await;
     let start = Instant::now();
-    wait("all know", async || [first, far].iter().all(|n| learned(n, serde_json::Value::Null)))
-        .await;
-    assert!(start.elapsed() < CONTACT, "{:?}", start.elapsed());
+    wait_until("all know", async || {
+        [first, far].iter().all(|n| learned(n, serde_json::Value::Null))
+    })
+    .await;
+    assert!(start.elapsed() < CONTACT_BOUND, "{:?}", start.elapsed());
 }
 
 /// Such an engine answers only the planner's status requests, whose responses carry the limit and
 /// its end.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_of_an_engine_behind_the_first_is_observed_and_ends() {
-    let world = World::new();
-    let [first, behind] = ["a", "b"].map(|id| world.engine(id, "llm"));
+    let cluster = Cluster::new();
+    let [first, behind] = ["a", "b"].map(|id| cluster.engine(id, "llm"));
     first.set_layers(0, 4);
     behind.set_layers(4, 8);
     first.set_behavior(Behavior::Stream(3, Duration::from_millis(1)));
-    let node = world.node().await;
+    let node = cluster.node().await;
     let stream = async || caller(&node).call(Method::POST, "/tell/x", "body").await.unwrap().status;
     assert_eq!(stream().await, 200);
     behind.set_limits(&["0"]);
-    wait("the limit is known", async || stream().await == 503).await;
+    wait_until("the limit is known", async || stream().await == 503).await;
     let before = first.requests().len();
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(3) {
@@ -298,7 +300,7 @@
     );
     behind.set_limits(&[]);
     let start = Instant::now();
-    wait("the limit has ended", async || {
+    wait_until("the limit has ended", async || {
         [stream().await, stream().await, stream().await] == [200; 3]
     })
     .await;
@@ -309,9 +311,9 @@
 /// meanwhile callers are refused immediately with a retry time.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_of_zero_does_not_exclude_an_engine_for_ever() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     engine.set_limits(&["0"]);
     let get = async || caller(&node).call(Method::GET, "/get/x", "").await.unwrap();
     assert_eq!(get().await.status, 200, "nothing is known yet");
@@ -326,10 +328,10 @@
     assert!(text.contains("takes 0 requests a second from all nodes"), "{text}");
     let retry_after = refused.header("retry-after").unwrap().parse::<f64>().unwrap();
     assert!((0.1..=1.5).contains(&retry_after), "{retry_after}");
-    wait("the engine is tried", async || get().await.status == 200).await;
+    wait_until("the engine is tried", async || get().await.status == 200).await;
     assert!(engine.requests().len() <= 3, "{}", engine.requests().len());
     engine.set_limits(&[]);
-    wait("the engine is used again", async || {
+    wait_until("the engine is used again", async || {
         let served = [get().await, get().await, get().await];
         served.iter().all(|r| r.status == 200)
     })
@@ -340,18 +342,18 @@
 /// end it as usual.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_is_known_to_nodes_that_start_after_all_were_killed() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
     let get = async |node: &GatewayProcess| {
         caller(node).call(Method::GET, "/get/x", "").await.unwrap().status
     };
-    let node = world.node().await;
+    let node = cluster.node().await;
     engine.set_limits(&["0"]);
     assert_eq!(get(&node).await, 200, "nothing is known yet");
-    wait("the store has the limit", async || !node.events("limits_stored").is_empty()).await;
+    wait_until("the store has the limit", async || !node.events("limits_stored").is_empty()).await;
     drop(node);
     let before = engine.requests().len();
-    let nodes = [world.start("n1", &json!({})), world.start("n2", &json!({}))];
+    let nodes = [cluster.start("n1", &json!({})), cluster.start("n2", &json!({}))];
     for node in &nodes {
         node.wait_ready().await.unwrap();
         assert_eq!(get(node).await, 503);
@@ -360,11 +362,11 @@
     }
     assert_eq!(engine.requests().len(), before);
     engine.set_limits(&[]);
-    wait("the limit has ended", async || {
+    wait_until("the limit has ended", async || {
         [get(&nodes[0]).await, get(&nodes[0]).await, get(&nodes[0]).await] == [200; 3]
     })
     .await;
-    wait("the store has no limit any more", async || {
+    wait_until("the store has no limit any more", async || {
         let stored = nodes.iter().flat_map(|n| n.events("limits_stored"));
         stored.into_iter().any(|e| e["engines"] == 0)
     })
@@ -375,27 +377,27 @@
 /// requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_of_an_engine_behind_the_first_ends_after_all_nodes_were_killed() {
-    let world = World::new();
-    let [first, behind] = ["a", "b"].map(|id| world.engine(id, "llm"));
+    let cluster = Cluster::new();
+    let [first, behind] = ["a", "b"].map(|id| cluster.engine(id, "llm"));
     first.set_layers(0, 4);
     behind.set_layers(4, 8);
     first.set_behavior(Behavior::Stream(3, Duration::from_millis(1)));
     let stream = async |node: &GatewayProcess| {
         caller(node).call(Method::POST, "/tell/x", "body").await.unwrap().status
     };
-    let node = world.node().await;
+    let node = cluster.node().await;
     behind.set_limits(&["0"]);
-    wait("the store has the limit", async || !node.events("limits_stored").is_empty()).await;
+    wait_until("the store has the limit", async || !node.events("limits_stored").is_empty()).await;
     drop(node);
     behind.set_limits(&[]);
-    let node = world.start("n1", &json!({}));
+    let node = cluster.start("n1", &json!({}));
     node.wait_ready().await.unwrap();
-    wait("the limit is known", async || {
+    wait_until("the limit is known", async || {
         node.events("engine_limited").iter().any(|e| e["by"] == "the store")
     })
     .await;
     let start = Instant::now();
-    wait("the limit has ended", async || {
+    wait_until("the limit has ended", async || {
         [stream(&node).await, stream(&node).await, stream(&node).await] == [200; 3]
     })
     .await;
@@ -404,9 +406,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_limits_are_ignored_and_the_lower_of_two_holds_until_a_restart() {
-    let world = World::new();
-    let engine = world.engine("a", "api");
-    let node = world.node().await;
+    let cluster = Cluster::new();
+    let engine = cluster.engine("a", "api");
+    let node = cluster.node().await;
     let get = async || caller(&node).call(Method::GET, "/get/x", "").await.unwrap().status;
     for malformed in ["-1", "few", "NaN", ""] {
         engine.set_limits(&[malformed]);
@@ -426,6 +428,6 @@
     engine.set_limits(&[]);
     engine.restart();
     engine.register("ready");
-    wait("the restarted engine is used", async || get().await == 200).await;
+    wait_until("the restarted engine is used", async || get().await == 200).await;
     assert_eq!([get().await, get().await], [200, 200]);
 }
--- a/crates/heathpitchd/tests/gateway_lost_connections.rs
+++ b/crates/heathpitchd/tests/gateway_lost_connections.rs
@@ -17,24 +17,24 @@
 
 use std::time::{Duration, Instant};
 
-use gateway::{KEY, World, fed, reachable, wait, wall_ms};
+use gateway::{Cluster, KEY, is_fed, reachable, wait_until, wall_ms};
 use heathpitch_standin::{Caller, Engine, GatewayProcess, LinkMode, Proxy};
 use hyper::Method;
 use serde_json::json;
 
 /// Time after which a node whose links are restored counts as connected: the contact bound.
-const CONTACT: Duration = Duration::from_millis(3_000);
+const CONTACT_BOUND: Duration = Duration::from_millis(3_000);
 /// Time for which a draining engine may still be sent requests: the drain bound.
-const DRAIN: Duration = Duration::from_millis(2_000);
+const DRAIN_BOUND: Duration = Duration::from_millis(2_000);
 /// Calls made to see where they go: with two engines of equal load, all calls miss one of them with
 /// a probability of one in a million.
 const CALLS: usize = 20;
 
 /// A planner whose link to the store can be disturbed.
-async fn planner(world: &World) -> (GatewayProcess, Proxy) {
-    let (node, link) = world.start_behind("n1", &json!({}));
+async fn planner(cluster: &Cluster) -> (GatewayProcess, Proxy) {
+    let (node, link) = cluster.start_behind("n1", &json!({}));
     node.wait_ready().await.unwrap();
-    wait("the node is planner", async || !node.events("domain_planner").is_empty()).await;
+    wait_until("the node is planner", async || !node.events("domain_planner").is_empty()).await;
     (node, link)
 }
 
@@ -42,11 +42,12 @@
 /// connections. Returns the time at which the link was restored, once the store answers.
 async fn partition(node: &GatewayProcess, link: &Proxy) -> Instant {
     link.set_mode(LinkMode::Blackhole);
-    wait("the node finds the store unreachable", async || reachable(node) == Some(false)).await;
+    wait_until("the node finds the store unreachable", async || reachable(node) == Some(false))
+        .await;
     link.blackhole_open();
     link.set_mode(LinkMode::Pass);
     let restored = Instant::now();
-    wait("the store answers", async || reachable(node) == Some(true)).await;
+    wait_until("the store answers", async || reachable(node) == Some(true)).await;
     restored
 }
 
@@ -63,15 +64,15 @@
 /// Waits until a node whose link was restored at `restored` must know of a drain recorded at
 /// `drained`.
 async fn wait_until_known(restored: Instant, drained: Instant) {
-    let at = (restored + CONTACT).max(drained + DRAIN);
+    let at = (restored + CONTACT_BOUND).max(drained + DRAIN_BOUND);
     tokio::time::sleep(at.saturating_duration_since(Instant::now())).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_learns_of_drains_after_a_partition() {
-    let world = World::new();
-    let (a, _b) = (world.engine("a", "api"), world.engine("b", "api"));
-    let (node, link) = planner(&world).await;
+    let cluster = Cluster::new();
+    let (a, _b) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
+    let (node, link) = planner(&cluster).await;
     assert!(count_calls(&node, &a).await > 0);
     let restored = partition(&node, &link).await;
     a.register("draining");
@@ -81,9 +82,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_watch_whose_connection_alone_is_lost_is_not_awaited() {
-    let world = World::new();
-    let (a, _b) = (world.engine("a", "api"), world.engine("b", "api"));
-    let (node, link) = planner(&world).await;
+    let cluster = Cluster::new();
+    let (a, _b) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
+    let (node, link) = planner(&cluster).await;
     link.blackhole_open();
     let restored = Instant::now();
     a.register("draining");
@@ -93,37 +94,37 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planner_that_lost_its_engine_watch_does_not_mislead_followers() {
-    let world = World::new();
-    let (a, _b) = (world.engine("a", "api"), world.engine("b", "api"));
-    let (planner, link) = planner(&world).await;
-    let other = world.start("n2", &json!({}));
+    let cluster = Cluster::new();
+    let (a, _b) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
+    let (planner, link) = planner(&cluster).await;
+    let other = cluster.start("n2", &json!({}));
     other.wait_ready().await.unwrap();
-    wait("the second node follows the planner", async || fed(&other) == Some(true)).await;
+    wait_until("the second node follows the planner", async || is_fed(&other) == Some(true)).await;
     link.blackhole_open();
     a.register("draining");
     // The second node's own links work all the time.
-    wait_until_known(Instant::now() - CONTACT, Instant::now()).await;
+    wait_until_known(Instant::now() - CONTACT_BOUND, Instant::now()).await;
     assert_eq!(count_calls(&other, &a).await, 0, "the second node");
-    tokio::time::sleep(CONTACT - DRAIN).await;
+    tokio::time::sleep(CONTACT_BOUND - DRAIN_BOUND).await;
     assert_eq!(count_calls(&planner, &a).await, 0, "the planner");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_adopts_configurations_immediately_after_a_partition() {
-    let mut world = World::new();
-    world.engine("a", "api");
-    let (node, link) = planner(&world).await;
+    let mut cluster = Cluster::new();
+    cluster.engine("a", "api");
+    let (node, link) = planner(&cluster).await;
     partition(&node, &link).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     for version in [9, 14, 20, 25] {
-        world.site.version = version;
-        world.configure();
+        cluster.config.version = version;
+        cluster.configure();
         let sent = wall_ms();
         let adopted = || {
             let last = node.events("config_adopted").pop().filter(|e| e["version"] == version);
             last.and_then(|e| e["at"].as_u64())
         };
-        wait("the configuration is in force", async || adopted().is_some()).await;
+        wait_until("the configuration is in force", async || adopted().is_some()).await;
         // Without the watch only the next proof finds it, up to two seconds later.
         let elapsed_ms = adopted().unwrap().saturating_sub(sent);
         assert!(elapsed_ms < 150, "version {version}: {elapsed_ms} ms");
--- a/crates/heathpitchd/tests/gateway_store_restore.rs
+++ b/crates/heathpitchd/tests/gateway_store_restore.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use gateway::{KEY, KEY_2, World, status, wait};
+use gateway::{Cluster, KEY, KEY_2, status, wait_until};
 use heathpitch_standin::{Caller, GatewayProcess, RouteSpec, Store};
 use hyper::Method;
 
@@ -20,35 +20,36 @@
 }
 
 /// Writes the configuration with one more route.
-fn add_route(world: &mut World, prefix: &str) {
-    world.site.routes.push(RouteSpec::idempotent(prefix, "api"));
-    world.site.version += 1;
-    world.configure();
+fn add_route(cluster: &mut Cluster, prefix: &str) {
+    cluster.config.routes.push(RouteSpec::idempotent(prefix, "api"));
+    cluster.config.version += 1;
+    cluster.configure();
 }
 
 async fn wait_in_force(node: &GatewayProcess, target: &str) {
-    wait("the route is in force", async || status(&caller(node, KEY), target).await == 200).await;
+    wait_until("the route is in force", async || status(&caller(node, KEY), target).await == 200)
+        .await;
 }
 
 /// The new configuration has a lower revision than the one in force, which the store has lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn configuration_written_after_restore_is_adopted_in_time() {
-    let mut world = World::new();
-    world.engine("a", "api");
-    let node = world.node().await;
-    world.store.take_snapshot();
-    (0..WRITES).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
-    add_route(&mut world, "/lost/");
+    let mut cluster = Cluster::new();
+    cluster.engine("a", "api");
+    let node = cluster.node().await;
+    cluster.store.take_snapshot();
+    (0..WRITES).for_each(|i| cluster.store.put_bytes(&format!("other/{i}"), b""));
+    add_route(&mut cluster, "/lost/");
     wait_in_force(&node, "/lost/x").await;
-    world.store.restore_snapshot(&[], 0);
+    cluster.store.restore_snapshot(&[], 0);
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(
         status(&caller(&node, KEY), "/lost/x").await,
         200,
         "the configuration in force stays"
     );
-    world.configure();
-    add_route(&mut world, "/next/");
+    cluster.configure();
+    add_route(&mut cluster, "/next/");
     let written = Instant::now();
     wait_in_force(&node, "/next/x").await;
     assert!(written.elapsed() < ADOPTION_LIMIT, "{:?}", written.elapsed());
@@ -58,16 +59,16 @@
 /// After the restore, revisions have grown past those from which watches continue, so the store rejects none of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn changes_of_another_era_are_seen_in_time() {
-    let mut world = World::new();
-    let (leaving, _other) = (world.engine("a", "api"), world.engine("b", "api"));
-    let node = world.node().await;
-    world.store.take_snapshot();
-    (0..WRITES / 2).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
+    let mut cluster = Cluster::new();
+    let (leaving, _other) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
+    let node = cluster.node().await;
+    cluster.store.take_snapshot();
+    (0..WRITES / 2).for_each(|i| cluster.store.put_bytes(&format!("other/{i}"), b""));
     tokio::time::sleep(Duration::from_millis(700)).await;
-    world.site.routes.push(RouteSpec::idempotent("/next/", "api"));
-    world.site.version += 1;
-    let config = Store::config_entry(&world.site.json());
-    world.store.restore_snapshot(&[leaving.key_and_entry("draining"), config], WRITES);
+    cluster.config.routes.push(RouteSpec::idempotent("/next/", "api"));
+    cluster.config.version += 1;
+    let config = Store::config_entry(&cluster.config.json());
+    cluster.store.restore_snapshot(&[leaving.key_and_entry("draining"), config], WRITES);
     let written = Instant::now();
     wait_in_force(&node, "/next/x").await;
     assert!(written.elapsed() < ADOPTION_LIMIT, "{:?}", written.elapsed());
@@ -82,23 +83,25 @@
 /// The engine drained and exited after the copy was made, so the restore brings back its entry as ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn drained_engine_is_not_reused_after_restore() {
-    let world = World::new();
-    let engines = ["drained", "unlisted", "other"].map(|id| world.engine(id, "api"));
+    let cluster = Cluster::new();
+    let engines = ["drained", "unlisted", "other"].map(|id| cluster.engine(id, "api"));
     let [drained, unlisted, _] = &engines;
-    let node = world.node().await;
-    world.store.take_snapshot();
-    (0..WRITES).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
+    let node = cluster.node().await;
+    cluster.store.take_snapshot();
+    (0..WRITES).for_each(|i| cluster.store.put_bytes(&format!("other/{i}"), b""));
     drained.register("draining");
     unlisted.deregister();
     let known = async |event: &str, id: &str| {
-        wait("the event is logged", async || node.events(event).iter().any(|e| e["engine"] == id))
-            .await;
+        wait_until("the event is logged", async || {
+            node.events(event).iter().any(|e| e["engine"] == id)
+        })
+        .await;
     };
     known("engine_gone", "unlisted").await;
     drained.deregister();
     known("engine_gone", "drained").await;
     let served = drained.requests().len() + unlisted.requests().len();
-    world.store.restore_snapshot(&[], 0);
+    cluster.store.restore_snapshot(&[], 0);
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(3_000) {
         assert_eq!(status(&caller(&node, KEY), "/get/x").await, 200);
@@ -109,20 +112,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn removed_key_stays_removed_also_at_starting_node() {
-    let mut world = World::new();
-    world.engine("a", "api");
-    let (planner, _link, follower) = world.planner_and_follower().await;
-    world.store.take_snapshot();
-    (0..WRITES).for_each(|i| world.store.put_bytes(&format!("other/{i}"), b""));
-    world.site.tenants[0].1.retain(|key| key != KEY_2);
-    world.site.version += 1;
-    world.configure();
+    let mut cluster = Cluster::new();
+    cluster.engine("a", "api");
+    let (planner, _link, follower) = cluster.planner_and_follower().await;
+    cluster.store.take_snapshot();
+    (0..WRITES).for_each(|i| cluster.store.put_bytes(&format!("other/{i}"), b""));
+    cluster.config.tenants[0].1.retain(|key| key != KEY_2);
+    cluster.config.version += 1;
+    cluster.configure();
     for node in [&planner, &follower] {
-        wait("the key is refused", async || status(&caller(node, KEY_2), "/get/x").await == 401)
-            .await;
+        wait_until("the key is refused", async || {
+            status(&caller(node, KEY_2), "/get/x").await == 401
+        })
+        .await;
     }
-    world.store.restore_snapshot(&[], WRITES / 4);
-    let started = world.start("n3", &serde_json::json!({}));
+    cluster.store.restore_snapshot(&[], WRITES / 4);
+    let started = cluster.start("n3", &serde_json::json!({}));
     started.wait_ready().await.unwrap();
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(4_000) {
@@ -137,14 +142,14 @@
         200,
         "other nodes supply the newer configuration"
     );
-    world.configure();
+    cluster.configure();
     for node in [&planner, &follower, &started] {
-        wait("calls with a valid key are served", async || {
+        wait_until("calls with a valid key are served", async || {
             status(&caller(node, KEY), "/get/x").await == 200
         })
         .await;
         // The node answers 503 instead of 401 while its proof is too old for a denial.
-        wait("the removed key is denied", async || {
+        wait_until("the removed key is denied", async || {
             let status = status(&caller(node, KEY_2), "/get/x").await;
             assert!(status == 401 || status == 503, "{status}");
             status == 401
@@ -156,10 +161,10 @@
 /// Two restores in succession: leases are lost, or expired ones reappear.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_planner_remains_after_restores() {
-    let world = World::new();
-    world.engine("a", "api");
-    world.store.take_snapshot();
-    let (planner, _link, follower) = world.planner_and_follower().await;
+    let cluster = Cluster::new();
+    cluster.engine("a", "api");
+    cluster.store.take_snapshot();
+    let (planner, _link, follower) = cluster.planner_and_follower().await;
     let calls = async || {
         for node in [&planner, &follower] {
             assert_eq!(
@@ -169,9 +174,9 @@
         }
     };
     calls().await;
-    world.store.restore_snapshot(&[], WRITES);
+    cluster.store.restore_snapshot(&[], WRITES);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    world.store.restore_snapshot(&[], WRITES / 4);
+    cluster.store.restore_snapshot(&[], WRITES / 4);
     let back = Instant::now();
     while back.elapsed() < Duration::from_millis(5_000) {
         calls().await;
@@ -189,7 +194,9 @@
     for node in [&planner, &follower] {
         assert_eq!(status(&caller(node, KEY), "/get/x").await, 200);
         let era = |e: &serde_json::Value| e["era"] == 3;
-        wait("the restore is detected", async || node.events("store_came_back").iter().any(era))
-            .await;
+        wait_until("the restore is detected", async || {
+            node.events("store_came_back").iter().any(era)
+        })
+        .await;
     }
 }
--- a/crates/heathpitchd/tests/outcomes.rs
+++ b/crates/heathpitchd/tests/outcomes.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{LIMIT, deployment, desk, name, wait_until};
+use common::{WAIT_TIMEOUT, deployment, desk, name, wait_until};
 use heathpitch_fakes::{Deployment, Fault, Reply};
 use serde_json::json;
 use tokio::net::TcpStream;
@@ -92,7 +92,7 @@
         desk().post(node, "/v1/completions", NEVER_RETRY, request.to_string()).await.unwrap()
     });
     wait_until("the request runs", || async { started_count(&d) == 1 }).await;
-    tokio::time::sleep(LIMIT / 100).await;
+    tokio::time::sleep(WAIT_TIMEOUT / 100).await;
     d.engines[1].0.fault(Fault::Die);
     let got = task.await.unwrap();
     assert_eq!(got.json["error"]["outcome"], "failed");
--- a/crates/heathpitchd/tests/placement.rs
+++ b/crates/heathpitchd/tests/placement.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use common::{LAYERS, LIMIT, assert_complete, desk, name, wait_until};
+use common::{LAYERS, WAIT_TIMEOUT, assert_complete, desk, name, wait_until};
 use heathpitch_core::{Labels, LayerRange};
 use heathpitch_fakes::{Deployment, EngineSetup, Fault, PlatformFault, sample};
 
@@ -26,7 +26,7 @@
     }
     d.list();
     let revision = d.configure(&sample(LAYERS).unwrap()).await.unwrap();
-    assert!(d.ready(revision, engines, LIMIT).await);
+    assert!(d.ready(revision, engines, WAIT_TIMEOUT).await);
     d
 }
 
@@ -149,7 +149,7 @@
     d.engines[at].1.labels = Labels::try_from([("kind", "other")]).unwrap();
     d.list();
     wait_until("the model is served", || is_served(&d, 0)).await;
-    tokio::time::sleep(LIMIT / 10).await;
+    tokio::time::sleep(WAIT_TIMEOUT / 10).await;
     assert_eq!(d.engines[at].0.layers().count(), 0);
 }
 
