--- a/crates/heathpitchd/src/control/mod.rs
+++ b/crates/heathpitchd/src/control/mod.rs
@@ -27,8 +27,8 @@
 use crate::shared::{ControlMessage, Shared};
 use state::Control;
 
-/// Period for checking timers of the controllers and publishing snapshots.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval for checking timers of the controllers and publishing snapshots.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Addresses of this node.
 #[derive(Clone, Debug)]
@@ -106,7 +106,7 @@
 
 /// Checks timers and publishes snapshots.
 async fn tick(control: Rc<Control>) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     loop {
         ticks.tick().await;
         claims::tick(&control);
--- a/crates/heathpitchd/src/control/state.rs
+++ b/crates/heathpitchd/src/control/state.rs
@@ -24,9 +24,9 @@
 /// Burst limit for reading cache events, in kilobytes.
 const EVENT_BURST_KB: f64 = 256.0;
 /// Interval between two snapshots of nodes.
-const VIEW_PERIOD_MS: Millis = 200;
+const VIEW_INTERVAL_MS: Millis = 200;
 /// Interval after which the fleet is published even without a change.
-const FLEET_PERIOD_MS: Millis = 500;
+const FLEET_INTERVAL_MS: Millis = 500;
 
 /// State of all controllers.
 pub(crate) struct Control {
@@ -115,7 +115,7 @@
 
     /// Number of reachable nodes: those of this failure domain, and those listed for each other
     /// failure domain with at least one live node.
-    fn node_count(&self, now: Millis) -> u32 {
+    fn fleet_size(&self, now: Millis) -> u32 {
         let members = self.members.borrow();
         let mut domains: Vec<&Name> = members.alive(now).iter().map(|m| &m.domain).collect();
         domains.sort();
@@ -133,7 +133,7 @@
     pub(super) fn publish(&self) {
         let now = self.now();
         self.shared.control_heartbeat.store(now, Relaxed);
-        if self.fleet_dirty.get() || now >= self.fleet_published.get() + FLEET_PERIOD_MS {
+        if self.fleet_dirty.get() || now >= self.fleet_published.get() + FLEET_INTERVAL_MS {
             self.fleet_dirty.set(false);
             self.fleet_published.set(now);
             let fleet = self.health.borrow().fleet(now);
@@ -142,7 +142,7 @@
             self.shared.fleet.store(Arc::new(fleet));
             self.shared.prefixes.store(Arc::new(self.prefixes.borrow().clone()));
         }
-        if now >= self.view_published.get() + VIEW_PERIOD_MS {
+        if now >= self.view_published.get() + VIEW_INTERVAL_MS {
             self.view_published.set(now);
             let received = self.clients.client.bytes();
             let counter = self.shared.metrics.bytes.with_label_values(&["polls"]);
@@ -160,9 +160,9 @@
         upstreams.sort_by(|a, b| a.0.cmp(&b.0));
         let members: Vec<Member> = self.members.borrow().alive(now).into_iter().cloned().collect();
         self.shared.metrics.members.set(members.len() as i64 + 1);
-        let nodes = self.node_count(now);
-        let shares = self.demand.borrow().shares(nodes);
-        View { members, nodes, shares, upstreams, vm_list: health.list() }
+        let fleet_size = self.fleet_size(now);
+        let shares = self.demand.borrow().shares(fleet_size);
+        View { members, fleet_size, shares, upstreams, vm_list: health.list() }
     }
 
     /// Updates the seed peers: those of the settings and the entry VMs listed as live.
--- a/crates/heathpitchd/src/filters/limit.rs
+++ b/crates/heathpitchd/src/filters/limit.rs
@@ -22,9 +22,9 @@
     matched: &RouteMatch,
     request: &ModelRequest,
 ) -> Result<Permit, Refusal> {
-    let nodes = cx.traffic.shared.view.load().nodes.max(1);
+    let fleet_size = cx.traffic.shared.view.load().fleet_size.max(1);
     let fleet = cx.traffic.shared.fleet.load();
-    let capacity = capacity(&fleet, matched, nodes);
+    let capacity = capacity(&fleet, matched, fleet_size);
     acquire(cx, account, matched.model.name.clone(), request.priority, capacity)
 }
 
@@ -43,7 +43,7 @@
         shared.notify_control(ControlMessage::Demand(key));
     }
     let view = shared.view.load();
-    let equal = 1.0 / f64::from(view.nodes.max(1));
+    let equal = 1.0 / f64::from(view.fleet_size.max(1));
     let share = view.shares.get(&key).copied().unwrap_or(equal);
     let mut limits = cx.traffic.limits.lock();
     limits.limiter.admit(account, share, shared.now()).map_err(limit_exceeded)?;
@@ -59,13 +59,13 @@
 }
 
 /// Requests this node may have open for the model: its share of the slots on complete paths.
-fn capacity(fleet: &Fleet, matched: &RouteMatch, nodes: u32) -> u32 {
+fn capacity(fleet: &Fleet, matched: &RouteMatch, fleet_size: u32) -> u32 {
     let engines = fleet.engines_for(&matched.model.name).iter();
     let usable = engines.filter(|u| matched.index.admits(&matched.route, u.labels()));
     let slots: u64 =
         usable.map(|u| u64::from(u.report.slots) * u64::from(u.report.layers.count())).sum();
     let paths = slots as f64 / f64::from(matched.model.layers.max(1));
-    let node_share = (paths * OVERCOMMIT / f64::from(nodes)).ceil() as u32;
+    let node_share = (paths * OVERCOMMIT / f64::from(fleet_size)).ceil() as u32;
     node_share.clamp(MIN_CAPACITY, matched.route.settings.max_open.max(MIN_CAPACITY))
 }
 
--- a/crates/heathpitchd/src/gateway/call/single.rs
+++ b/crates/heathpitchd/src/gateway/call/single.rs
@@ -99,7 +99,7 @@
         log.routed(None, None);
         let _held = HeldTokens::new(traffic.shared.clone(), vec![view.stats.clone()], 0);
         progress.evidence.sent();
-        match send_whole(traffic, call, &view).await {
+        match send_and_read(traffic, call, &view).await {
             Ok(answer) if !answer.0.status.is_server_error() => {
                 progress.attempts += 1;
                 progress.evidence.started();
@@ -177,7 +177,7 @@
     }
 }
 
-async fn send_whole(
+async fn send_and_read(
     traffic: &Traffic,
     call: &Call,
     view: &EngineView,
--- a/crates/heathpitchd/src/gateway/control/engine_list.rs
+++ b/crates/heathpitchd/src/gateway/control/engine_list.rs
@@ -101,10 +101,10 @@
         if age >= REISSUE_AGE_MS {
             return;
         }
-        let left = Duration::from_millis(REISSUE_AGE_MS - age);
+        let remaining = Duration::from_millis(REISSUE_AGE_MS - age);
         tokio::select! {
             () = control.engines_outdated.notified() => return,
-            () = tokio::time::sleep(left) => {}
+            () = tokio::time::sleep(remaining) => {}
         }
     }
 }
@@ -112,18 +112,18 @@
 async fn watch(control: &Control, from: Revision) {
     let prefix = control.clients.dialect.engines_prefix();
     let pages = control.entries.borrow().len() / PAGE_ENTRIES + 1;
-    let over = control.now() + RELIST_PER_PAGE_MS * pages as Millis;
+    let until = control.now() + RELIST_PER_PAGE_MS * pages as Millis;
     let mut at = from;
     let mut outdated = false;
-    while control.now() < over && control.reads_store() {
-        let left = over.saturating_sub(control.now()).max(1);
+    while control.now() < until && control.reads_store() {
+        let remaining = until.saturating_sub(control.now()).max(1);
         let wait = match expire(control) {
             None if outdated => IMMEDIATE_WATCH_MS,
-            None if is_proven(control) => MAX_PROVEN_WATCH_MS.min(left),
+            None if is_proven(control) => MAX_PROVEN_WATCH_MS.min(remaining),
             None => MAX_WATCH_MS,
             // The grace period is over: a relist removes what is still missing.
             Some(0) => return,
-            Some(soon) => soon,
+            Some(recheck) => recheck,
         };
         let sent = control.now();
         let answer = control.watch("engines", prefix, at, wait);
@@ -204,22 +204,22 @@
     let few = control.lapsed.borrow().len() * LAPSED_FRACTION <= control.entries.borrow().len();
     let grace = few_grace(control);
     let due = |since: Millis| few && now >= since + grace;
-    let over: Vec<Name> = {
+    let expired: Vec<Name> = {
         let lapsed = control.lapsed.borrow();
         lapsed.iter().filter(|(_, since)| due(**since)).map(|(id, _)| id.clone()).collect()
     };
-    for id in &over {
+    for id in &expired {
         control.lapsed.borrow_mut().remove(id);
         remove(control, id, "its entry did not come back");
     }
-    if !over.is_empty() {
+    if !expired.is_empty() {
         control.publish();
     }
     let oldest = control.lapsed.borrow().values().min().copied()?;
     let due = (oldest + grace).saturating_sub(now);
     // Many missing entries wait until the grace period after the store's return ends.
-    let soon = if few { due } else { LAPSED_RECHECK_MS };
-    Some(control.lapse_grace().min(soon))
+    let recheck = if few { due } else { LAPSED_RECHECK_MS };
+    Some(control.lapse_grace().min(recheck))
 }
 
 /// Grace period for a few missing entries after an outage: the time for which an engine that left may still be
--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -118,8 +118,8 @@
 
 /// Dispatches messages from the traffic thread.
 async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<ControlMessage>) {
-    while let Some(notice) = inbox.recv().await {
-        match notice {
+    while let Some(message) = inbox.recv().await {
+        match message {
             ControlMessage::Stream(live) => recovery::track(&control, &live),
             ControlMessage::Replaced(engine) => engines::mark_replaced(&control, &engine),
             ControlMessage::LayerMismatch(engine) => engines::refresh_layers(&control, &engine),
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -197,8 +197,8 @@
 
 /// Status of an engine that rejected an order with a conflict.
 ///
-/// If it has orders of another planner and this node's lease may have expired, this node resigns as
-/// planner.
+/// If it has orders of another planner and this node's lease may have expired, this node steps
+/// down as planner.
 async fn requery(control: &Control, engine: &EngineEntry) -> Option<EngineStatus> {
     let status = match engines::query_status(control, engine).await {
         Ok(status) => status,
--- a/crates/heathpitchd/src/gateway/metrics.rs
+++ b/crates/heathpitchd/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a gateway by `prometheus`.
+//! Prometheus metrics of a gateway.
 
 use prometheus::core::Collector;
 use prometheus::{
--- a/crates/heathpitchd/src/gateway/mod.rs
+++ b/crates/heathpitchd/src/gateway/mod.rs
@@ -164,8 +164,8 @@
                     tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
                 }
             };
-            let left = grace.saturating_sub(DEREGISTRATION_DELAY + GRACE_MARGIN);
-            let ended = tokio::time::timeout(left, idle).await.is_ok();
+            let remaining = grace.saturating_sub(DEREGISTRATION_DELAY + GRACE_MARGIN);
+            let ended = tokio::time::timeout(remaining, idle).await.is_ok();
             if ended {
                 // Connections that are still open after this carry no call.
                 let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.served).await;
--- a/crates/heathpitchd/src/lib.rs
+++ b/crates/heathpitchd/src/lib.rs
@@ -1,7 +1,12 @@
-//! The heathpitch node.
+//! The heathpitch node, as a library and as the program `heathpitchd`.
 //!
-//! One control thread owns configuration, membership, health and claims and publishes immutable
-//! snapshots. Traffic threads read the snapshots and run each request through a filter chain.
+//! It runs in one of two modes: a [`Node`] serves model requests over paths of engines and forwards
+//! requests to plain services; a [`Gateway`] forwards calls to the engines listed in a platform's
+//! store.
+//!
+//! In both modes one control thread owns what is known of the configuration, of other nodes and of
+//! upstreams, and publishes it as immutable snapshots. Traffic threads read the snapshots and run
+//! each request through a filter chain.
 
 mod admin;
 mod clock;
--- a/crates/heathpitchd/src/main.rs
+++ b/crates/heathpitchd/src/main.rs
@@ -3,9 +3,9 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::sync::Arc;
 
 use gumdrop::Options;
-use std::sync::Arc;
 
 use heathpitch_core::{ConfigError, GatewaySettings, parse_settings};
 use heathpitch_net::Client;
@@ -35,7 +35,7 @@
     check: bool,
     /// Logs only warnings.
     quiet: bool,
-    /// Serves pass-through calls beside the platform's store; the settings are a gateway's.
+    /// Runs as a gateway to the engines in the platform's store; the settings are a gateway's.
     #[options(no_short)]
     gateway: bool,
 }
--- a/crates/heathpitchd/src/snapshot.rs
+++ b/crates/heathpitchd/src/snapshot.rs
@@ -12,7 +12,7 @@
     /// Other nodes that are alive.
     pub(crate) members: Vec<Member>,
     /// Reachable nodes of the fleet including this one; at least 1.
-    pub(crate) nodes: u32,
+    pub(crate) fleet_size: u32,
     /// Share of each account's limits that applies on this node, for accounts with demand.
     pub(crate) shares: HashMap<u64, f64>,
     /// Health status of each listed upstream.
--- a/crates/heathpitchd/tests/gateway_backpressure.rs
+++ b/crates/heathpitchd/tests/gateway_backpressure.rs
@@ -80,8 +80,8 @@
             cluster.engine("behind", service).set_layers(4, 8);
         }
         if service != "api" {
-            let play = Behavior::Stream(3, Duration::from_millis(1));
-            [&a, &b].iter().for_each(|e| e.set_behavior(play));
+            let behavior = Behavior::Stream(3, Duration::from_millis(1));
+            [&a, &b].iter().for_each(|e| e.set_behavior(behavior));
         }
         let node = cluster.node().await;
         Caller::new(node.listen).key(KEY).call(method.clone(), target, "body").await.unwrap();
--- a/crates/heathpitchd/tests/gateway_streams.rs
+++ b/crates/heathpitchd/tests/gateway_streams.rs
@@ -161,7 +161,7 @@
     e.set_layers(5, 8);
     let node = cluster.node().await;
     a.set_behavior(Behavior::Stream(3, Duration::from_millis(4_000)));
-    // More than half of the capacity beside three layers: an engine that already holds the stream
+    // More than half of the capacity with three layers loaded: an engine that already holds the stream
     // would count as full for it.
     let caller = Caller::new(node.listen).key(KEY).token_counts("300000,10");
     let (_, body) = caller.open(Method::POST, "/tell/x", "prompt").await.unwrap();
@@ -228,7 +228,7 @@
     let node = cluster.node().await;
     let caller = Caller::new(node.listen).key(KEY);
     a.set_behavior(Behavior::Stream(3, Duration::from_millis(5)));
-    // Capacity for 125 000 tokens beside four layers.
+    // Capacity for 125 000 tokens with four layers loaded.
     b.set_held_tokens(124_000);
     wait_until("the engine's report is known", async || {
         caller.call(Method::POST, "/tell/x", "prompt").await.unwrap().status == 503
