--- a/crates/heathpitchd/src/gateway/call/refusal.rs
+++ b/crates/heathpitchd/src/gateway/call/refusal.rs
@@ -114,11 +114,11 @@
     /// A call given up after some attempts; it counts as not run only if every attempt proved that.
     pub(crate) fn given_up(
         kind: RefusalKind,
-        seen: &Evidence,
+        evidence: &Evidence,
         request: &str,
         detail: impl Into<String>,
     ) -> Self {
-        let status = match (seen.not_run(), kind) {
+        let status = match (evidence.not_run(), kind) {
             (Some(_), _) => StatusCode::SERVICE_UNAVAILABLE,
             (None, RefusalKind::Expired) => StatusCode::GATEWAY_TIMEOUT,
             (None, _) => StatusCode::BAD_GATEWAY,
@@ -127,7 +127,7 @@
         Self {
             kind,
             status,
-            outcome: seen.outcome(),
+            outcome: evidence.outcome(),
             detail,
             request,
             retry_after: kind.retry_after(),
--- a/crates/heathpitchd/src/gateway/call/retry_schedules.rs
+++ b/crates/heathpitchd/src/gateway/call/retry_schedules.rs
@@ -21,13 +21,13 @@
     traffic: &Traffic,
     call: &Call,
     kind: RefusalKind,
-    seen: &Evidence,
+    evidence: &Evidence,
 ) -> Option<Refusal> {
     if !matches!(kind, RefusalKind::NoEngine | RefusalKind::EnginesRefused) {
         return None;
     }
     // A call that may have run is not reported as refused.
-    seen.not_run()?;
+    evidence.not_run()?;
     let shared = &traffic.shared;
     let (table, now) = (shared.table.load(), shared.now());
     let min_wait = pick::backpressure_left(&table, call, &shared.settings.load().domain, now)?;
@@ -37,7 +37,7 @@
         Some(limited) => (RefusalKind::Limited, limited.to_string()),
         None => (RefusalKind::Paused, PAUSED.to_owned()),
     };
-    Some(Refusal::given_up(kind, seen, &call.head.id, detail).with_retry_after(retry_after))
+    Some(Refusal::given_up(kind, evidence, &call.head.id, detail).with_retry_after(retry_after))
 }
 
 /// Retry schedules of one node, by service.
--- a/crates/heathpitchd/src/gateway/control/feed.rs
+++ b/crates/heathpitchd/src/gateway/control/feed.rs
@@ -124,7 +124,7 @@
 }
 
 async fn poll_source(control: &Rc<Control>, state: &mut FeedState, source: &Source) -> PollOutcome {
-    let begun = control.now();
+    let start = control.now();
     let answer = poll(control, state, source).await;
     let label = if answer.is_ok() { "ok" } else { "failed" };
     control.shared.metrics.feed.with_label_values(&[label]).inc();
@@ -134,7 +134,7 @@
             *state = FeedState::default();
             log::info!("poll of node {} failed: {e}", source.node);
             // A VM that refuses connections is starting or restarting, and will answer soon.
-            match control.now().saturating_sub(begun) {
+            match control.now().saturating_sub(start) {
                 took if took < POLL_TIMEOUT.as_millis() as Millis => PollOutcome::Declined,
                 _ => PollOutcome::NoAnswer,
             }
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -180,11 +180,11 @@
     loop {
         control.wait_until_planner().await;
         control.followers.borrow_mut().clear();
-        let begun = control.now();
+        let start = control.now();
         while control.is_planner() {
             tokio::time::sleep(COUNT_INTERVAL).await;
             let now = control.now();
-            if control.is_planner() && now >= begun + FIRST_COUNT_DELAY_MS {
+            if control.is_planner() && now >= start + FIRST_COUNT_DELAY_MS {
                 count_once(&control, now);
             }
         }
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -36,7 +36,7 @@
 /// Silence before the first event after which a stream counts as stalled: the prompt is processed
 /// meanwhile.
 const FIRST_EVENT_SILENCE_MS: Millis = 350;
-/// Time for which an engine without room for a moved stream is deprioritized.
+/// Time for which an engine without capacity for a moved stream is deprioritized.
 const MOVE_COOLDOWN_MS: Millis = 250;
 /// Part of a draining engine's minimum service time after which streams are moved off it; most end
 /// earlier.
@@ -45,7 +45,7 @@
 const DEPARTED_TTL_MS: Millis = 60_000;
 /// Time between two moves of the same stream.
 const MOVE_INTERVAL_MS: Millis = 250;
-/// Time before a stream that an engine had no room for is moved again; doubled each time.
+/// Time before a stream that an engine had no capacity for is moved again; doubled each time.
 const MOVE_RETRY_MS: Millis = 80;
 /// Most doublings of that time.
 const MAX_MOVE_DOUBLINGS: u32 = 4;
@@ -222,7 +222,7 @@
     }
 }
 
-/// Deprioritizes an engine that has no room for more streams for a short time.
+/// Deprioritizes an engine that has no capacity for more streams for a short time.
 fn deprioritize(control: &Control, address: SocketAddr) {
     let now = control.now();
     if let Some(view) = control.shared.table.load().by_address(address) {
--- a/crates/heathpitchd/src/gateway/control/reports.rs
+++ b/crates/heathpitchd/src/gateway/control/reports.rs
@@ -16,7 +16,7 @@
 use crate::gateway::event::GatewayEvent;
 
 /// Interval between rounds: about the lag of a report, so that polling at most doubles a report's
-/// age, during which requests may be admitted that find no room.
+/// age, during which requests may be admitted that find no capacity.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 /// Every so many rounds all engines are polled: a poll costs a fraction of a store call.
 const FULL_ROUND_EVERY: u32 = 4;
--- a/crates/heathpitchd/tests/gateway_calls.rs
+++ b/crates/heathpitchd/tests/gateway_calls.rs
@@ -64,15 +64,15 @@
     let cluster = Cluster::new();
     let (a, b) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
     let node = cluster.node().await;
-    for play in [Behavior::DropConnection, Behavior::WrongId, Behavior::NoDigest] {
-        a.set_behavior(play);
-        b.set_behavior(play);
+    for behavior in [Behavior::DropConnection, Behavior::WrongId, Behavior::NoDigest] {
+        a.set_behavior(behavior);
+        b.set_behavior(behavior);
         let before = a.requests().len() + b.requests().len();
         let reply =
             Caller::new(node.listen).key(KEY).call(Method::POST, "/book/x", "1").await.unwrap();
-        assert_eq!(reply.status, 502, "{play:?}");
+        assert_eq!(reply.status, 502, "{behavior:?}");
         assert_eq!(reply.digest(), None);
-        assert_eq!(a.requests().len() + b.requests().len() - before, 1, "{play:?}");
+        assert_eq!(a.requests().len() + b.requests().len() - before, 1, "{behavior:?}");
     }
 }
 
@@ -93,7 +93,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idempotent_call_is_retried_at_another_engine() {
-    for play in [
+    for behavior in [
         Behavior::DropConnection,
         Behavior::WrongId,
         Behavior::NoDigest,
@@ -103,12 +103,12 @@
         let cluster = Cluster::new();
         let (a, b) = (cluster.engine("a", "api"), cluster.engine("b", "api"));
         let node = cluster.node().await;
-        a.set_behavior(play);
+        a.set_behavior(behavior);
         let caller = Caller::new(node.listen).key(KEY);
         for _ in 0..6 {
             let reply = caller.call(Method::GET, "/get/x", "").await.unwrap();
-            assert_eq!(reply.status, 200, "{play:?}");
-            assert_eq!(reply.digest(), Some("stamp-b"), "{play:?}");
+            assert_eq!(reply.status, 200, "{behavior:?}");
+            assert_eq!(reply.digest(), Some("stamp-b"), "{behavior:?}");
         }
         assert_eq!(b.requests().len(), 6);
     }
