--- a/crates/heathpitchd/src/gateway/control/backpressure.rs
+++ b/crates/heathpitchd/src/gateway/control/backpressure.rs
@@ -115,7 +115,7 @@
         }
         let entry = EngineEntry { state: EntryState::Leaving, ..(*entry).clone() };
         self.entries.borrow_mut().insert(incarnation.engine.clone(), Arc::new(entry));
-        self.leaving.borrow_mut().insert(incarnation.engine.clone(), self.now());
+        self.departing.borrow_mut().insert(incarnation.engine.clone(), self.now());
         true
     }
 }
@@ -177,7 +177,7 @@
     control.backpressure_of(&entry).cancel_drain();
     let ready = EngineEntry { state: EntryState::Ready, ..(*entry).clone() };
     control.entries.borrow_mut().insert(entry.id.clone(), Arc::new(ready));
-    control.leaving.borrow_mut().remove(&entry.id);
+    control.departing.borrow_mut().remove(&entry.id);
     GatewayEvent::EngineDrainCancelled { engine: entry.id.clone() }.log();
     control.publish();
 }
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -79,7 +79,7 @@
 fn reset_restarted(control: &Control, engine: &Name, born: Option<Millis>, by: &'static str) {
     forget(control, engine);
     control.backpressure.borrow_mut().remove(engine);
-    control.leaving.borrow_mut().remove(engine);
+    control.departing.borrow_mut().remove(engine);
     control.lapsed.borrow_mut().remove(engine);
     GatewayEvent::EngineRestarted { engine: engine.clone(), born, by }.log();
 }
@@ -158,13 +158,13 @@
     }
     match entry.state {
         EntryState::Leaving if !was_draining => {
-            control.leaving.borrow_mut().insert(id.clone(), control.now());
+            control.departing.borrow_mut().insert(id.clone(), control.now());
             control.drain_notices.borrow_mut().learn(incarnation_of(&entry), 0, control.now());
         }
         EntryState::Leaving => {}
         // It is listed again after having been removed: streams stay on it.
         EntryState::Ready => {
-            control.leaving.borrow_mut().remove(&id);
+            control.departing.borrow_mut().remove(&id);
         }
     }
     let entry = Arc::new(entry);
@@ -222,7 +222,7 @@
 pub(super) fn remove(control: &Control, id: &Name, why: &'static str) {
     control.mirror.borrow_mut().remove(&key(control, id));
     if control.entries.borrow_mut().remove(id).is_some() {
-        control.leaving.borrow_mut().entry(id.clone()).or_insert(control.now());
+        control.departing.borrow_mut().entry(id.clone()).or_insert(control.now());
         forget(control, id);
         GatewayEvent::EngineGone { engine: id.to_string(), why }.log();
     }
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -88,7 +88,7 @@
         control.streams.borrow_mut().retain(|t| t.live.strong_count() > 0);
         if now >= last_expiry + EXPIRY_INTERVAL_MS {
             last_expiry = now;
-            control.leaving.borrow_mut().retain(|_, since| now < *since + DEPARTED_TTL_MS);
+            control.departing.borrow_mut().retain(|_, since| now < *since + DEPARTED_TTL_MS);
             control.expire_incarnations();
         }
         if now < skip_until {
@@ -162,9 +162,9 @@
 /// Whether an engine behind the first one refuses work or is due to be left as it drains.
 fn has_draining(control: &Control, path: &Path) -> bool {
     let now = control.now();
-    let leaving = control.leaving.borrow();
+    let departing = control.departing.borrow();
     let drain_ms = (control.shared.settings.load().bounds.drain_ms as f64 * DRAIN_SHARE) as Millis;
-    let is_due = |e: &Name| leaving.get(e).is_some_and(|since| now >= since + drain_ms);
+    let is_due = |e: &Name| departing.get(e).is_some_and(|since| now >= since + drain_ms);
     path.stages().iter().skip(1).any(|s| control.is_refusing(&s.engine) || is_due(&s.engine))
 }
 
@@ -173,7 +173,7 @@
     control: &Rc<Control>,
     live: &Arc<LiveStream>,
     path: &Path,
-    leaving: Option<Name>,
+    moved_off: Option<Name>,
     tracked: &TrackedStream,
 ) {
     let Some(new) = find_detour(control, live, path) else { return };
@@ -196,7 +196,7 @@
         control.shared.metrics.orders.with_label_values(&["reroute", label]).inc();
         GatewayEvent::CallRerouted {
             request: live.request.to_string(),
-            leaving,
+            moved_off,
             parts: parts(Some(&new)),
             silent_ms,
             result: result_text(&result),
@@ -261,8 +261,8 @@
 impl Control {
     /// Forgets the incarnations of engines that left long ago.
     fn expire_incarnations(&self) {
-        let (entries, leaving) = (self.entries.borrow(), self.leaving.borrow());
-        let kept = |engine: &Name| entries.contains_key(engine) || leaving.contains_key(engine);
+        let (entries, departing) = (self.entries.borrow(), self.departing.borrow());
+        let kept = |engine: &Name| entries.contains_key(engine) || departing.contains_key(engine);
         self.incarnations.borrow_mut().retain(kept);
     }
 }
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -87,7 +87,7 @@
     /// Engines that accept no connection.
     pub(super) unreachable: RefCell<HashMap<Name, Unreachable>>,
     /// Engines that are draining or no longer listed, with the time this began.
-    pub(super) leaving: RefCell<HashMap<Name, Millis>>,
+    pub(super) departing: RefCell<HashMap<Name, Millis>>,
     /// Engines that reported not to accept new work, with the time until which this holds.
     pub(super) refusing: RefCell<HashMap<Name, Millis>>,
     /// Time of the last status query to each engine.
@@ -167,7 +167,7 @@
             replaced: RefCell::default(),
             lapsed: RefCell::default(),
             unreachable: RefCell::default(),
-            leaving: RefCell::default(),
+            departing: RefCell::default(),
             refusing: RefCell::default(),
             status_queried: RefCell::default(),
             fleet: Cell::new(None),
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -103,8 +103,8 @@
         self.reachable_since.set(self.now());
         let gone: Vec<Name> = {
             let entries = self.entries.borrow();
-            let leaving = self.leaving.borrow();
-            leaving.keys().filter(|id| !entries.contains_key(*id)).cloned().collect()
+            let departing = self.departing.borrow();
+            departing.keys().filter(|id| !entries.contains_key(*id)).cloned().collect()
         };
         for engine in &gone {
             let born = self.incarnations.borrow().born(engine);
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -104,7 +104,8 @@
         /// Call.
         request: String,
         /// Engine that it was moved off.
-        leaving: Option<Name>,
+        #[serde(rename = "leaving")]
+        moved_off: Option<Name>,
         /// Stages of the new path.
         parts: Vec<(Name, LayerRange)>,
         /// Time since anything was received.
