--- a/crates/heathpitchd/src/gateway/control/mod.rs
+++ b/crates/heathpitchd/src/gateway/control/mod.rs
@@ -8,7 +8,8 @@
 //! - `planner`, `orders`: placement of layers and the orders that carry it out
 //! - `reports`, `neighbours`: load reports of engines of this failure domain and of the others
 //! - `engine_exits`, `quarantine`: detection of engines that exited, and the requests suspected of causing it
-//! - `backpressure`, `rights`, `limit_records`: backpressure of engines, rights under their limits, and the stored limits
+//! - `backpressure`, `rights`, `limit_records`: backpressure of engines, rights under their limits, and the
+//!   stored limits
 //! - `recovery`, `reachability`: rerouting of running streams away from unreachable engines
 //! - `suspension`: detection of VM suspensions
 //!
@@ -49,7 +50,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{LocalSet, spawn_local};
 
-use super::shared::{Edges, Notice, Shared};
+use super::shared::{Clients, ControlMessage, Shared};
 use state::Control;
 
 /// Concurrent connections for the load balancer's health checks and for metrics scrapes.
@@ -70,9 +71,9 @@
 /// The system's error if the thread or its runtime cannot be started.
 pub(super) fn spawn(
     shared: Arc<Shared>,
-    edges: Edges,
+    clients: Clients,
     listeners: impl FnOnce() -> io::Result<Listeners> + Send + 'static,
-    inbox: mpsc::Receiver<Notice>,
+    inbox: mpsc::Receiver<ControlMessage>,
     mut stop: watch::Receiver<bool>,
 ) -> io::Result<thread::JoinHandle<io::Result<()>>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
@@ -81,8 +82,8 @@
         local.block_on(&runtime, async move {
             let mut listeners = listeners()?;
             let peers = listeners.peers.take();
-            probes(&shared, edges.dialect.ready_path(), listeners, &stop);
-            let control = Rc::new(Control::new(shared, edges));
+            probes(&shared, clients.dialect.ready_path(), listeners, &stop);
+            let control = Rc::new(Control::new(shared, clients));
             if let Some(peers) = peers {
                 let c = control.clone();
                 let issuer = control.clone();
@@ -115,21 +116,21 @@
     })
 }
 
-/// Dispatches notices from the traffic thread.
-async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<Notice>) {
-    while let Some(notice) = inbox.recv().await {
-        match notice {
-            Notice::Stream(live) => recovery::track(&control, &live),
-            Notice::Replaced(engine) => engines::mark_replaced(&control, &engine),
-            Notice::LayerMismatch(engine) => engines::refresh_layers(&control, &engine),
-            Notice::Refused(engine) => reachability::check_refusal(&control, &engine),
-            Notice::ConnectionLost(lost) => engine_exits::record_lost(&control, lost),
-            Notice::Answered(print) => control.clear_request(print),
-            Notice::EngineAlive(life) => control.engine_alive(&life),
-            Notice::Draining(life) => control.engine_draining(&life),
-            Notice::HeldBack(print) => control.renew_request(print),
-            Notice::Limited(life) => control.record_limit(&life),
-            Notice::RightsWanted(wanted) => rights::spawn_request(&control, wanted),
+/// Dispatches messages from the traffic thread.
+async fn receive(control: Rc<Control>, mut inbox: mpsc::Receiver<ControlMessage>) {
+    while let Some(message) = inbox.recv().await {
+        match message {
+            ControlMessage::Stream(live) => recovery::track(&control, &live),
+            ControlMessage::Replaced(engine) => engines::mark_replaced(&control, &engine),
+            ControlMessage::LayerMismatch(engine) => engines::refresh_layers(&control, &engine),
+            ControlMessage::Refused(engine) => reachability::check_refusal(&control, &engine),
+            ControlMessage::ConnectionLost(lost) => engine_exits::record_lost(&control, lost),
+            ControlMessage::Answered(fingerprint) => control.clear_request(fingerprint),
+            ControlMessage::EngineAlive(incarnation) => control.engine_alive(&incarnation),
+            ControlMessage::Draining(incarnation) => control.engine_draining(&incarnation),
+            ControlMessage::HeldBack(fingerprint) => control.renew_request(fingerprint),
+            ControlMessage::Limited(incarnation) => control.record_limit(&incarnation),
+            ControlMessage::RightsWanted(wanted) => rights::spawn_request(&control, wanted),
         }
     }
 }
--- a/crates/heathpitchd/src/gateway/control/nodes.rs
+++ b/crates/heathpitchd/src/gateway/control/nodes.rs
@@ -28,7 +28,7 @@
 /// Time to live of a planner's lease: three renewal intervals, with margin.
 pub(super) const PLANNER_TTL_MS: Millis = 2_400;
 /// Time between renewals of the planner's lease.
-const PLANNER_RENEW: Duration = Duration::from_millis(700);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(700);
 /// Longest random delay before a node contends for a free lease. It spreads the contenders apart by many times
 /// the response time of the store.
 const MAX_STAGGER_MS: Millis = 200;
@@ -40,15 +40,15 @@
 /// Minimum CPU share of a planner's VM: a planner of sixty followers and fifty engines takes 5 % of a core.
 const MIN_CPU_SHARE: f64 = 0.2;
 /// Longest wait of a watch.
-const WATCH_MS: Millis = 25_000;
+const MAX_WATCH_MS: Millis = 25_000;
 /// Time between counts of the fleet, whose size only determines shares of limits and load.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after which all followers have polled a new planner.
-const FIRST_COUNT_MS: Millis = 1_500;
+const FIRST_COUNT_DELAY_MS: Millis = 1_500;
 /// Initial retry interval while the store does not answer; doubled after each failure.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Upper bound of the retry interval; a wait also ends when the store returns.
-const MAX_RETRY: Duration = Duration::from_millis(4_000);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(4_000);
 
 /// Whether the VM is large enough for a planner.
 pub(super) fn can_plan(settings: &GatewaySettings) -> bool {
@@ -58,7 +58,7 @@
 /// Tracks the planners, and contends for the lease of this failure domain's planner when it is free.
 pub(super) async fn follow(control: Rc<Control>) {
     let key = planner_key(&control.domain());
-    let mut retry = RETRY;
+    let mut retry = RETRY_INTERVAL;
     let (first_start, can_plan) = {
         let settings = control.shared.settings.load();
         (settings.first_start, can_plan(&settings))
@@ -68,39 +68,39 @@
     let mut seen = None;
     loop {
         control.wait_to_claim().await;
-        let result = control.call("list", control.edges.store.list(ROOT)).await;
+        let result = control.call("list", control.clients.store.list(ROOT)).await;
         let Ok(listing) = result else {
             control.pause(retry).await;
-            retry = (retry * 2).min(MAX_RETRY);
+            retry = (retry * 2).min(MAX_RETRY_INTERVAL);
             continue;
         };
-        retry = RETRY;
-        let mut holder = None;
+        retry = RETRY_INTERVAL;
+        let mut planner = None;
         for item in &listing.items {
-            apply_entry(&control, &key, &mut holder, item);
+            apply_entry(&control, &key, &mut planner, item);
         }
         // A planner found for the first time is polled before its entry is watched.
-        let found = holder.as_ref().map(|item| item.revision);
-        if found.is_some() && found != seen && !is_own(&control, holder.as_ref()) {
+        let found = planner.as_ref().map(|item| item.revision);
+        if found.is_some() && found != seen && !is_own(&control, planner.as_ref()) {
             seen = found;
             control.defer_claim();
             continue;
         }
         // The watch's connection may be dead, and the planner with it.
-        let watched = watch(&control, &key, holder, listing.at);
+        let watched = watch(&control, &key, planner, listing.at);
         let watched = tokio::select! {
             watched = control.until_store_change(watched) => watched,
             () = control.wait_until_no_claim() => None,
         };
         if watched != Some(WatchEnd::BecamePlanner) {
-            control.pause(RETRY).await;
+            control.pause(RETRY_INTERVAL).await;
         }
     }
 }
 
 /// Whether an entry is this node's own, from a previous run.
-fn is_own(control: &Control, holder: Option<&Item>) -> bool {
-    holder.and_then(read_entry).is_some_and(|s| s.node == control.node())
+fn is_own(control: &Control, planner: Option<&Item>) -> bool {
+    planner.and_then(read_entry).is_some_and(|s| s.node == control.node())
 }
 
 /// How a watch of planners ended.
@@ -113,29 +113,29 @@
 }
 
 /// Watches the entry of this failure domain's planner, or all entries while this node is planner.
-async fn watch(control: &Control, key: &str, holder: Option<Item>, from: Revision) -> WatchEnd {
-    let mut holder = holder;
+async fn watch(control: &Control, key: &str, planner: Option<Item>, from: Revision) -> WatchEnd {
+    let mut planner = planner;
     let mut at = from;
     while control.may_claim() {
-        let free = match &holder {
+        let free = match &planner {
             _ if control.is_planner() || control.stopping() => false,
             None => true,
             Some(item) => is_own(control, Some(item)),
         };
-        let own = holder.as_ref().filter(|_| free).map(|item| item.revision);
+        let own = planner.as_ref().filter(|_| free).map(|item| item.revision);
         if own.is_some() && contend(control, own).await {
             return WatchEnd::BecamePlanner;
         }
         let prefix = if control.is_planner() { ROOT } else { key };
         // Nodes with a longer random delay find the lease already taken.
-        let wait = if free { stagger(&control.shared.settings.load()) } else { WATCH_MS };
+        let wait = if free { stagger(&control.shared.settings.load()) } else { MAX_WATCH_MS };
         let Ok(watched) = control.watch("planner", prefix, at, wait).await else {
             return WatchEnd::Stopped;
         };
         for change in &watched.changes {
             match change {
-                ItemChange::Put(item) => apply_entry(control, key, &mut holder, item),
-                ItemChange::Deleted(deleted) if &**deleted == key => holder = None,
+                ItemChange::Put(item) => apply_entry(control, key, &mut planner, item),
+                ItemChange::Deleted(deleted) if &**deleted == key => planner = None,
                 // Planners of other failure domains are polled until they have a successor.
                 ItemChange::Deleted(deleted) => {
                     quarantine::entry_deleted(control, deleted);
@@ -144,7 +144,7 @@
             }
         }
         at = watched.at;
-        if free && holder.is_none() && contend(control, None).await {
+        if free && planner.is_none() && contend(control, None).await {
             return WatchEnd::BecamePlanner;
         }
     }
@@ -155,17 +155,17 @@
 pub(super) async fn renew(control: Rc<Control>) {
     loop {
         control.wait_until_planner().await;
-        tokio::time::sleep(PLANNER_RENEW).await;
+        tokio::time::sleep(RENEWAL_INTERVAL).await;
         let Some(lease) = control.lease() else { continue };
         if control.stopping() {
             step_down(&control, "this node is stopping");
             control.planner_released.set(true);
             // If the call fails, the lease expires on its own.
-            let _ = control.call("end", control.edges.store.end(lease)).await;
+            let _ = control.call("end", control.clients.store.end(lease)).await;
             continue;
         }
         let sent = control.now();
-        let result = control.call("renew", control.edges.store.renew(lease)).await;
+        let result = control.call("renew", control.clients.store.renew(lease)).await;
         if result.is_ok() {
             control.lease_renewed(sent);
         }
@@ -180,11 +180,11 @@
     loop {
         control.wait_until_planner().await;
         control.followers.borrow_mut().clear();
-        let begun = control.now();
+        let start = control.now();
         while control.is_planner() {
             tokio::time::sleep(COUNT_INTERVAL).await;
             let now = control.now();
-            if control.is_planner() && now >= begun + FIRST_COUNT_MS {
+            if control.is_planner() && now >= start + FIRST_COUNT_DELAY_MS {
                 count_once(&control, now);
             }
         }
@@ -199,7 +199,7 @@
     // A domain that has not reported its size yet is assumed to be as large as this one.
     let sizes = control.domain_sizes.borrow();
     let others = others.map(|(d, _)| sizes.get(d).copied().unwrap_or(domain_size));
-    let fleet = Fleet { nodes: domain_size + others.sum::<u32>(), domain_size };
+    let fleet = Fleet { fleet_size: domain_size + others.sum::<u32>(), domain_size };
     if control.fleet.replace(Some(fleet)) != Some(fleet) {
         control.publish();
     }
@@ -210,7 +210,7 @@
 async fn contend(control: &Control, own: Option<Revision>) -> bool {
     let settings = control.shared.settings.load_full();
     let ttl = PLANNER_TTL_MS.max(settings.bounds.lease_min_ms);
-    let granted = control.call("grant", control.edges.store.grant(ttl)).await;
+    let granted = control.call("grant", control.clients.store.grant(ttl)).await;
     let Ok(lease) = granted else { return false };
     let key = planner_key(&settings.domain);
     let value = Bytes::copy_from_slice(entry(&settings.node, control.shared.peer).as_bytes());
@@ -219,7 +219,7 @@
         puts: vec![(key, value, Some(lease))],
         removals: Vec::new(),
     };
-    let written = control.call("contend", control.edges.store.write(write)).await;
+    let written = control.call("contend", control.clients.store.write(write)).await;
     match written {
         Ok(revision) => {
             let address = control.shared.peer.unwrap_or(settings.listen);
@@ -258,10 +258,10 @@
     }
 }
 
-/// Records an entry of the store, and keeps that of this failure domain's planner as `holder`.
-fn apply_entry(control: &Control, key: &str, holder: &mut Option<Item>, item: &Item) {
+/// Records an entry of the store, and keeps that of this failure domain's planner in `planner`.
+fn apply_entry(control: &Control, key: &str, planner: &mut Option<Item>, item: &Item) {
     if &*item.key == key {
-        *holder = Some(item.clone());
+        *planner = Some(item.clone());
     }
     record_entry(control, item);
 }
--- a/crates/heathpitchd/src/gateway/control/orders.rs
+++ b/crates/heathpitchd/src/gateway/control/orders.rs
@@ -141,7 +141,7 @@
     let mut orders = control.orders.borrow().get(&engine.id).copied().unwrap_or(0);
     for is_retry in [false, true] {
         let sent = control.now();
-        let answer = control.edges.orders.place(engine, layers, release, orders).await;
+        let answer = control.clients.engines.place(engine, layers, release, orders).await;
         let result = answer.map(|answer| control.record_response(engine, "order", sent, answer));
         let text = match &result {
             Ok(OrderOutcome::Taken) => "taken".to_owned(),
@@ -197,8 +197,8 @@
 
 /// Status of an engine that rejected an order with a conflict.
 ///
-/// If it has orders of another planner and this node's lease may have expired, this node resigns as
-/// planner.
+/// If it has orders of another planner and this node's lease may have expired, this node steps
+/// down as planner.
 async fn requery(control: &Control, engine: &EngineEntry) -> Option<EngineStatus> {
     let status = match engines::query_status(control, engine).await {
         Ok(status) => status,
--- a/crates/heathpitchd/src/gateway/control/recovery.rs
+++ b/crates/heathpitchd/src/gateway/control/recovery.rs
@@ -23,10 +23,10 @@
 use crate::gateway::live::LiveStream;
 
 /// Interval between checks.
-const INTERVAL: Duration = Duration::from_millis(40);
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// Interval between checks while no stream runs and no engine is unreachable: below
 /// [`FIRST_EVENT_SILENCE_MS`].
-const IDLE_INTERVAL: Duration = Duration::from_millis(200);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between removals of expired state.
 const EXPIRY_INTERVAL_MS: Millis = 1_000;
 /// Delay of a check beyond which this process itself is taken to have been stalled.
@@ -36,7 +36,7 @@
 /// Silence before the first event after which a stream counts as stalled: the prompt is processed
 /// meanwhile.
 const FIRST_EVENT_SILENCE_MS: Millis = 350;
-/// Time for which an engine without room for a moved stream is deprioritized.
+/// Time for which an engine without capacity for a moved stream is deprioritized.
 const MOVE_COOLDOWN_MS: Millis = 250;
 /// Part of a draining engine's minimum service time after which streams are moved off it; most end
 /// earlier.
@@ -45,7 +45,7 @@
 const DEPARTED_TTL_MS: Millis = 60_000;
 /// Time between two moves of the same stream.
 const MOVE_INTERVAL_MS: Millis = 250;
-/// Time before a stream that an engine had no room for is moved again; doubled each time.
+/// Time before a stream that an engine had no capacity for is moved again; doubled each time.
 const MOVE_RETRY_MS: Millis = 80;
 /// Most doublings of that time.
 const MAX_MOVE_DOUBLINGS: u32 = 4;
@@ -78,7 +78,7 @@
     let mut probed: Vec<(Name, Millis)> = Vec::new();
     loop {
         let idle = control.streams.borrow().is_empty() && control.unreachable.borrow().is_empty();
-        let interval = if idle { IDLE_INTERVAL } else { INTERVAL };
+        let interval = if idle { IDLE_CHECK_INTERVAL } else { CHECK_INTERVAL };
         tokio::time::sleep(interval).await;
         let now = control.now();
         if now.saturating_sub(last_check) > interval.as_millis() as Millis + MAX_CHECK_DELAY_MS {
@@ -88,7 +88,7 @@
         control.streams.borrow_mut().retain(|t| t.live.strong_count() > 0);
         if now >= last_expiry + EXPIRY_INTERVAL_MS {
             last_expiry = now;
-            control.leaving.borrow_mut().retain(|_, since| now < *since + DEPARTED_TTL_MS);
+            control.departing.borrow_mut().retain(|_, since| now < *since + DEPARTED_TTL_MS);
             control.expire_incarnations();
         }
         if now < skip_until {
@@ -162,9 +162,9 @@
 /// Whether an engine behind the first one refuses work or is due to be left as it drains.
 fn has_draining(control: &Control, path: &Path) -> bool {
     let now = control.now();
-    let leaving = control.leaving.borrow();
+    let departing = control.departing.borrow();
     let drain_ms = (control.shared.settings.load().bounds.drain_ms as f64 * DRAIN_SHARE) as Millis;
-    let is_due = |e: &Name| leaving.get(e).is_some_and(|since| now >= since + drain_ms);
+    let is_due = |e: &Name| departing.get(e).is_some_and(|since| now >= since + drain_ms);
     path.stages().iter().skip(1).any(|s| control.is_refusing(&s.engine) || is_due(&s.engine))
 }
 
@@ -173,7 +173,7 @@
     control: &Rc<Control>,
     live: &Arc<LiveStream>,
     path: &Path,
-    leaving: Option<Name>,
+    moved_off: Option<Name>,
     tracked: &TrackedStream,
 ) {
     let Some(new) = find_detour(control, live, path) else { return };
@@ -186,7 +186,7 @@
     spawn_local(async move {
         let sent = control.now();
         let silent_ms = live.silence(sent);
-        let answer = control.edges.orders.reroute(head, &engine, &live.request, &new).await;
+        let answer = control.clients.engines.reroute(head, &engine, &live.request, &new).await;
         let entry = control.entries.borrow().get(&engine).cloned();
         let result = answer.map(|answer| match entry {
             Some(entry) => control.record_response(&entry, "order", sent, answer),
@@ -196,7 +196,7 @@
         control.shared.metrics.orders.with_label_values(&["reroute", label]).inc();
         GatewayEvent::CallRerouted {
             request: live.request.to_string(),
-            leaving,
+            moved_off,
             parts: parts(Some(&new)),
             silent_ms,
             result: result_text(&result),
@@ -222,7 +222,7 @@
     }
 }
 
-/// Deprioritizes an engine that has no room for more streams for a short time.
+/// Deprioritizes an engine that has no capacity for more streams for a short time.
 fn deprioritize(control: &Control, address: SocketAddr) {
     let now = control.now();
     if let Some(view) = control.shared.table.load().by_address(address) {
@@ -249,20 +249,20 @@
         id == head || (is_open && !control.is_unreachable(id) && !has_restarted(control, live, id))
     };
     let (service, tokens) = (&live.service, live.tokens);
-    let links = table
+    let engines = table
         .chain_engines(&PathQuery { service, model, tokens, now, current: Some(path) }, usable);
     // The first engine does not change, so the others are best placed in its failure domain.
     let home = table.by_id(head.as_str())?.entry.domain.clone();
-    let search = ChainQuery { model, name: &live.service, home: &home, current: Some(path) };
-    find_local_chain(&search, &links).map(|(path, _)| path)
+    let query = ChainQuery { model, name: &live.service, home: &home, current: Some(path) };
+    find_local_chain(&query, &engines).map(|(path, _)| path)
 }
 
 /// # Incarnations
 impl Control {
     /// Forgets the incarnations of engines that left long ago.
     fn expire_incarnations(&self) {
-        let (entries, leaving) = (self.entries.borrow(), self.leaving.borrow());
-        let kept = |engine: &Name| entries.contains_key(engine) || leaving.contains_key(engine);
+        let (entries, departing) = (self.entries.borrow(), self.departing.borrow());
+        let kept = |engine: &Name| entries.contains_key(engine) || departing.contains_key(engine);
         self.incarnations.borrow_mut().retain(kept);
     }
 }
--- a/crates/heathpitchd/src/gateway/control/store.rs
+++ b/crates/heathpitchd/src/gateway/control/store.rs
@@ -26,9 +26,9 @@
 
     /// Waits until the store becomes unreachable, its era changes, or the feed of this node ends.
     async fn store_changed(&self) {
-        let (reachable, fed, era) = (self.reachable.get(), self.has_feed(), self.era.get());
-        let is_lost = || (reachable && !self.reachable.get()) || (fed && !self.has_feed());
-        let changed = || is_lost() || era != self.era.get();
+        let (reachable, had_feed, era) = (self.reachable.get(), self.has_feed(), self.era.get());
+        let access_lost = || (reachable && !self.reachable.get()) || (had_feed && !self.has_feed());
+        let changed = || access_lost() || era != self.era.get();
         while !changed() {
             self.role_changed.notified().await;
         }
@@ -66,7 +66,7 @@
         wait: Millis,
     ) -> Result<heathpitch_net::WatchResponse, StoreError> {
         let sent = self.now();
-        let result = self.edges.store.watch(prefix, after, wait).await;
+        let result = self.clients.store.watch(prefix, after, wait).await;
         match &result {
             Err(StoreError::Rpc(e)) => {
                 self.shared.metrics.store.with_label_values(&["watch", "lost"]).inc();
@@ -81,7 +81,7 @@
 
     /// Records the era of the store's last response.
     fn check_era(&self) {
-        self.observe_era(self.edges.store.era());
+        self.observe_era(self.clients.store.era());
     }
 
     /// Records the era of the store, from its own response or from another node. A later era than
@@ -103,13 +103,13 @@
         self.reachable_since.set(self.now());
         let gone: Vec<Name> = {
             let entries = self.entries.borrow();
-            let leaving = self.leaving.borrow();
-            leaving.keys().filter(|id| !entries.contains_key(*id)).cloned().collect()
+            let departing = self.departing.borrow();
+            departing.keys().filter(|id| !entries.contains_key(*id)).cloned().collect()
         };
         for engine in &gone {
             let started_at = self.incarnations.borrow().started_at(engine);
-            let life = EngineIncarnation { engine: engine.clone(), started_at };
-            self.drain_notices.borrow_mut().learn(life, 0, self.now());
+            let incarnation = EngineIncarnation { engine: engine.clone(), started_at };
+            self.drain_notices.borrow_mut().learn(incarnation, 0, self.now());
         }
         self.stored_quarantine.borrow_mut().forget();
         self.stored_limits.borrow_mut().forget();
@@ -137,8 +137,8 @@
         };
         self.shared.metrics.store.with_label_values(&[call, label]).inc();
         if !reachable {
-            let (now, beside) = (self.now(), self.domain_size());
-            self.sources.borrow_mut().store_unavailable(now, beside, &mut rand::rng());
+            let (now, domain_size) = (self.now(), self.domain_size());
+            self.sources.borrow_mut().store_unavailable(now, domain_size, &mut rand::rng());
         }
         if reachable == self.reachable.get() || (!reachable && sent < self.reachable_since.get()) {
             return;
--- a/crates/heathpitchd/src/gateway/event.rs
+++ b/crates/heathpitchd/src/gateway/event.rs
@@ -72,8 +72,9 @@
         parts: Vec<(Name, LayerRange)>,
         /// Event after which a stream resumes.
         after: Option<u64>,
-        /// Time left until the call's deadline.
-        left_ms: Millis,
+        /// Time until the call's deadline.
+        #[serde(rename = "left_ms")]
+        remaining_ms: Millis,
         /// Version of the configuration in force.
         config: u64,
         /// Time since the known engines were last confirmed to match the store.
@@ -103,7 +104,8 @@
         /// Call.
         request: String,
         /// Engine that it was moved off.
-        leaving: Option<Name>,
+        #[serde(rename = "leaving")]
+        moved_off: Option<Name>,
         /// Stages of the new path.
         parts: Vec<(Name, LayerRange)>,
         /// Time since anything was received.
@@ -175,7 +177,8 @@
         /// Failure domain.
         domain: Name,
         /// Whether it is draining.
-        leaving: bool,
+        #[serde(rename = "leaving")]
+        draining: bool,
         /// Layers that it holds.
         layers: LayerRange,
         /// Unix time of its start, milliseconds, if known.
@@ -206,7 +209,8 @@
         by: &'static str,
     },
     /// An engine exited while it ran calls of this node: it refuses connections.
-    EngineEnded {
+    #[serde(rename = "engine_ended")]
+    EngineExited {
         /// Engine.
         engine: Name,
         /// Calls of this node that were lost with it.
@@ -220,7 +224,8 @@
         /// Node.
         by: Name,
         /// Number of exits that are new to this node or newly cleared.
-        ends: usize,
+        #[serde(rename = "ends")]
+        exits: usize,
     },
     /// A request is not sent to any engine from now on.
     RequestHeldBack {
@@ -229,7 +234,8 @@
         fingerprint: RequestFingerprint,
         /// Engines that exited while they ran it, its events there, and the time since this became
         /// known.
-        ends: Vec<(Name, u32, Millis)>,
+        #[serde(rename = "ends")]
+        exits: Vec<(Name, u32, Millis)>,
         /// Cause of the change.
         why: &'static str,
     },
@@ -321,7 +327,8 @@
         /// Engine.
         engine: Name,
         /// The factor; 1 is the card's speed.
-        pace: f64,
+        #[serde(rename = "pace")]
+        slowdown: f64,
     },
     /// The planner has planned which engines of its failure domain should hold other layers.
     LayoutPlanned {
