--- a/crates/core/src/engine_entry.rs
+++ b/crates/core/src/engine_entry.rs
@@ -10,7 +10,7 @@
     /// Accepts new requests.
     Ready,
     /// Finishes its open requests, then shuts down.
-    Leaving,
+    Draining,
 }
 
 /// An engine's entry; a restarted engine may register under its former id.
@@ -34,5 +34,5 @@
     pub layers: LayerRange,
     /// Unix time of its start, milliseconds, if reported; a different value means that the engine
     /// was restarted.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
--- a/crates/fakes/src/engine_http.rs
+++ b/crates/fakes/src/engine_http.rs
@@ -7,7 +7,7 @@
 use heathpitch_core::{Attempt, LayerRange};
 use heathpitch_net as body;
 use heathpitch_net::{Body, BodyError, Frame, GenerateCall, Order, RefusalKind};
-use heathpitch_policy::{BLOCK, blocks, prompt_tokens};
+use heathpitch_policy::{BLOCK_TOKENS, blocks, prompt_tokens};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 use parking_lot::Mutex;
@@ -155,12 +155,12 @@
     /// Decodes until the answer is complete, a stage fails or the client disconnects.
     async fn run(mut self, cached_blocks: usize, lose_response: bool) {
         let start = prompt_tokens(&self.call.prompt).len();
-        let mut from = (cached_blocks * BLOCK).min(self.tokens.len() - 1);
+        let mut from = (cached_blocks * BLOCK_TOKENS).min(self.tokens.len() - 1);
         let mut skip = cached_blocks;
         let mut delayed = None;
         loop {
             let position = self.tokens.len() - start;
-            if position >= self.call.wanted as usize {
+            if position >= self.call.max_tokens as usize {
                 return self.finish(false, lose_response).await;
             }
             let inputs = (from..self.tokens.len()).map(|i| embed(self.tokens[i], i as u32));
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -99,14 +99,14 @@
     fn report(&self) -> EngineReport {
         EngineReport {
             engine: self.name.clone(),
-            life: self.incarnation,
+            incarnation: self.incarnation,
             serial: self.serial.fetch_add(1, Relaxed) + 1,
             model: None,
             version: self.name.clone(),
             layers: LayerRange::new(0, 0),
             epoch: Epoch(0),
             role: EngineRole::Both,
-            leaving: self.faults.lock().draining,
+            draining: self.faults.lock().draining,
             slots: 64,
             running: 0,
             queued: 0,
--- a/crates/heathpitchd/src/gateway/call/send.rs
+++ b/crates/heathpitchd/src/gateway/call/send.rs
@@ -19,7 +19,7 @@
 use crate::gateway::backpressure::ResponseInfo;
 use crate::gateway::engine_table::EngineView;
 use crate::gateway::quarantine_snapshot::incarnation_of;
-use crate::gateway::shared::{Notice, Shared};
+use crate::gateway::shared::{ControlMessage, Shared};
 
 /// An engine's answer whose body is still to be read.
 pub(crate) struct Answer {
@@ -109,7 +109,7 @@
     }
     let answer = check(answer?)?;
     if reported_ended {
-        traffic.shared.notify(Notice::EngineAlive(incarnation_of(&view.entry)));
+        traffic.shared.notify_control(ControlMessage::EngineAlive(incarnation_of(&view.entry)));
     }
     Ok(answer)
 }
@@ -126,7 +126,7 @@
     if backpressure.is_draining() || backpressure.pause_left(traffic.shared.now()).is_some() {
         return Err(Failure::Backpressure);
     }
-    let incarnation = view.entry.born.unwrap_or_default();
+    let incarnation = view.entry.started_at.unwrap_or_default();
     let connected = traffic.pool.connect(view.entry.address, incarnation, reuse).await;
     let mut connection = connected.map_err(|e: RpcError| Failure::Unsent(e.to_string()))?;
     if connection.is_new() {
@@ -134,7 +134,7 @@
     }
     let dispatch = Dispatch {
         engine: &view.entry.id,
-        remaining: call.left(traffic.shared.now()),
+        remaining: call.remaining(traffic.shared.now()),
         account: call.holder.as_ref().map(|h| &h.account),
         rank: call.rank(),
         after,
@@ -147,7 +147,7 @@
         .target
         .parse()
         .map_err(|_| Failure::Unsent("the path is not valid".to_owned()))?;
-    *request.headers_mut() = traffic.edges.dialect.headers(&call.body.headers, &dispatch);
+    *request.headers_mut() = traffic.clients.dialect.headers(&call.body.headers, &dispatch);
     // The engine may have sent backpressure while the connection was opened.
     let admission =
         rights.admit(backpressure, traffic.shared.now()).ok_or(Failure::Backpressure)?;
@@ -160,7 +160,7 @@
         SendFailure::Lost(why) => Failure::Lost(why),
     })?;
     let (parts, body) = answer.into_parts();
-    let head = traffic.edges.dialect.answer(&call.head.id, &parts);
+    let head = traffic.clients.dialect.answer(&call.head.id, &parts);
     drop(admission);
     let status = parts.status.as_u16();
     let response = ResponseInfo { engine: &view.entry, of: &call.head.id, status, sent };
@@ -184,7 +184,7 @@
 ) {
     let engine = response.engine;
     if shared.record_backpressure(response, head.backpressure, backpressure) {
-        shared.notify(Notice::Draining(incarnation_of(engine)));
+        shared.notify_control(ControlMessage::Draining(incarnation_of(engine)));
     }
     let other_engine = |at: &SocketAddr| *at != engine.address && head.backpressure.pause.is_some();
     let Some(faulty_address) = head.faulty_address.filter(other_engine) else { return };
--- a/crates/heathpitchd/src/gateway/control/engines.rs
+++ b/crates/heathpitchd/src/gateway/control/engines.rs
@@ -55,18 +55,19 @@
     engine: &EngineEntry,
 ) -> Result<EngineStatus, RpcError> {
     let sent = control.now();
-    let answer = control.edges.orders.status(engine).await?;
+    let answer = control.clients.engines.status(engine).await?;
     let status = control.record_response(engine, "report", sent, answer);
-    let recency = control.incarnations.borrow_mut().observe(&engine.id, status.born, control.now());
+    let recency =
+        control.incarnations.borrow_mut().observe(&engine.id, status.started_at, control.now());
     match recency {
         Recency::Current => {}
         Recency::Stale => return Err(RpcError::Lost("stale incarnation".to_owned())),
         Recency::Restarted => {
-            reset_restarted(control, &engine.id, status.born, "its status");
+            reset_restarted(control, &engine.id, status.started_at, "its status");
             // The status decides which layers it holds until its entry is updated.
             let layers = status.layers.unwrap_or(LayerRange::new(0, 0));
-            let (state, born) = (EntryState::Ready, status.born);
-            let entry = EngineEntry { layers, state, born, ..engine.clone() };
+            let (state, started_at) = (EntryState::Ready, status.started_at);
+            let entry = EngineEntry { layers, state, started_at, ..engine.clone() };
             control.entries.borrow_mut().insert(engine.id.clone(), Arc::new(entry));
             control.publish();
         }
@@ -76,12 +77,12 @@
 
 /// Discards the state kept of an engine that restarted under its id, as shown by `by`: its former incarnation
 /// holds no layers and no tokens any more, and will send no answers.
-fn reset_restarted(control: &Control, engine: &Name, born: Option<Millis>, by: &'static str) {
+fn reset_restarted(control: &Control, engine: &Name, started_at: Option<Millis>, by: &'static str) {
     forget(control, engine);
     control.backpressure.borrow_mut().remove(engine);
-    control.leaving.borrow_mut().remove(engine);
+    control.departing.borrow_mut().remove(engine);
     control.lapsed.borrow_mut().remove(engine);
-    GatewayEvent::EngineRestarted { engine: engine.clone(), born, by }.log();
+    GatewayEvent::EngineRestarted { engine: engine.clone(), started_at, by }.log();
 }
 
 /// Updates the layers of an entry from the engine's status.
@@ -97,7 +98,7 @@
 
 /// Returns the engine whose entry is stored under a key.
 pub(super) fn engine_id(control: &Control, key: &str) -> Option<Name> {
-    key.strip_prefix(control.edges.dialect.engines_prefix())?.parse().ok()
+    key.strip_prefix(control.clients.dialect.engines_prefix())?.parse().ok()
 }
 
 /// Adds or updates entries and returns the ids of their engines.
@@ -130,10 +131,10 @@
         }
     };
     let id = entry.id.clone();
-    let recency = control.incarnations.borrow_mut().observe(&id, entry.born, control.now());
+    let recency = control.incarnations.borrow_mut().observe(&id, entry.started_at, control.now());
     match recency {
         Recency::Current => {}
-        Recency::Restarted => reset_restarted(control, &id, entry.born, "its store entry"),
+        Recency::Restarted => reset_restarted(control, &id, entry.started_at, "its store entry"),
         Recency::Stale => {
             log::info!("ignored an entry of engine {id} from an earlier incarnation");
             return Some(id);
@@ -141,9 +142,10 @@
     }
     let old = control.entries.borrow().get(&id).cloned();
     // Once announced, in an entry or a response, draining holds for the rest of the incarnation.
-    let left = old.as_ref().is_some_and(|o| o.state == EntryState::Leaving);
-    let draining = left || control.drain_notices.borrow().is_draining(&incarnation_of(&entry));
-    let state = if draining { EntryState::Leaving } else { entry.state };
+    let was_draining = old.as_ref().is_some_and(|o| o.state == EntryState::Draining);
+    let draining =
+        was_draining || control.drain_notices.borrow().is_draining(&incarnation_of(&entry));
+    let state = if draining { EntryState::Draining } else { entry.state };
     let entry = EngineEntry { state, ..entry };
     control.mirror.borrow_mut().put(item.key.clone(), item.revision.0, item.clone());
     if old.as_deref() == Some(&entry) {
@@ -156,14 +158,14 @@
         control.last_join.set(control.now());
     }
     match entry.state {
-        EntryState::Leaving if !left => {
-            control.leaving.borrow_mut().insert(id.clone(), control.now());
+        EntryState::Draining if !was_draining => {
+            control.departing.borrow_mut().insert(id.clone(), control.now());
             control.drain_notices.borrow_mut().learn(incarnation_of(&entry), 0, control.now());
         }
-        EntryState::Leaving => {}
+        EntryState::Draining => {}
         // It is listed again after having been removed: streams stay on it.
         EntryState::Ready => {
-            control.leaving.borrow_mut().remove(&id);
+            control.departing.borrow_mut().remove(&id);
         }
     }
     let entry = Arc::new(entry);
@@ -179,14 +181,16 @@
 /// If it cannot be decoded, holds layers that its model does not have, or lacks the start time that the engine
 /// stated before.
 fn read(control: &Control, item: &Item) -> Result<EngineEntry, DocumentError> {
-    let entry = control.edges.dialect.engine(item)?;
+    let entry = control.clients.dialect.engine(item)?;
     let wrong =
         |message: &str| Err(DocumentError { key: item.key.clone(), message: message.to_owned() });
     let service = control.service(&entry.service);
     let model = service.as_ref().and_then(|s| s.model.as_ref());
     match model {
         Some(model) if entry.layers.end > model.layers => wrong("its model has fewer layers"),
-        _ if entry.born.is_none() && control.incarnations.borrow().born(&entry.id).is_some() => {
+        _ if entry.started_at.is_none()
+            && control.incarnations.borrow().started_at(&entry.id).is_some() =>
+        {
             wrong("it lacks the start time of the engine, which earlier entries had")
         }
         _ => Ok(entry),
@@ -196,13 +200,13 @@
 /// Whether the store lists an engine as ready, regardless of other state kept of it.
 pub(super) fn is_listed_ready(control: &Control, id: &Name) -> bool {
     let key = key(control, id);
-    let listed = control.mirror.borrow().get(&key).map(|item| control.edges.dialect.engine(item));
+    let listed = control.mirror.borrow().get(&key).map(|item| control.clients.dialect.engine(item));
     matches!(listed, Some(Ok(entry)) if entry.state == EntryState::Ready)
 }
 
 /// Key of an engine's entry.
 fn key(control: &Control, id: &Name) -> String {
-    format!("{}{id}", control.edges.dialect.engines_prefix())
+    format!("{}{id}", control.clients.dialect.engines_prefix())
 }
 
 fn log_listed(entry: &EngineEntry) {
@@ -210,9 +214,9 @@
         engine: entry.id.clone(),
         service: entry.service.clone(),
         domain: entry.domain.clone(),
-        leaving: entry.state == EntryState::Leaving,
+        draining: entry.state == EntryState::Draining,
         layers: entry.layers,
-        born: entry.born,
+        started_at: entry.started_at,
     }
     .log();
 }
@@ -221,7 +225,7 @@
 pub(super) fn remove(control: &Control, id: &Name, why: &'static str) {
     control.mirror.borrow_mut().remove(&key(control, id));
     if control.entries.borrow_mut().remove(id).is_some() {
-        control.leaving.borrow_mut().entry(id.clone()).or_insert(control.now());
+        control.departing.borrow_mut().entry(id.clone()).or_insert(control.now());
         forget(control, id);
         GatewayEvent::EngineGone { engine: id.to_string(), why }.log();
     }
--- a/crates/heathpitchd/src/gateway/control/feed_server.rs
+++ b/crates/heathpitchd/src/gateway/control/feed_server.rs
@@ -72,7 +72,7 @@
         return local_reports(control, known);
     }
     let follower = Source { node: request.node.clone(), address: request.address };
-    control.followers.borrow_mut().record_poll(follower, request.able, control.now());
+    control.followers.borrow_mut().record_poll(follower, request.can_plan, control.now());
     let mut response = nodes(control);
     if let Err(e) = fill(control, &request, known, &mut response) {
         log::error!("failed to pack the answer to a poll: {e}");
@@ -107,7 +107,7 @@
         planners: planners.collect(),
         standbys: standbys.collect(),
         planner_released: control.planner_released.get(),
-        fleet_size: fleet.map_or(0, |f| f.nodes),
+        fleet_size: fleet.map_or(0, |f| f.fleet_size),
         domain_size: fleet.map_or(0, |f| f.domain_size),
         ..FeedResponse::default()
     }
@@ -126,7 +126,7 @@
         false => None,
     };
     let ages = (shared.config_freshness.load().age(now), shared.list_freshness.load().age(now));
-    let (proof_ms, list_ms) = match ages {
+    let (config_age_ms, entries_age_ms) = match ages {
         (Some(proof), Some(list)) if proof < MAX_PROOF_AGE_MS && list < MAX_LIST_AGE_MS => {
             (proof, list)
         }
@@ -138,7 +138,7 @@
         }
     };
     let engines = engines(control, request.digest, known.serial)?;
-    let packed = if let FeedEngines::Whole(packed) = &engines { packed.len() } else { 0 };
+    let packed = if let FeedEngines::Full(packed) = &engines { packed.len() } else { 0 };
     let large = packed + config.as_ref().map_or(0, |c| c.value.len());
     if !control.full_transfers.take(large, now) {
         response.withheld = true;
@@ -149,7 +149,7 @@
     response.fresh = true;
     response.cursor = FeedCursor { incarnation: control.incarnation, serial, reported };
     response.revision = control.revision();
-    (response.config_age_ms, response.entries_age_ms) = (proof_ms, list_ms);
+    (response.config_age_ms, response.entries_age_ms) = (config_age_ms, entries_age_ms);
     (response.engines, response.config, response.reports) = (engines, config, reports);
     Ok(())
 }
@@ -162,15 +162,15 @@
     }
     let delta = mirror.since(serial);
     if !delta.full {
-        return Ok(FeedEngines::Changes { items: delta.items, gone: delta.removed });
+        return Ok(FeedEngines::Changes { items: delta.items, removed: delta.removed });
     }
     let mut kept = control.full_transfers.engines.borrow_mut();
     match &*kept {
-        Some((serial, packed)) if *serial == delta.serial => Ok(FeedEngines::Whole(packed.clone())),
+        Some((serial, packed)) if *serial == delta.serial => Ok(FeedEngines::Full(packed.clone())),
         _ => {
             let packed = pack(&delta.items)?;
             *kept = Some((delta.serial, packed.clone()));
-            Ok(FeedEngines::Whole(packed))
+            Ok(FeedEngines::Full(packed))
         }
     }
 }
--- a/crates/heathpitchd/src/gateway/control/limit_records.rs
+++ b/crates/heathpitchd/src/gateway/control/limit_records.rs
@@ -17,7 +17,7 @@
 /// Prefix of the records, one per failure domain.
 pub(super) const PREFIX: &str = "heathpitch/limits/";
 /// Time between checks whether the record has to be written.
-const TICK: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// The last known state of this failure domain's record in the store.
 #[derive(Debug, Default)]
@@ -38,7 +38,7 @@
 pub(super) async fn run(control: Rc<Control>) {
     loop {
         control.wait_until_planner().await;
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if !control.is_planner() || !control.reachable() || control.stopping() {
             continue;
         }
@@ -53,16 +53,17 @@
 /// Current limits of the engines of this failure domain.
 fn current(control: &Control) -> LimitRecord {
     let (domain, entries) = (control.domain(), control.entries.borrow());
-    let own =
-        |life: &EngineIncarnation| entries.get(&life.engine).is_some_and(|e| e.domain == domain);
+    let own = |incarnation: &EngineIncarnation| {
+        entries.get(&incarnation.engine).is_some_and(|e| e.domain == domain)
+    };
     let (limits, backpressure) = (control.limits.borrow(), control.backpressure.borrow());
-    let in_probes = |life: &EngineIncarnation| {
-        backpressure.get(&life.engine).is_some_and(|b| b.limit().is_in_probes())
+    let in_probes = |incarnation: &EngineIncarnation| {
+        backpressure.get(&incarnation.engine).is_some_and(|b| b.limit().is_in_probes())
     };
-    let advertised = limits.named().filter(|(life, _)| own(life));
-    LimitRecord::of(advertised.map(|(life, rate)| {
-        let limit = LimitEntry { rate, in_probes: in_probes(&life) };
-        (life, limit)
+    let advertised = limits.in_force().filter(|(incarnation, _)| own(incarnation));
+    LimitRecord::new(advertised.map(|(incarnation, rate)| {
+        let limit = LimitEntry { rate, in_probes: in_probes(&incarnation) };
+        (incarnation, limit)
     }))
 }
 
@@ -74,7 +75,7 @@
         puts: vec![(key, record.text().into(), None)],
         removals: Vec::new(),
     };
-    match control.call("limits", control.edges.store.write(write)).await {
+    match control.call("limits", control.clients.store.write(write)).await {
         Ok(revision) => {
             GatewayEvent::LimitsStored { engines: record.limits().count(), revision }.log();
             keep(control, record, revision);
@@ -107,7 +108,7 @@
     if invalid > 0 {
         log::warn!("{invalid} invalid lines in record {} of engine limits", item.key);
     }
-    record.limits().for_each(|(life, limit)| control.restore_limit(life, limit));
+    record.limits().for_each(|(incarnation, limit)| control.restore_limit(incarnation, limit));
     if *item.key == *key(&control.domain()) {
         keep(control, record, item.revision);
     }
--- a/crates/heathpitchd/src/gateway/control/state.rs
+++ b/crates/heathpitchd/src/gateway/control/state.rs
@@ -24,7 +24,7 @@
 use super::reports::Report;
 use super::rights::RightsIssuer;
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::shared::{Edges, Shared};
+use crate::gateway::shared::{Clients, Shared};
 
 /// Time after the store's return within which entries that lapsed during the outage may reappear. The
 /// platform restores them within about two seconds.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Fleet {
     /// In the fleet.
-    pub(super) nodes: u32,
+    pub(super) fleet_size: u32,
     /// In the failure domain of this node.
     pub(super) domain_size: u32,
 }
@@ -50,7 +50,7 @@
 /// State of the controllers.
 pub(super) struct Control {
     pub(super) shared: Arc<Shared>,
-    pub(super) edges: Edges,
+    pub(super) clients: Clients,
     pub(super) entries: RefCell<HashMap<Name, Arc<EngineEntry>>>,
     /// Current incarnations of engines, including those removed recently.
     pub(super) incarnations: RefCell<Incarnations>,
@@ -87,7 +87,7 @@
     /// Engines that accept no connection.
     pub(super) unreachable: RefCell<HashMap<Name, Unreachable>>,
     /// Engines that are draining or no longer listed, with the time this began.
-    pub(super) leaving: RefCell<HashMap<Name, Millis>>,
+    pub(super) departing: RefCell<HashMap<Name, Millis>>,
     /// Engines that reported not to accept new work, with the time until which this holds.
     pub(super) refusing: RefCell<HashMap<Name, Millis>>,
     /// Time of the last status query to each engine.
@@ -140,10 +140,10 @@
 /// # Construction
 impl Control {
     /// Creates the state of a node that has just started.
-    pub(super) fn new(shared: Arc<Shared>, edges: Edges) -> Self {
+    pub(super) fn new(shared: Arc<Shared>, clients: Clients) -> Self {
         let (settings, now) = (shared.settings.load_full(), shared.now());
         Self {
-            edges,
+            clients,
             entries: RefCell::default(),
             incarnations: RefCell::default(),
             mirror: RefCell::default(),
@@ -167,7 +167,7 @@
             replaced: RefCell::default(),
             lapsed: RefCell::default(),
             unreachable: RefCell::default(),
-            leaving: RefCell::default(),
+            departing: RefCell::default(),
             refusing: RefCell::default(),
             status_queried: RefCell::default(),
             fleet: Cell::new(None),
@@ -217,7 +217,7 @@
         self.shared.now()
     }
 
-    /// Whether this node was told to stop.
+    /// Whether this node was asked to stop.
     pub(super) fn stopping(&self) -> bool {
         self.shared.stopping.load(Relaxed)
     }
@@ -294,10 +294,10 @@
     /// Whether an engine may be queried for its status now, which is allowed twice a second.
     pub(super) fn may_query_status(&self, engine: &Name) -> bool {
         let now = self.now();
-        let mut questioned = self.status_queried.borrow_mut();
-        let due = questioned.get(engine).is_none_or(|at| now >= at + STATUS_QUERY_INTERVAL_MS);
+        let mut queried = self.status_queried.borrow_mut();
+        let due = queried.get(engine).is_none_or(|at| now >= at + STATUS_QUERY_INTERVAL_MS);
         if due {
-            questioned.insert(engine.clone(), now);
+            queried.insert(engine.clone(), now);
         }
         due
     }
--- a/crates/heathpitchd/src/main.rs
+++ b/crates/heathpitchd/src/main.rs
@@ -3,14 +3,14 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::sync::Arc;
 
 use gumdrop::Options;
-use std::sync::Arc;
 
 use heathpitch_core::{ConfigError, GatewaySettings, parse_settings};
 use heathpitch_net::Client;
 use heathpitch_platform::{HttpEngineControl, HttpStore, PlatformDialect};
-use heathpitchd::{Edges, Gateway, Node, StartError, init_logs};
+use heathpitchd::{Clients, Gateway, Node, StartError, init_logs};
 use log::LevelFilter;
 
 /// Exit code for invalid arguments or settings.
@@ -35,7 +35,7 @@
     check: bool,
     /// Logs only warnings.
     quiet: bool,
-    /// Serves pass-through calls beside the platform's store; the settings are a gateway's.
+    /// Runs as a gateway to the engines in the platform's store; the settings are a gateway's.
     #[options(no_short)]
     gateway: bool,
 }
@@ -83,12 +83,12 @@
         println!("{}: valid", path.display());
         return Ok(0);
     }
-    let edges = Edges {
+    let clients = Clients {
         store: Arc::new(HttpStore::new(settings.store)),
         dialect: Arc::new(PlatformDialect),
-        orders: Arc::new(HttpEngineControl::new(Client::new())),
+        engines: Arc::new(HttpEngineControl::new(Client::new())),
     };
-    let gateway = Gateway::spawn(settings, edges)?;
+    let gateway = Gateway::spawn(settings, clients)?;
     gateway.serve(path)?;
     Ok(gateway.stop())
 }
--- a/crates/net/src/feed_codec.rs
+++ b/crates/net/src/feed_codec.rs
@@ -16,7 +16,8 @@
     FeedRequest, FeedResponse, Item, NoticeCursor, RightsRequest, RightsResponse, RpcError,
 };
 
-/// Encodes and compresses a complete list of items: 100 engine entries take about 3 kB instead of 30 kB.
+/// Encodes and compresses a complete list of items: 100 engine entries take about 3 kB instead of
+/// 30 kB.
 ///
 /// # Errors
 ///
@@ -45,7 +46,7 @@
 pub(crate) fn write_request(from: &FeedRequest, mut to: ask::Builder<'_>) {
     to.set_node(from.node.as_str());
     to.set_address(from.address.to_string());
-    to.set_able(from.able);
+    to.set_able(from.can_plan);
     to.set_revision(from.revision.0);
     to.set_version(from.version);
     to.set_digest(from.digest);
@@ -66,7 +67,7 @@
     Ok(FeedRequest {
         node: name(from.get_node()?)?,
         address: address(from.get_address()?)?,
-        able: from.get_able(),
+        can_plan: from.get_able(),
         revision: Revision(from.get_revision()),
         version: from.get_version(),
         digest: from.get_digest(),
@@ -99,14 +100,14 @@
     to.set_beside(from.domain_size);
     to.set_vacant(from.planner_released);
     match &from.engines {
-        FeedEngines::Whole(packed) => {
+        FeedEngines::Full(packed) => {
             to.set_whole(true);
             to.set_packed(packed);
         }
-        FeedEngines::Changes { items, gone } => {
+        FeedEngines::Changes { items, removed } => {
             write_items(items, to.reborrow().init_items(items.len() as u32));
-            let mut keys = to.reborrow().init_gone(gone.len() as u32);
-            for (i, key) in gone.iter().enumerate() {
+            let mut keys = to.reborrow().init_gone(removed.len() as u32);
+            for (i, key) in removed.iter().enumerate() {
                 keys.set(i as u32, &**key);
             }
         }
@@ -140,10 +141,10 @@
         Ok::<Arc<str>, capnp::Error>(k?.to_str()?.into())
     };
     let engines = match from.get_whole() {
-        true => FeedEngines::Whole(Bytes::copy_from_slice(from.get_packed()?)),
+        true => FeedEngines::Full(Bytes::copy_from_slice(from.get_packed()?)),
         false => FeedEngines::Changes {
             items: read_items(from.get_items()?)?,
-            gone: from.get_gone()?.iter().map(key).collect::<capnp::Result<_>>()?,
+            removed: from.get_gone()?.iter().map(key).collect::<capnp::Result<_>>()?,
         },
     };
     Ok(FeedResponse {
@@ -220,7 +221,7 @@
         let mut to = to.reborrow().get(i as u32);
         to.set_print(e.fingerprint.0);
         to.set_engine(e.engine.as_str());
-        to.set_born(e.born.unwrap_or(0));
+        to.set_born(e.started_at.unwrap_or(0));
         to.set_events(e.events);
         to.set_renewed(e.renewed);
         to.set_void(e.cleared);
@@ -244,7 +245,7 @@
     Ok(FeedExit {
         fingerprint: RequestFingerprint(from.get_print()),
         engine: name(from.get_engine()?)?,
-        born: Some(from.get_born()).filter(|born| *born > 0),
+        started_at: Some(from.get_born()).filter(|started_at| *started_at > 0),
         events: from.get_events(),
         renewed: from.get_renewed(),
         cleared: from.get_void(),
@@ -256,7 +257,7 @@
     for (i, l) in from.iter().enumerate() {
         let mut to = to.reborrow().get(i as u32);
         to.set_engine(l.engine.as_str());
-        to.set_born(l.born.unwrap_or(0));
+        to.set_born(l.started_at.unwrap_or(0));
         to.set_age_ms(l.age_ms);
     }
 }
@@ -264,7 +265,7 @@
 fn read_drain(from: leave::Reader<'_>) -> capnp::Result<FeedDrain> {
     Ok(FeedDrain {
         engine: name(from.get_engine()?)?,
-        born: Some(from.get_born()).filter(|born| *born > 0),
+        started_at: Some(from.get_born()).filter(|started_at| *started_at > 0),
         age_ms: from.get_age_ms(),
     })
 }
@@ -277,7 +278,7 @@
 
 fn write_limit(from: &FeedLimit, mut to: limit::Builder<'_>) {
     to.set_engine(from.engine.as_str());
-    to.set_born(from.born.unwrap_or(0));
+    to.set_born(from.started_at.unwrap_or(0));
     to.set_parts(Rate::pack(from.rate));
     to.set_age_ms(from.age_ms);
 }
@@ -285,7 +286,7 @@
 fn read_limit(from: limit::Reader<'_>) -> capnp::Result<FeedLimit> {
     Ok(FeedLimit {
         engine: name(from.get_engine()?)?,
-        born: Some(from.get_born()).filter(|born| *born > 0),
+        started_at: Some(from.get_born()).filter(|started_at| *started_at > 0),
         rate: Rate::unpack(from.get_parts()),
         age_ms: from.get_age_ms(),
     })
--- a/crates/net/src/peer_codec.rs
+++ b/crates/net/src/peer_codec.rs
@@ -63,13 +63,13 @@
 
 fn write_member(from: &Member, mut to: member::Builder<'_>) {
     to.set_node(from.node.as_str());
-    to.set_life(from.life.0);
-    to.set_beat(from.beat);
+    to.set_life(from.incarnation.0);
+    to.set_beat(from.heartbeat);
     to.set_domain(from.domain.as_str());
     to.set_peer(from.peer.as_str());
     to.set_caller(from.caller.as_str());
     to.set_admin(from.admin.as_str());
-    to.set_leaving(from.state == MemberState::Leaving);
+    to.set_leaving(from.state == MemberState::Draining);
     to.set_config(from.config.0);
     to.set_age(from.age);
 }
@@ -77,13 +77,13 @@
 fn read_member(from: member::Reader<'_>) -> Result<Member> {
     Ok(Member {
         node: name(from.get_node()?)?,
-        life: Incarnation(from.get_life()),
-        beat: from.get_beat(),
+        incarnation: Incarnation(from.get_life()),
+        heartbeat: from.get_beat(),
         domain: name(from.get_domain()?)?,
         peer: name(from.get_peer()?)?,
         caller: name(from.get_caller()?)?,
         admin: name(from.get_admin()?)?,
-        state: if from.get_leaving() { MemberState::Leaving } else { MemberState::Ready },
+        state: if from.get_leaving() { MemberState::Draining } else { MemberState::Ready },
         config: Revision(from.get_config()),
         age: from.get_age(),
     })
@@ -91,7 +91,7 @@
 
 fn write_report(from: &EngineReport, mut to: report::Builder<'_>) {
     to.set_engine(from.engine.as_str());
-    to.set_life(from.life.0);
+    to.set_life(from.incarnation.0);
     to.set_serial(from.serial);
     to.set_model(from.model.as_ref().map_or("", Name::as_str));
     to.set_version(from.version.as_str());
@@ -103,7 +103,7 @@
         EngineRole::Prefill => 1,
         EngineRole::Decode => 2,
     });
-    to.set_leaving(from.leaving);
+    to.set_leaving(from.draining);
     to.set_slots(from.slots);
     to.set_running(from.running);
     to.set_queued(from.queued);
@@ -119,7 +119,7 @@
     let model = from.get_model()?;
     Ok(EngineReport {
         engine: name(from.get_engine()?)?,
-        life: Incarnation(from.get_life()),
+        incarnation: Incarnation(from.get_life()),
         serial: from.get_serial(),
         model: if model.is_empty() { None } else { Some(name(model)?) },
         version: name(from.get_version()?)?,
@@ -130,7 +130,7 @@
             2 => EngineRole::Decode,
             _ => EngineRole::Both,
         },
-        leaving: from.get_leaving(),
+        draining: from.get_leaving(),
         slots: from.get_slots(),
         running: from.get_running(),
         queued: from.get_queued(),
--- a/crates/policy/src/blocks.rs
+++ b/crates/policy/src/blocks.rs
@@ -5,12 +5,12 @@
 /// Token that starts every prompt.
 const START_TOKEN: u32 = 256;
 /// Tokens in a block.
-pub const BLOCK: usize = 16;
+pub const BLOCK_TOKENS: usize = 16;
 
 /// Hashes of the complete blocks of a prompt, each chained to the one before.
 ///
-/// The chain is seeded with the client account and the model, so that accounts never share a block. A
-/// prompt of `n` tokens can hit at most `n / 16` blocks, rounded down.
+/// The chain is seeded with the client account and the model, so that accounts never share a block.
+/// A prompt of `n` tokens can hit at most `n / 16` blocks, rounded down.
 ///
 /// # Examples
 ///
@@ -25,7 +25,7 @@
 /// ```
 pub fn blocks(account: &Name, model: &Name, tokens: &[u32]) -> Vec<u64> {
     let salt = hash_name(model, hash_name(account, 3));
-    let chain = tokens.chunks_exact(BLOCK).scan(salt, |h, block| {
+    let chain = tokens.chunks_exact(BLOCK_TOKENS).scan(salt, |h, block| {
         *h = block.iter().fold(*h, |h, t| mix(h, u64::from(*t) + 1));
         Some(*h)
     });
--- a/crates/policy/src/engine_limit.rs
+++ b/crates/policy/src/engine_limit.rs
@@ -1,16 +1,17 @@
-//! Rate limit that one engine states for all nodes together, and this node's rights to send requests under it.
+//! Rate limit that one engine states for all nodes together, and this node's rights to send
+//! requests under it.
 //!
-//! A limit applies as soon as the head of the response that states it is read. Responses may arrive out of order,
-//! so a response relaxes an earlier one only if its request was sent after that. A lower limit applies at
-//! once; a higher limit, or none, only under that condition; and a limit is lifted only by two responses without one,
-//! some time after the last that stated it. Keeping a limit slightly too long costs little, while ignoring one may
-//! overload the engine.
+//! A limit applies as soon as the head of the response that states it is read. Responses may arrive
+//! out of order, so a response relaxes an earlier one only if its request was sent after that. A
+//! lower limit applies at once; a higher limit, or none, only under that condition; and a limit is
+//! lifted only by two responses without one, some time after the last that stated it. Keeping a
+//! limit slightly too long costs little, while ignoring one may overload the engine.
 //!
-//! No node can enforce a limit on the sum over all nodes alone: each request needs a right, issued by the planner of
-//! the engine's failure domain ([`Rights`](crate::Rights)). Rights expire soon, so that a node resuming after a
-//! stall does not use old ones beside new ones. A node that cannot reach an issuer issues its own: all such
-//! nodes together at most a quarter of the limit, so that the rights issued to others in the meantime do not
-//! add up to more than the limit allows.
+//! No node can enforce a limit on the sum over all nodes alone: each request needs a right, issued
+//! by the planner of the engine's failure domain ([`Rights`](crate::Rights)). Rights expire soon,
+//! so that a node resuming after a stall does not use old ones in addition to new ones. A node that
+//! cannot reach an issuer issues its own: all such nodes together at most a quarter of the limit,
+//! so that the rights issued to others in the meantime do not add up to more than the limit allows.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -20,8 +21,8 @@
 use crate::Backpressure;
 use crate::rights::target_rate;
 
-/// Least age of the last response with a limit before two without one lift it, milliseconds: single responses may
-/// omit the limit.
+/// Least age of the last response with a limit before two without one lift it, milliseconds: single
+/// responses may omit the limit.
 const LIFT_DELAY_MS: Millis = 500;
 /// Lifetime of a right, milliseconds; connecting to an engine takes at most 400.
 pub(crate) const RIGHT_TTL_MS: Millis = 500;
@@ -31,11 +32,12 @@
 const SELF_ISSUED_TTL_MS: Millis = 1_000;
 /// Interval between attempts to find an issuer, milliseconds.
 const ISSUER_RETRY_MS: Millis = 300;
-/// Interval over which this node's requests are counted to size the next batch of rights, milliseconds.
+/// Interval over which this node's requests are counted to size the next batch of rights,
+/// milliseconds.
 const COUNT_INTERVAL_MS: Millis = 250;
 /// Largest batch of rights to request.
 const MAX_BATCH: u16 = 256;
-/// Bits of a count that is packed beside a time.
+/// Bits of a count that is packed with a time.
 const COUNT_BITS: u32 = 16;
 const COUNT_MASK: u64 = (1 << COUNT_BITS) - 1;
 
@@ -72,14 +74,15 @@
     paused: AtomicU64,
     /// Time of the next self-issued right; 0 before the first.
     next_own: AtomicU64,
-    /// Number of the last counting interval with requests, their count, and that of the interval before.
+    /// Number of the last counting interval with requests, their count, and that of the interval
+    /// before.
     counts: AtomicU64,
 }
 
 /// # Observations
 impl EngineLimit {
-    /// Records a response received at `now` that states a limit, to a request sent at `sent`; returns whether the
-    /// limit changes.
+    /// Records a response received at `now` that states a limit, to a request sent at `sent`;
+    /// returns whether the limit changes.
     pub fn observe(&self, rate: Rate, sent: Millis, now: Millis) -> bool {
         self.stated.fetch_max(now, Relaxed);
         self.omitted.store(false, Relaxed);
@@ -104,14 +107,14 @@
         self.in_probes.store(true, Relaxed);
     }
 
-    /// Whether a probe response without a limit means that there is none. Engines that only serve later stages
-    /// of paths answer no calls, so for them probes are the only evidence.
+    /// Whether a probe response without a limit means that there is none. Engines that only serve
+    /// later stages of paths answer no calls, so for them probes are the only evidence.
     pub fn is_in_probes(&self) -> bool {
         self.in_probes.load(Relaxed)
     }
 
-    /// Applies what another node observed at `at`; returns whether the limit changes. The lifting of a limit is
-    /// ignored if it may be older than the last response to this node.
+    /// Applies what another node observed at `at`; returns whether the limit changes. The lifting
+    /// of a limit is ignored if it may be older than the last response to this node.
     pub fn learn(&self, rate: Option<Rate>, at: Millis) -> bool {
         let newer = at > self.changed.load(Relaxed);
         let current = rate.is_some() || at > self.stated.load(Relaxed);
@@ -121,7 +124,7 @@
     fn set(&self, rate: Option<Rate>, at: Millis) -> bool {
         self.changed.store(at, Relaxed);
         self.omitted.store(false, Relaxed);
-        // Rights issued under another limit are void.
+        // Rights issued under another limit are invalid.
         self.stock.store(0, Relaxed);
         self.rate.store(Rate::pack(rate), Relaxed);
         true
@@ -131,24 +134,28 @@
 /// # Rights
 impl EngineLimit {
     /// Takes a right from the stock.
-    pub fn take(wish: &Arc<Backpressure>, now: Millis) -> Option<Right> {
-        let stock = &wish.limit().stock;
+    pub fn take(backpressure: &Arc<Backpressure>, now: Millis) -> Option<Right> {
+        let stock = &backpressure.limit().stock;
         let taken = stock.fetch_update(Relaxed, Relaxed, |s| {
             (until(s) > now && s & COUNT_MASK > 0).then(|| s - 1)
         });
-        taken.ok().map(|s| Right { wish: wish.clone(), until: until(s), used: false })
+        taken.ok().map(|s| Right {
+            backpressure: backpressure.clone(),
+            until: until(s),
+            used: false,
+        })
     }
 
-    /// Adds `count` rights issued to a request sent at `sent`, and takes one; `None` if they arrived too late or
-    /// another call took the last one.
+    /// Adds `count` rights issued to a request sent at `sent`, and takes one; `None` if they
+    /// arrived too late or another call took the last one.
     pub fn receive(
-        wish: &Arc<Backpressure>,
+        backpressure: &Arc<Backpressure>,
         count: u16,
         sent: Millis,
         now: Millis,
     ) -> Option<Right> {
-        wish.limit().add_rights(count, sent, now);
-        Self::take(wish, now)
+        backpressure.limit().add_rights(count, sent, now);
+        Self::take(backpressure, now)
     }
 
     /// Adds `count` rights issued to a request sent at `sent`.
@@ -166,8 +173,8 @@
         let _ = self.stock.fetch_update(Relaxed, Relaxed, add);
     }
 
-    /// Returns a right that expires at `end` to the stock. It is dropped if the stock expires later, since it would
-    /// otherwise outlive its expiry.
+    /// Returns a right that expires at `end` to the stock. It is dropped if the stock expires
+    /// later, since it would otherwise outlive its expiry.
     fn put_back(&self, end: Millis) {
         let add = |stock: u64| match stock & COUNT_MASK {
             0 => Some((end << COUNT_BITS) | 1),
@@ -183,9 +190,9 @@
         self.paused.store(until, Relaxed);
     }
 
-    /// Issues this node a right of its own, since no issuer was found at `now` in a fleet of `nodes`; returns
-    /// whether one was due. None is due while the size of the fleet is unknown. `draw`, from 0 to 1, sets the time of
-    /// the next.
+    /// Issues this node a right of its own, since no issuer was found at `now` in a fleet of
+    /// `nodes`; returns whether one was due. None is due while the size of the fleet is unknown.
+    /// `draw`, from 0 to 1, sets the time of the next.
     pub fn self_issue(&self, nodes: Option<u32>, draw: f64, now: Millis) -> bool {
         let Some(rate) = self.rate() else { return true };
         self.pause_until(now + ISSUER_RETRY_MS);
@@ -203,7 +210,7 @@
     }
 
     /// Number of rights to request: the requests sent in the last complete interval.
-    pub fn wanted(&self, now: Millis) -> u16 {
+    pub fn batch_size(&self, now: Millis) -> u16 {
         let (interval, count, before) = unpack_counts(self.counts.load(Relaxed));
         let last = match (now / COUNT_INTERVAL_MS).saturating_sub(interval) {
             0 => before,
@@ -264,20 +271,20 @@
 /// Permit to send one request to an engine; returned to the stock on drop if unused.
 #[derive(Debug)]
 pub struct Right {
-    wish: Arc<Backpressure>,
+    backpressure: Arc<Backpressure>,
     until: Millis,
     used: bool,
 }
 
 impl Right {
     /// A right that this node issued to itself at `now`.
-    pub fn self_issued(wish: &Arc<Backpressure>, now: Millis) -> Self {
-        Self { wish: wish.clone(), until: now + RIGHT_TTL_MS, used: false }
+    pub fn self_issued(backpressure: &Arc<Backpressure>, now: Millis) -> Self {
+        Self { backpressure: backpressure.clone(), until: now + RIGHT_TTL_MS, used: false }
     }
 
     /// Uses the right if it is for this engine and valid at `now`; returns whether it was.
-    pub(crate) fn spend(&mut self, wish: &Arc<Backpressure>, now: Millis) -> bool {
-        self.used = now < self.until && Arc::ptr_eq(&self.wish, wish);
+    pub(crate) fn spend(&mut self, backpressure: &Arc<Backpressure>, now: Millis) -> bool {
+        self.used = now < self.until && Arc::ptr_eq(&self.backpressure, backpressure);
         self.used
     }
 
@@ -291,7 +298,7 @@
     fn drop(&mut self) {
         if !self.used {
             // Expiry is checked when it is taken again.
-            self.wish.limit().put_back(self.until);
+            self.backpressure.limit().put_back(self.until);
         }
     }
 }
--- a/crates/policy/src/limit_record.rs
+++ b/crates/policy/src/limit_record.rs
@@ -1,9 +1,9 @@
 //! Rate limits of engines, persisted in the store for the case that all nodes restart at once.
 //!
-//! Such nodes have no peer to ask, and until the limit in an engine's first responses has reached all nodes, each
-//! would send without a limit. The planner of a failure domain stores one record for the engines of its domain. A
-//! record fills in what a node does not know and never overrides what it does: responses of the engine lift a
-//! limit that is out of date.
+//! Such nodes have no peer to ask, and until the limit in an engine's first responses has reached
+//! all nodes, each would send without a limit. The planner of a failure domain stores one record
+//! for the engines of its domain. A record fills in what a node does not know and never overrides
+//! what it does: responses of the engine lift a limit that is out of date.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -12,14 +12,15 @@
 
 use crate::EngineIncarnation;
 
-/// Least interval between writes while the stored record is less strict than the current limits, milliseconds.
+/// Least interval between writes while the stored record is less strict than the current limits,
+/// milliseconds.
 const TIGHTEN_INTERVAL_MS: Millis = 1_000;
 /// The same while the stored record is stricter: responses of the engines correct that.
 const LOOSEN_INTERVAL_MS: Millis = 5_000;
 /// Most engines in a record, about fifty bytes each.
 const RECORD_MAX_ENGINES: usize = 2_048;
 
-/// Words of the stored format for whether probe responses state the limit.
+/// Values in the stored format for whether probe responses state the limit.
 const IN_PROBES: &str = "questions";
 const NOT_IN_PROBES: &str = "calls";
 
@@ -28,8 +29,8 @@
 pub struct LimitEntry {
     /// Requests per second over all nodes.
     pub rate: Rate,
-    /// Whether probe responses state the limit, as those to calls do. Only they can lift the limit of an engine that
-    /// answers no calls, and a node that has just started has seen none.
+    /// Whether probe responses state the limit, as those to calls do. Only they can lift the limit
+    /// of an engine that answers no calls, and a node that has just started has seen none.
     pub in_probes: bool,
 }
 
@@ -41,9 +42,9 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord};
 ///
-/// let life = EngineIncarnation { engine: "i-1".parse()?, born: Some(17) };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: Some(17) };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
-/// let record = LimitRecord::of([(life, limit)]);
+/// let record = LimitRecord::new([(incarnation, limit)]);
 /// assert_eq!(record.text(), "i-1 17 3.6 calls\n");
 /// let (read, unreadable) = LimitRecord::read("i-1 17 3.6 calls\ni-2 nonsense\n");
 /// assert_eq!((read, unreadable), (record, 1));
@@ -56,7 +57,7 @@
 
 impl LimitRecord {
     /// Builds a record of these limits.
-    pub fn of(limits: impl IntoIterator<Item = (EngineIncarnation, LimitEntry)>) -> Self {
+    pub fn new(limits: impl IntoIterator<Item = (EngineIncarnation, LimitEntry)>) -> Self {
         Self { limits: limits.into_iter().take(RECORD_MAX_ENGINES).collect() }
     }
 
@@ -68,44 +69,49 @@
         (Self { limits }, unreadable)
     }
 
-    /// Formats the record: one line per engine with its start time (0 if unknown), its limit in requests per
-    /// second, and which responses state the limit.
+    /// Formats the record: one line per engine with its start time (0 if unknown), its limit in
+    /// requests per second, and which responses state the limit.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        for (life, LimitEntry { rate, in_probes }) in &self.limits {
+        for (incarnation, LimitEntry { rate, in_probes }) in &self.limits {
             let by = if *in_probes { IN_PROBES } else { NOT_IN_PROBES };
             // Writing to a string cannot fail.
-            let _ = writeln!(text, "{} {} {rate} {by}", life.engine, life.born.unwrap_or(0));
+            let _ = writeln!(
+                text,
+                "{} {} {rate} {by}",
+                incarnation.engine,
+                incarnation.started_at.unwrap_or(0)
+            );
         }
         text
     }
 
     /// Entries of the record.
     pub fn limits(&self) -> impl Iterator<Item = (&EngineIncarnation, LimitEntry)> {
-        self.limits.iter().map(|(life, limit)| (life, *limit))
+        self.limits.iter().map(|(incarnation, limit)| (incarnation, *limit))
     }
 
     /// Whether nodes that know only this record could exceed a limit of `current`.
     fn exceeds(&self, current: &Self) -> bool {
-        let exceeded = |(life, limit): (&EngineIncarnation, LimitEntry)| {
-            self.limits.get(life).is_none_or(|l| l.rate > limit.rate)
+        let exceeded = |(incarnation, limit): (&EngineIncarnation, LimitEntry)| {
+            self.limits.get(incarnation).is_none_or(|l| l.rate > limit.rate)
         };
         current.limits().any(exceeded)
     }
 }
 
 fn read_line(line: &str) -> Option<(EngineIncarnation, LimitEntry)> {
-    let mut words = line.split(' ');
-    let engine = words.next()?.parse().ok()?;
-    let born = words.next()?.parse().ok()?;
-    let rate = Rate::per_second(words.next()?.parse().ok()?)?;
-    let in_probes = match words.next()? {
+    let mut fields = line.split(' ');
+    let engine = fields.next()?.parse().ok()?;
+    let started_at = fields.next()?.parse().ok()?;
+    let rate = Rate::per_second(fields.next()?.parse().ok()?)?;
+    let in_probes = match fields.next()? {
         IN_PROBES => true,
         NOT_IN_PROBES => false,
         _ => return None,
     };
-    let born = Some(born).filter(|b| *b > 0);
-    Some((EngineIncarnation { engine, born }, LimitEntry { rate, in_probes }))
+    let started_at = Some(started_at).filter(|b| *b > 0);
+    Some((EngineIncarnation { engine, started_at }, LimitEntry { rate, in_probes }))
 }
 
 /// Schedules the planner's writes of the record of a failure domain.
@@ -116,14 +122,14 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, LimitEntry, LimitRecord, LimitRecorder};
 ///
-/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: None };
 /// let limit = LimitEntry { rate: Rate::from_thousandths(3_600), in_probes: false };
-/// let named = LimitRecord::of([(life, limit)]);
+/// let current = LimitRecord::new([(incarnation, limit)]);
 /// let mut recorder = LimitRecorder::default();
 /// assert!(!recorder.is_due(&LimitRecord::default(), 0), "nothing to store");
-/// assert!(recorder.is_due(&named, 0));
-/// recorder.stored(named.clone(), 0);
-/// assert!(!recorder.is_due(&named, 9_000));
+/// assert!(recorder.is_due(&current, 0));
+/// recorder.stored(current.clone(), 0);
+/// assert!(!recorder.is_due(&current, 9_000));
 /// assert!(!recorder.is_due(&LimitRecord::default(), 4_000), "lifting a limit may wait");
 /// assert!(recorder.is_due(&LimitRecord::default(), 5_000));
 /// # Ok::<(), heathpitch_core::NameError>(())
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -12,7 +12,7 @@
 
 /// Members kept of each other failure domain.
 const MAX_REMOTE_MEMBERS: usize = 8;
-/// Heartbeat periods without news of a member after which it counts as dead.
+/// Heartbeat periods without an update of a member after which it counts as dead.
 const DEAD_AFTER_BEATS: u64 = 30;
 /// One exchange in this many goes to another failure domain.
 const REMOTE_EXCHANGE_RATIO: u32 = 5;
@@ -23,7 +23,7 @@
     /// Accepts work.
     Ready,
     /// Draining.
-    Leaving,
+    Draining,
 }
 
 /// What a node announces about itself.
@@ -32,9 +32,9 @@
     /// Name of the node.
     pub node: Name,
     /// Incarnation of the node.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Heartbeat count of that incarnation.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// Failure domain.
     pub domain: Name,
     /// `ip:port` for peers.
@@ -54,7 +54,7 @@
 impl Member {
     /// Incarnations are ordered by the wall clock at start, so a restart supersedes earlier ones.
     fn newer(&self, other: &Member) -> bool {
-        (self.life, self.beat) > (other.life, other.beat)
+        (self.incarnation, self.heartbeat) > (other.incarnation, other.heartbeat)
     }
 }
 
@@ -94,9 +94,9 @@
     }
 
     /// The live member with this name and incarnation.
-    pub fn find(&self, node: &str, life: Incarnation, now: Millis) -> Option<&Member> {
-        let heard = self.known.get(node).filter(|h| self.is_alive(h, now))?;
-        (heard.member.life == life).then_some(&heard.member)
+    pub fn find(&self, node: &str, incarnation: Incarnation, now: Millis) -> Option<&Member> {
+        let entry = self.known.get(node).filter(|h| self.is_alive(h, now))?;
+        (entry.member.incarnation == incarnation).then_some(&entry.member)
     }
 
     /// Number of live nodes in this failure domain, including this one.
@@ -105,7 +105,7 @@
         1 + self.known.values().filter(local).count()
     }
 
-    /// This node and the most recently heard members, at most `most`, to send to a peer.
+    /// This node and the most recently updated members, at most `most`, to send to a peer.
     pub fn freshest(&self, most: usize, now: Millis) -> Vec<Member> {
         let mut list: Vec<_> = self.known.values().filter(|h| self.is_alive(h, now)).collect();
         list.sort_by(|a, b| b.at.cmp(&a.at).then_with(|| a.member.node.cmp(&b.member.node)));
@@ -136,8 +136,8 @@
 /// # Events
 impl Members {
     /// Advances the heartbeat and evicts members that have long been dead.
-    pub fn beat(&mut self, now: Millis) {
-        self.me.beat += 1;
+    pub fn heartbeat(&mut self, now: Millis) {
+        self.me.heartbeat += 1;
         let forget = self.period * DEAD_AFTER_BEATS * 3;
         self.known.retain(|_, h| now.saturating_sub(h.at) < forget);
     }
--- a/crates/policy/src/rights.rs
+++ b/crates/policy/src/rights.rs
@@ -1,9 +1,11 @@
-//! Rights to send requests to rate-limited engines, issued by the planner of an engine's failure domain.
+//! Rights to send requests to rate-limited engines, issued by the planner of an engine's failure
+//! domain.
 //!
-//! Each request needs one right, and rights are issued at the rate of the limit. So the sum over all nodes stays
-//! within it, whatever their number and however clients are spread over them. A node that becomes the issuer does
-//! not know the rights issued before, so it starts with a nearly empty bucket. A node that gets no right is told when
-//! to ask again, such that all nodes together ask at a bounded rate.
+//! Each request needs one right, and rights are issued at the rate of the limit. So the sum over
+//! all nodes stays within it, whatever their number and however clients are spread over them. A
+//! node that becomes the issuer does not know the rights issued before, so it starts with a nearly
+//! empty bucket. A node that gets no right learns when to ask again, such that all nodes together
+//! ask at a bounded rate.
 
 use std::collections::HashMap;
 
@@ -11,23 +13,24 @@
 
 use crate::{Bucket, EngineIncarnation};
 
-/// Least rate, requests per second: an engine with a limit near 0 still gets a request now and then, which shows whether
-/// the limit still applies.
+/// Least rate, requests per second: an engine with a limit near 0 still gets a request now and
+/// then, which shows whether the limit still applies.
 const MIN_RATE: f64 = 0.25;
-/// Burst of rights, as seconds of the rate plus a number. Together with the rights issued before they are used, it
-/// stays within half of the rate plus five over four seconds.
+/// Burst of rights, as seconds of the rate plus a number. Together with the rights issued before
+/// they are used, it stays within half of the rate plus five over four seconds.
 const BURST_S: f64 = 0.3;
 const BURST: f64 = 3.0;
 /// Rights available to a new issuer, as seconds of the rate; at a high rate no request has to wait.
 const INITIAL_S: f64 = 0.1;
-/// Least interval between failing requests for rights, all nodes together, milliseconds: about a percent of a small VM.
+/// Least interval between failing requests for rights, all nodes together, milliseconds: about a
+/// percent of a small VM.
 const REQUEST_INTERVAL_MS: Millis = 10;
 /// Time for which a node counts as requesting rights, milliseconds.
 const REQUESTER_TTL_MS: Millis = 1_500;
 /// Largest random extension of a wait, as a fraction of it.
 const JITTER: f64 = 0.3;
-/// Time of excess demand after which a limit counts as binding, milliseconds: longer than a burst of calls, shorter
-/// than a load of layers.
+/// Time of excess demand after which a limit counts as binding, milliseconds: longer than a burst
+/// of calls, shorter than a load of layers.
 const BINDING_DELAY_MS: Millis = 1_000;
 /// Time without a request after which excess demand is measured anew, milliseconds.
 const SHORTAGE_GAP_MS: Millis = 2_000;
@@ -43,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// Rights issued.
-    pub given: u16,
+    pub issued: u16,
     /// Time after which to ask again; 0 if any were issued.
     pub wait: Millis,
 }
@@ -67,14 +70,14 @@
 /// use heathpitch_core::Rate;
 /// use heathpitch_policy::{EngineIncarnation, Rights};
 ///
-/// let life = EngineIncarnation { engine: "i-1".parse()?, born: None };
+/// let incarnation = EngineIncarnation { engine: "i-1".parse()?, started_at: None };
 /// let limit = Rate::from_thousandths(4_000);
 /// let (a, b) = ("n1".parse()?, "n2".parse()?);
 /// let mut rights = Rights::default();
-/// assert_eq!(rights.issue(&life, limit, &a, 1, 0.0, 0).given, 0, "nearly empty at first");
-/// assert_eq!(rights.issue(&life, limit, &a, 1, 0.0, 250).given, 1);
-/// let none = rights.issue(&life, limit, &b, 1, 0.0, 260);
-/// assert_eq!((none.given, none.wait), (0, 140));
+/// assert_eq!(rights.issue(&incarnation, limit, &a, 1, 0.0, 0).issued, 0, "nearly empty at first");
+/// assert_eq!(rights.issue(&incarnation, limit, &a, 1, 0.0, 250).issued, 1);
+/// let none = rights.issue(&incarnation, limit, &b, 1, 0.0, 260);
+/// assert_eq!((none.issued, none.wait), (0, 140));
 /// # Ok::<(), heathpitch_core::NameError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -83,13 +86,14 @@
 }
 
 impl Rights {
-    /// Issues up to `wanted` rights for an engine to a node; `draw`, from 0 to 1, adds jitter to the wait.
+    /// Issues up to `requested` rights for an engine to a node; `draw`, from 0 to 1, adds jitter to
+    /// the wait.
     pub fn issue(
         &mut self,
         engine: &EngineIncarnation,
         limit: Rate,
         node: &Name,
-        wanted: u16,
+        requested: u16,
         draw: f64,
         now: Millis,
     ) -> Grant {
@@ -106,15 +110,15 @@
         }
         issued.at = now;
         issued.requesters.insert(node.clone(), now);
-        for given in 0..wanted {
+        for count in 0..requested {
             if let Err(next) = issued.bucket.take(now) {
                 let since = *issued.shortage.get_or_insert(now);
                 issued.binding |= now >= since + BINDING_DELAY_MS;
-                let wait = if given > 0 { 0 } else { issued.wait(next, draw, now) };
-                return Grant { given, wait };
+                let wait = if count > 0 { 0 } else { issued.wait(next, draw, now) };
+                return Grant { issued: count, wait };
             }
         }
-        Grant { given: wanted, wait: 0 }
+        Grant { issued: requested, wait: 0 }
     }
 
     /// Removes all engines; called when this node becomes or stops being the issuer.
@@ -123,7 +127,7 @@
     }
 
     /// Whether demand for an engine exceeded its limit for some time since the limit applies.
-    pub fn binds(&self, engine: &EngineIncarnation) -> bool {
+    pub fn is_binding(&self, engine: &EngineIncarnation) -> bool {
         self.engines.get(engine).is_some_and(|h| h.binding)
     }
 
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -73,7 +73,7 @@
     /// planner yet.
     pub first_start: bool,
     /// Whether this node's VM is large enough to run a planner.
-    pub able: bool,
+    pub can_plan: bool,
     /// Whether it can ask seeds for the planners.
     pub seeded: bool,
 }
@@ -142,7 +142,7 @@
     /// When it may look up the planner's lease; `None` while a source of its own domain is active.
     claim_at: Option<Millis>,
     /// Whether the planner has released its lease and no successor is known.
-    vacant: bool,
+    planner_released: bool,
 }
 
 /// # Construction
@@ -159,7 +159,7 @@
             silent_since: Some(now),
             read_at: None,
             claim_at: Some(now),
-            vacant: false,
+            planner_released: false,
         }
     }
 }
@@ -172,7 +172,7 @@
         let known = self.planners.get(&domain);
         let new = known.is_none_or(|k| planner.revision > k.revision);
         if new {
-            self.vacant &= domain != self.domain;
+            self.planner_released &= domain != self.domain;
             self.backoffs.remove(&planner.source.node);
             self.planners.insert(domain, planner);
         }
@@ -181,7 +181,7 @@
 
     /// Records that the planner of this failure domain released its lease, though it still answers.
     pub fn planner_released(&mut self, now: Millis, domain_size: u32, rng: &mut impl Rng) {
-        self.vacant = true;
+        self.planner_released = true;
         if self.claim_at.is_none() {
             self.claim_at = Some(now + self.claim_wait(domain_size, rng));
         }
@@ -258,7 +258,7 @@
                 self.backoffs.remove(node);
                 self.active = Some(node.clone());
                 (self.silent_since, self.read_at) = (None, None);
-                if self.is_local(node) && !self.vacant {
+                if self.is_local(node) && !self.planner_released {
                     self.claim_at = None;
                 }
             }
@@ -294,7 +294,7 @@
     /// on a small VM can avoid it: it waits until a larger one is the planner and a seed names it.
     pub fn schedule_first_lookup(&mut self, start: FleetStart, now: Millis, rng: &mut impl Rng) {
         let (delay, spread) = match start {
-            FleetStart { able: true, .. } => (0, 0),
+            FleetStart { can_plan: true, .. } => (0, 0),
             FleetStart { first_start: true, seeded: true, .. } => FIRST_LOOKUP_SEEDED_MS,
             FleetStart { first_start: true, seeded: false, .. } => FIRST_LOOKUP_MS,
             FleetStart { first_start: false, seeded: true, .. } => RESTART_LOOKUP_SEEDED_MS,
@@ -388,7 +388,7 @@
 /// Random wait before a node may read the store, so that reads of a failure domain are spread
 /// evenly.
 fn read_wait(domain_size: u32, rng: &mut impl Rng) -> Millis {
-    if !on(Mechanism::RandomTurns) {
+    if !on(Mechanism::RandomizedReads) {
         return SOURCE_GRACE_MS;
     }
     SOURCE_GRACE_MS + rng.random_range(0..=READ_SLOT_MS * u64::from(domain_size.max(1)))
--- a/crates/policy/tests/limited_load.rs
+++ b/crates/policy/tests/limited_load.rs
@@ -1,10 +1,12 @@
-//! Simulation of a rate-limited engine under overload: the load it gets from all nodes together, and the effect on clients.
+//! Simulation of a rate-limited engine under overload: the load it gets from all nodes together,
+//! and the effect on clients.
 //!
-//! A service of two engines gets more requests than both accept. One states a limit, a sixth below its actual
-//! capacity; the other rejects what exceeds its part. The reference case is a recorded overload: an engine that
-//! gets about ten requests per second states a limit of 3.6. Clients are spread over nodes as by a hash, all use one
-//! node, or move from node to node each second. The issuer of rights dies, stalls or is unreachable; nodes
-//! restart. Limits are 3.6, nearly 0 and 100 per second; fleets have 7, 70 and 300 nodes; eight seeds each.
+//! A service of two engines gets more requests than both accept. One states a limit, a sixth below
+//! its actual capacity; the other rejects what exceeds its part. The reference case is a recorded
+//! overload: an engine that gets about ten requests per second states a limit of 3.6. Clients are
+//! spread over nodes as by a hash, all use one node, or move from node to node each second. The
+//! issuer of rights dies, stalls or is unreachable; nodes restart. Limits are 3.6, nearly 0 and 100
+//! per second; fleets have 7, 70 and 300 nodes; eight seeds each.
 
 #![allow(clippy::unwrap_used, reason = "what fails here fails its test")]
 
@@ -34,7 +36,8 @@
 const SHARED_MS: u64 = 1_000;
 /// Response time of a request, milliseconds.
 const RESPONSE_MS: u64 = 100;
-/// Time of the fault, and the time without an issuer after it, milliseconds: a lease plus the pause of a new planner.
+/// Time of the fault, and the time without an issuer after it, milliseconds: a lease plus the pause
+/// of a new planner.
 const FAULT_AT_MS: u64 = 12_000;
 const NO_ISSUER_MS: u64 = 4_500;
 /// Interval at which the planner checks whether the stored record is up to date, milliseconds.
@@ -100,7 +103,7 @@
     signals: Vec<Arc<Backpressure>>,
     equal: Vec<Bucket>,
     rights: Rights,
-    life: EngineIncarnation,
+    incarnation: EngineIncarnation,
     /// The planner's limits, its write schedule, and the stored record.
     limits: Limits,
     recorder: LimitRecorder,
@@ -131,7 +134,7 @@
             signals: (0..load.nodes).map(|_| Arc::default()).collect(),
             equal: (0..load.nodes).map(bucket).collect(),
             rights: Rights::default(),
-            life: EngineIncarnation { engine: name("i-1"), born: None },
+            incarnation: EngineIncarnation { engine: name("i-1"), started_at: None },
             limits: Limits::default(),
             recorder: LimitRecorder::default(),
             record: String::new(),
@@ -193,7 +196,7 @@
             self.signals.iter().for_each(|backpressure| {
                 backpressure.limit().learn(rate, now);
             });
-            self.limits.learn(self.life.clone(), rate, now);
+            self.limits.learn(self.incarnation.clone(), rate, now);
         }
         if now.is_multiple_of(RECORD_INTERVAL_MS) {
             self.write_record(now);
@@ -209,8 +212,10 @@
 
     /// Writes the planner's record to the store if that is due.
     fn write_record(&mut self, now: u64) {
-        let record = LimitRecord::of(
-            self.limits.named().map(|(life, rate)| (life, LimitEntry { rate, in_probes: false })),
+        let record = LimitRecord::new(
+            self.limits
+                .in_force()
+                .map(|(incarnation, rate)| (incarnation, LimitEntry { rate, in_probes: false })),
         );
         if self.recorder.is_due(&record, now) {
             self.record = record.text();
@@ -222,11 +227,11 @@
     fn read_record(&mut self, now: u64) {
         let (record, _) = LimitRecord::read(&self.record);
         self.limits = Limits::default();
-        for (life, limit) in record.limits() {
-            assert!(self.limits.restore(life.clone(), limit, now));
+        for (incarnation, limit) in record.limits() {
+            assert!(self.limits.restore(incarnation.clone(), limit, now));
         }
         self.recorder.stored(record, now);
-        let Some((rate, at)) = self.limits.of(&self.life) else { return };
+        let Some((rate, at)) = self.limits.get(&self.incarnation) else { return };
         for backpressure in &self.signals {
             backpressure.limit().learn(Some(rate), at);
         }
@@ -302,12 +307,13 @@
                 .then(|| Right::self_issued(backpressure, now));
         }
         self.outcome.right_requests += 1.0;
-        let wanted = limit.wanted(now);
-        let grant = self.rights.issue(&self.life, rate, &self.names[node], wanted, draw, now);
-        if grant.given == 0 {
+        let wanted = limit.batch_size(now);
+        let grant =
+            self.rights.issue(&self.incarnation, rate, &self.names[node], wanted, draw, now);
+        if grant.issued == 0 {
             limit.pause_until(now + grant.wait);
         }
-        limit.add_rights(grant.given, now, now);
+        limit.add_rights(grant.issued, now, now);
         EngineLimit::take(backpressure, now)
     }
 }
@@ -365,7 +371,8 @@
     }
 }
 
-/// Equal shares stay unused at nodes without clients: with 300 nodes, each share is one request in a minute and a half.
+/// Equal shares stay unused at nodes without clients: with 300 nodes, each share is one request in
+/// a minute and a half.
 #[test]
 fn rights_serve_more_clients_than_equal_shares_or_no_limit() {
     for load in loads(&[3.6], Fault::None) {
@@ -381,7 +388,8 @@
     }
 }
 
-/// Guards against a change of the issuer that issues rights twice, and against self-issued rights that exceed the limit.
+/// Guards against a change of the issuer that issues rights twice, and against self-issued rights
+/// that exceed the limit.
 #[test]
 fn no_fault_of_nodes_breaks_a_limit() {
     let faults = [Fault::IssuerLost, Fault::Partition, Fault::Restart, Fault::Joins];
@@ -394,9 +402,9 @@
     }
 }
 
-/// The demand is 15 times the limit, and all nodes lose their knowledge of it: from responses alone a node would
-/// learn it only after the first one had been shared. The agreed bound exempts nodes that have just started and do not
-/// know the limit; here all nodes count.
+/// The demand is 15 times the limit, and all nodes lose their knowledge of it: from responses alone
+/// a node would learn it only after the first one had been shared. The agreed bound exempts nodes
+/// that have just started and do not know the limit; here all nodes count.
 #[test]
 fn a_very_low_limit_is_kept_when_all_nodes_restart() {
     for load in loads(&[0.4], Fault::Restart) {
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -8,7 +8,7 @@
 
 /// Tokens of a typical request.
 const REQUEST_TOKENS: u64 = 900;
-/// Tokens that fit into an engine beside its layers.
+/// Tokens that fit into an engine in addition to its layers.
 const CAPACITY_TOKENS: f64 = 150_000.0;
 /// Fraction of the capacity up to which requests are admitted.
 const ADMIT_SHARE: f64 = 0.95;
@@ -18,7 +18,8 @@
 const REPORT_DELAY_MS: u64 = 200;
 const REPORT_INTERVAL_MS: u64 = 650;
 
-/// Peak occupancy, and mean occupancy over the last ten seconds, under a load of `times` the capacity.
+/// Peak occupancy, and mean occupancy over the last ten seconds, under a load of `times` the
+/// capacity.
 fn simulate(shares: &[f64], times: f64, reports: bool) -> (f64, f64) {
     let nodes: Vec<Occupancy> = shares.iter().map(|_| Occupancy::default()).collect();
     let node_count = nodes.len() as u32;
--- a/crates/proof/src/feed/exits.rs
+++ b/crates/proof/src/feed/exits.rs
@@ -37,9 +37,9 @@
     /// Lets an engine exit while it runs a request, and a node observe it.
     pub(super) fn exit_engine(&mut self, at: usize, fingerprint: u64) -> EngineIncarnation {
         self.exits += 1;
-        let incarnation = EngineIncarnation { engine: name(at), born: Some(self.exits) };
+        let incarnation = EngineIncarnation { engine: name(at), started_at: Some(self.exits) };
         let (fingerprint, now) = (RequestFingerprint(fingerprint), self.now);
-        self.nodes[at].quarantine.record_end(fingerprint, incarnation.clone(), 0, now);
+        self.nodes[at].quarantine.record_exit(fingerprint, incarnation.clone(), 0, now);
         incarnation
     }
 
@@ -66,7 +66,7 @@
         when: &str,
     ) -> Result<(), Violation> {
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.alive) {
-            let known = node.quarantine.ended_engines().contains(incarnation);
+            let known = node.quarantine.exited_engines().contains(incarnation);
             Violation::unless(known, Property::Feed, || {
                 format!("node {i} does not know of the exit of {incarnation:?} {when}")
             })?;
--- a/crates/proof/src/membership.rs
+++ b/crates/proof/src/membership.rs
@@ -57,8 +57,8 @@
 fn node(i: usize, incarnation: u64) -> Node {
     let member = Member {
         node: name(i),
-        life: Incarnation(incarnation),
-        beat: 0,
+        incarnation: Incarnation(incarnation),
+        heartbeat: 0,
         domain: domain(i),
         peer: name(i),
         caller: name(i),
@@ -106,7 +106,7 @@
         if !self.nodes[at].alive {
             return Ok(());
         }
-        self.nodes[at].members.beat(self.now);
+        self.nodes[at].members.heartbeat(self.now);
         let picked = self.nodes[at].members.pick_peer(self.now, &mut self.rng);
         let Some(other) = picked.and_then(|p| (0..NODES).find(|i| name(*i) == p)) else {
             return Ok(());
--- a/crates/proof/src/requests.rs
+++ b/crates/proof/src/requests.rs
@@ -82,7 +82,7 @@
     fn new(number: usize, entropy: &mut Entropy) -> Self {
         let repeat = if entropy.below(2) == 0 { Repeat::Allowed } else { Repeat::Never };
         let wanted = 1 + entropy.below(6) as u32;
-        let plan = RelayPlan { wanted, layers: LAYERS, attempts: 4, repeat };
+        let plan = RelayPlan { max_tokens: wanted, layers: LAYERS, attempts: 4, repeat };
         // Some responses end before the requested length.
         let length = if entropy.below(3) == 0 { wanted / 2 } else { wanted };
         Self {
--- a/crates/proof/src/upstreams.rs
+++ b/crates/proof/src/upstreams.rs
@@ -117,7 +117,7 @@
     }
 
     fn record_report(&mut self, at: usize, report: &EngineReport, stats: &mut RunStats) {
-        let delivered = (report.life.0, report.serial, report.leaving);
+        let delivered = (report.incarnation.0, report.serial, report.draining);
         let newest_report = &mut self.engines[at].newest_report;
         match newest_report {
             Some(old) if (old.0, old.1) >= (delivered.0, delivered.1) => {
@@ -165,14 +165,14 @@
 fn report(i: usize, engine: &Engine) -> EngineReport {
     EngineReport {
         engine: name(i),
-        life: Incarnation(engine.incarnation),
+        incarnation: Incarnation(engine.incarnation),
         serial: engine.serial,
         model: Some(name(98)),
         version: name(97),
         layers: LayerRange::new(0, 4),
         epoch: Epoch(0),
         role: EngineRole::Both,
-        leaving: engine.draining,
+        draining: engine.draining,
         slots: 4,
         running: 0,
         queued: 0,
--- a/crates/proof/tests/mechanisms.rs
+++ b/crates/proof/tests/mechanisms.rs
@@ -15,13 +15,13 @@
         | Mechanism::ExplicitEnd
         | Mechanism::Evidence
         | Mechanism::NoRepeat => Simulation::Requests,
-        Mechanism::ClaimReadBack | Mechanism::LedgerOnce | Mechanism::ForgottenIsRun => {
+        Mechanism::ClaimReadBack | Mechanism::DispatchOnce | Mechanism::EvictedAsRun => {
             Simulation::Keys
         }
         Mechanism::DrainNotice | Mechanism::ListOrder => Simulation::Upstreams,
         Mechanism::RevisionOrder => Simulation::Config,
         Mechanism::Standbys
-        | Mechanism::RandomTurns
+        | Mechanism::RandomizedReads
         | Mechanism::ListAge
         | Mechanism::SuspendedTime => Simulation::Feed,
     }
