--- a/crates/heathpitch/tests/cli.rs
+++ b/crates/heathpitch/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line against a stand-in platform.
+//! The command line against a fake platform.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails its test")]
 
@@ -12,7 +12,7 @@
 
 static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
-/// A stand-in platform and a temporary folder.
+/// A fake platform and a temporary folder.
 struct Setup {
     platform: FakePlatform,
     folder: PathBuf,
--- a/crates/heathpitchd/src/gateway/call/admit.rs
+++ b/crates/heathpitchd/src/gateway/call/admit.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Refuses a call whose request engines exited on, until that request is let through again.
+/// Refuses a call whose request crashed engines, until that request is let through again.
 ///
 /// The status says that this call did not run, and `Retry-After` when it may: a permanent denial
 /// would be wrong once the engines are fixed.
--- a/crates/heathpitchd/src/gateway/quarantine_snapshot.rs
+++ b/crates/heathpitchd/src/gateway/quarantine_snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot of the quarantine that the traffic thread reads: requests that engines crashed on.
+//! Snapshot of the quarantine that the traffic thread reads: requests that crash engines.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -33,7 +33,7 @@
     /// Whether a request whose connection was lost after `events` events may be sent to a second
     /// engine.
     ///
-    /// It may not if it had just started and another engine exited on it before: the retry could
+    /// It may not if it had just started and another engine exited under it before: the retry could
     /// take down a third engine, with some fifty streams, within the call that ended the second.
     /// A harmless request only needs its caller to retry.
     pub(crate) fn allows_retry(
--- a/crates/heathpitchd/src/gateway/shared.rs
+++ b/crates/heathpitchd/src/gateway/shared.rs
@@ -33,7 +33,7 @@
     Refused(Name),
     /// The connection of a call to an engine was lost.
     ConnectionLost(LostAttempt),
-    /// An engine answered a request completely that engines had exited on before.
+    /// An engine completely answered a request that others had exited under before.
     Answered(RequestFingerprint),
     /// An engine that was reported as exited answered a call sent after the report.
     EngineAlive(EngineIncarnation),
@@ -116,7 +116,7 @@
     pub(crate) config_freshness: ArcSwap<Freshness>,
     /// When the known engines were last confirmed to match the store.
     pub(crate) list_freshness: ArcSwap<Freshness>,
-    /// Requests that engines exited on.
+    /// Requests that were running on engines when these exited.
     pub(crate) quarantine: ArcSwap<QuarantineSnapshot>,
     pub(crate) stopping: AtomicBool,
     pub(crate) open_calls: AtomicUsize,
--- a/crates/heathpitchd/tests/gateway_crashing_requests.rs
+++ b/crates/heathpitchd/tests/gateway_crashing_requests.rs
@@ -1,7 +1,7 @@
 //! Requests that crash engines.
 //!
 //! Without a quarantine, one request crashed nine to seventeen engines in turn, each with all
-//! streams that ran there, and a failure domain was avoided without the first layers for a time.
+//! streams that ran there, and a failure domain was left without the first layers for a time.
 //! The request crashed an engine, was sent to a second one, and was then repeated by its caller
 //! with another id at another node; what a node learned from the crash was dropped with the call
 //! and known to no other node. Without the fix the first test here counts nine to twelve more
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -193,7 +193,7 @@
     }
 }
 
-/// # ChainQuery
+/// # Search
 impl Table<'_> {
     fn fill(&mut self) {
         for cut in 0..self.cuts.len() {
--- a/crates/policy/src/engine_limit.rs
+++ b/crates/policy/src/engine_limit.rs
@@ -5,7 +5,7 @@
 //! out of order, so a response relaxes an earlier one only if its request was sent after that. A
 //! lower limit applies at once; a higher limit, or none, only under that condition; and a limit is
 //! lifted only by two responses without one, some time after the last that stated it. Keeping a
-//! limit slightly too long costs little, while ignoring one may overload the engine.
+//! limit slightly too long costs little, while ignoring one may bring the engine down.
 //!
 //! No node can enforce a limit on the sum over all nodes alone: each request needs a right, issued
 //! by the planner of the engine's failure domain ([`Rights`](crate::Rights)). Rights expire soon,
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -143,7 +143,7 @@
     layout.into_plan()
 }
 
-/// Workers that requests normally run through; the others are standbys.
+/// Workers that requests normally run through; the others hold extra copies.
 ///
 /// Deterministic, so that all nodes with the same list agree: the workers of one chain, and of
 /// every further complete chain among the remaining workers.
--- a/crates/policy/src/layout_deal.rs
+++ b/crates/policy/src/layout_deal.rs
@@ -16,10 +16,10 @@
 const MIN_TOKENS: u32 = 5_000;
 /// Step between token capacities tried.
 pub(crate) const TOKENS_STEP: u32 = 5_000;
-/// Share of a domain's workers kept as standbys if memory suffices.
+/// Share of a domain's workers kept out of the primary chains if memory suffices.
 const SPARE_SHARE: f64 = 0.15;
 /// The same where every layer has two copies or more, so that the loss of an engine opens no gap.
-/// A fleet of 86 engines reached 0.792 of a day's full score over 15 days with losses, and 0.779
+/// A fleet of 86 engines reached 0.792 of a day's value over 15 days with losses, and 0.779
 /// with a share of 0.15.
 const COPIED_SPARE_SHARE: f64 = 0.05;
 
@@ -104,7 +104,7 @@
 ///
 /// Memory for requests is the first bottleneck of a fleet. A fleet of 86 engines with one chain in
 /// each of three failure domains and idle second copies was full at its usual traffic. With
-/// further chains it serves twice that (0.569 to 0.779 of a day's full score over 15 days with
+/// further chains it serves twice that (0.569 to 0.779 of a day's value over 15 days with
 /// losses).
 fn add_chains(
     model: &LayeredModel,
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -316,7 +316,7 @@
         self.held.iter().copied()
     }
 
-    /// Ends that count against a request: incarnation, events delivered and age.
+    /// Exits that count against a request: incarnation, events delivered and age.
     pub fn evidence(
         &self,
         fingerprint: RequestFingerprint,
@@ -363,7 +363,7 @@
         self.serial
     }
 
-    /// Ends that changed after `serial`, in order of change, with their ages, and the serial to
+    /// Exits that changed after `serial`, in order of change, with their ages, and the serial to
     /// continue from. At most `most`, plus all that changed together with the last one.
     pub fn since(&self, serial: u64, most: usize, now: Millis) -> (Vec<(EngineExit, Millis)>, u64) {
         let mut new: Vec<_> = self.exits.iter().filter(|(_, k)| k.serial > serial).collect();
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -175,7 +175,7 @@
     let (first, serial) = quarantine.since(0, 4, 0);
     let (rest, end) = quarantine.since(serial, 100, 0);
     assert_eq!((first.len(), rest.len(), end), (4, 6, quarantine.serial()));
-    // Ends that changed together are sent together, whatever their number.
+    // Exits that changed together are sent together, whatever their number.
     quarantine.clear_request(FATAL);
     let (cleared, end) = quarantine.since(end, 4, 0);
     assert_eq!((cleared.len(), end), (10, quarantine.serial()));
